--- a/endivestile/src/fleet/store.rs
+++ b/endivestile/src/fleet/store.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_kernel::fleet::{FleetEvent, HOST_KEYS, HostEntry, POOL_KEYS};
+use endivestile_kernel::fleet::{FleetEvent, HOST_KEY_PREFIX, HostEntry, POOL_KEY_PREFIX};
 use endivestile_kernel::{StoreOp, Stored};
 use endivestile_wire::adapter::{StoreFault, Swap};
 use tokio::sync::watch;
@@ -43,11 +43,11 @@
 
 impl Sink for Records {
     fn tell(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
-        if let Some(pool) = key.strip_prefix(POOL_KEYS) {
+        if let Some(pool) = key.strip_prefix(POOL_KEY_PREFIX) {
             let value = value.unwrap_or_default();
             let pool = Name::from(pool);
             self.inbox.event(FleetEvent::Record { pool, revision, value });
-        } else if let Some(name) = key.strip_prefix(HOST_KEYS) {
+        } else if let Some(name) = key.strip_prefix(HOST_KEY_PREFIX) {
             self.host(name, revision, value);
         }
     }
@@ -125,7 +125,7 @@
 }
 
 async fn put(reader: &Reader, entry: &HostEntry, revision: u64) -> Result<u64, StoreFault> {
-    let key = Name::from(format!("{HOST_KEYS}{}", entry.peer.host));
+    let key = Name::from(format!("{HOST_KEY_PREFIX}{}", entry.peer.host));
     // A registration is plain data: it cannot fail to be written as JSON.
     let value = Bytes::from(serde_json::to_vec(entry).unwrap_or_default());
     reader.swap(&Swap { key, revision, value }).await
--- a/endivestile_config/src/mechanism.rs
+++ b/endivestile_config/src/mechanism.rs
@@ -24,7 +24,7 @@
     /// An owner is asked in its record before its pool is claimed.
     Challenge,
     /// Hosts with the least pools for their processor time take over first.
-    HeirOrder,
+    CandidateOrder,
     /// A task is not started on a worker where it would miss its objective.
     Fitting,
     /// A place has to fit with a reserve that shrinks as a job waits.
@@ -48,7 +48,7 @@
         Self::Forwarding,
         Self::TwoChoices,
         Self::Challenge,
-        Self::HeirOrder,
+        Self::CandidateOrder,
         Self::Fitting,
         Self::Reserve,
         Self::LeastWork,
@@ -68,7 +68,7 @@
             Self::Forwarding => "forwarding",
             Self::TwoChoices => "two-choices",
             Self::Challenge => "challenge",
-            Self::HeirOrder => "heir-order",
+            Self::CandidateOrder => "heir-order",
             Self::Fitting => "fitting",
             Self::Reserve => "reserve",
             Self::LeastWork => "least-work",
--- a/endivestile_kernel/src/fleet/core.rs
+++ b/endivestile_kernel/src/fleet/core.rs
@@ -10,13 +10,13 @@
 use crate::channel::Channel;
 use crate::fleet::evacuation::{Evacuations, Source, ZoneState};
 use crate::fleet::front::Front;
-use crate::fleet::hosts::members::{HostEntry, Members};
+use crate::fleet::hosts::membership::{HostEntry, Membership};
 use crate::fleet::job::{Job, JobEnd};
 use crate::fleet::measure::{Count, Gauge, Span};
 use crate::fleet::msg::{JobMsg, Report};
 use crate::fleet::ownership::balance::Transfer;
 use crate::fleet::ownership::claim::Probe;
-use crate::fleet::ownership::parts::capacity;
+use crate::fleet::ownership::partition::host_capacity;
 use crate::fleet::ownership::pools::Pools;
 use crate::fleet::scheduler::{Out, Scheduler};
 use crate::fleet::table::RouteTable;
@@ -70,7 +70,7 @@
 impl FleetSetup {
     /// Returns how many workers this host can drive.
     pub(crate) fn capacity(&self) -> u32 {
-        capacity(self.cpu_milli, self.link_kbps)
+        host_capacity(self.cpu_milli, self.link_kbps)
     }
 }
 
@@ -217,7 +217,7 @@
     pub(crate) setup: FleetSetup,
     pub(crate) table: Option<Arc<RouteTable>>,
     pub(crate) evacuations: Evacuations,
-    pub(crate) members: Members,
+    pub(crate) members: Membership,
     pub(crate) channels: BTreeMap<Peer, Channel>,
     pub(crate) pools: Pools,
     /// All workers, each with its pool.
@@ -259,7 +259,7 @@
         Self {
             table: None,
             evacuations: Evacuations::default(),
-            members: Members::new(setup.me.clone()),
+            members: Membership::new(setup.me.clone()),
             channels: BTreeMap::new(),
             pools: Pools::default(),
             workers: Vec::new(),
@@ -294,21 +294,23 @@
             FleetEvent::Table(table) => self.adopt(table),
             FleetEvent::Evacuation(state) => self.set_evacuation(now, &state, Source::Store),
             FleetEvent::EvacuationsRead(revision) => self.evacuations_read(now, revision),
-            FleetEvent::Workers(workers) => self.list_workers(now, workers),
-            FleetEvent::Host { name, entry } => self.register(now, &name, entry.as_ref()),
+            FleetEvent::Workers(workers) => self.apply_worker_list(now, workers),
+            FleetEvent::Host { name, entry } => self.apply_registration(now, &name, entry.as_ref()),
             FleetEvent::Record { pool, revision, value } => {
-                self.record(now, &pool, revision, &value);
+                self.apply_record(now, &pool, revision, &value);
             }
             FleetEvent::Store(up) => self.store(now, up),
-            FleetEvent::Stored { token, stored } => self.stored(now, token, &stored),
+            FleetEvent::Stored { token, stored } => self.apply_swap_result(now, token, &stored),
             FleetEvent::Started { worker, task, run, end } => {
                 self.scheduler.started(now, &worker, &RunId { task, run }, end);
             }
             FleetEvent::Stopped { worker, task, run, end } => {
                 self.scheduler.stopped(now, &worker, &RunId { task, run }, end);
             }
-            FleetEvent::Held { worker, number, end } => self.held(now, &worker, number, end),
-            FleetEvent::Frame(frame) => self.frame(now, *frame),
+            FleetEvent::Held { worker, number, end } => {
+                self.renewal_ended(now, &worker, number, end)
+            }
+            FleetEvent::Frame(frame) => self.receive_frame(now, *frame),
             FleetEvent::LinkDown(peer) => {
                 if let Some(channel) = self.channels.get_mut(&peer) {
                     channel.broken(now);
@@ -405,7 +407,7 @@
             let row = report.pending.iter().find(|(name, _)| &**name == route);
             row.map_or(0, |(_, count)| *count)
         };
-        let fresh = self.members.all().filter(|member| member.answers(now, PENDING_MS));
+        let fresh = self.members.all().filter(|member| member.is_alive(now, PENDING_MS));
         own + fresh.map(|member| told(&member.report)).sum::<u32>()
     }
 
@@ -429,7 +431,7 @@
         if *peer == self.setup.me {
             self.message(now, &peer.clone(), msg);
         } else {
-            self.push(peer, msg);
+            self.send_job_msg(peer, msg);
         }
     }
 
@@ -450,7 +452,7 @@
         if self.store_since.is_some() != up {
             self.store_since = up.then_some(now);
             for pool in self.pools.by_name.values_mut() {
-                pool.vacant = None;
+                pool.vacant_since = None;
             }
             let event = if up { "store_up" } else { "store_down" };
             self.note(Level::Info, event, Vec::new());
@@ -458,7 +460,7 @@
     }
 
     fn tick(&mut self, now: Time) {
-        self.watch_members(now);
+        self.check_members(now);
         self.claim_pools(now);
         self.balance(now);
         self.scheduler.tick(now);
--- a/endivestile_kernel/src/fleet/evacuation.rs
+++ b/endivestile_kernel/src/fleet/evacuation.rs
@@ -14,7 +14,7 @@
 
 use crate::fleet::core::{Fleet, FleetEffect};
 use crate::fleet::measure::Gauge;
-use crate::fleet::ownership::parts::zone_of;
+use crate::fleet::ownership::partition::zone_of;
 use crate::{Level, Time};
 
 /// Whether a zone is being evacuated, as of a revision of the store.
--- a/endivestile_kernel/src/fleet/hosts/link.rs
+++ b/endivestile_kernel/src/fleet/hosts/frames.rs
@@ -8,7 +8,9 @@
 use crate::channel::Channel;
 use crate::fleet::core::{Fleet, FleetEffect};
 use crate::fleet::evacuation::Source;
-use crate::fleet::hosts::members::{BEAT_MS, FAR_BEAT_MS, Heard, Member, REST_BEAT_MS, rank};
+use crate::fleet::hosts::membership::{
+    CROSS_ZONE_HEARTBEAT_MS, FrameHeader, HEARTBEAT_MS, IDLE_HEARTBEAT_MS, Member, host_rank,
+};
 use crate::fleet::job::{JobEnd, Reason};
 use crate::fleet::lag::overloaded;
 use crate::fleet::measure::Count;
@@ -30,20 +32,20 @@
 const MAX_FRAMES: usize = 4;
 
 impl Fleet {
-    pub(crate) fn frame(&mut self, now: Time, mut frame: Frame) {
+    pub(crate) fn receive_frame(&mut self, now: Time, mut frame: Frame) {
         if frame.to != self.setup.me {
             return;
         }
         let from = frame.from.clone();
         let report = frame.report.take();
-        let heard = Heard {
+        let heard = FrameHeader {
             from: &from,
             leaving: frame.leaving,
             sent: frame.sent,
             echo: frame.echo,
             report: report.as_ref(),
         };
-        let Ok(ended) = self.members.hear(now, &heard) else { return };
+        let Ok(ended) = self.members.apply_frame(now, &heard) else { return };
         if let Some(ended) = ended {
             self.peer_ended(now, &ended);
         }
@@ -61,7 +63,7 @@
                     self.refuse_stale(now, &from, serial);
                 }
                 Msg::Job(msg) => self.message(now, &from, msg),
-                Msg::HandOver(msg) => self.take_over(now, &from, &msg),
+                Msg::DirectTransfer(msg) => self.receive_grant(now, &from, &msg),
                 _ => {}
             }
         }
@@ -82,7 +84,7 @@
     /// Remembers what room another placer has. It counts only if this host's frames
     /// reach it: after a cut, tasks would wait on a link that is not back yet.
     fn take_room(&mut self, now: Time, from: &Peer, report: &Report) {
-        let reachable = self.members.get(from).is_some_and(|it| it.reachable(now, LOST_MS));
+        let reachable = self.members.get(from).is_some_and(|it| it.is_reachable(now, LOST_MS));
         if report.pools == 0 || !reachable || overloaded(report.lag_ms) {
             self.scheduler.others.remove(from);
             return;
@@ -94,9 +96,9 @@
         self.scheduler.dirty = true;
     }
 
-    pub(crate) fn push(&mut self, to: &Peer, mut msg: JobMsg) {
+    pub(crate) fn send_job_msg(&mut self, to: &Peer, mut msg: JobMsg) {
         if let JobMsg::Submit { echo, .. } = &mut msg {
-            *echo = self.members.get(to).map_or(Time::ZERO, |member| member.theirs);
+            *echo = self.members.get(to).map_or(Time::ZERO, |member| member.peer_clock);
         }
         self.send(to, Msg::Job(msg));
     }
@@ -123,7 +125,7 @@
 
     /// Looks at every peer: asks for beats, makes dumb links anew, gives up
     /// what depends on peers that cannot be heard.
-    pub(crate) fn watch_members(&mut self, now: Time) {
+    pub(crate) fn check_members(&mut self, now: Time) {
         self.choose_standby(now);
         let busy = self.busy_peers();
         let own = self.scheduler.owns();
@@ -136,14 +138,14 @@
             } else {
                 Touch::Far { standby: member.standby }
             };
-            let Some(beat) = beat_ms(own, member.drives(now), touch) else { continue };
+            let Some(beat) = beat_ms(own, member.owned_recently(now), touch) else { continue };
             let channel = self.channels.entry(member.peer.clone());
             let channel = channel.or_insert_with(|| Channel::new(member.peer.clone()));
             channel.beat_by(now.after_ms(beat));
             let limit = if member.zone == self.setup.zone { QUIET_MS } else { FAR_QUIET_MS };
-            let quiet = member.unechoed.is_some_and(|at| at.after_ms(limit) <= now);
-            if quiet && member.redial_due <= now {
-                member.redial(now);
+            let quiet = member.unechoed_since.is_some_and(|at| at.after_ms(limit) <= now);
+            if quiet && member.reconnect_due <= now {
+                member.note_reconnect(now);
                 dumb.push(member.address.clone());
             }
         }
@@ -200,7 +202,7 @@
         let sure = lease + self.setup.worker_lease + 100;
         let fronts: Vec<Peer> = self.scheduler.fronts();
         for peer in fronts {
-            let echoed = self.members.get(&peer).map(|member| member.echoed);
+            let echoed = self.members.get(&peer).map(|member| member.last_echo);
             let lost = echoed.is_none_or(|at| at.after_ms(lease) <= now);
             if lost && self.lost_fronts.insert(peer.clone()) {
                 self.note(Level::Info, "front_lost", vec![("peer", peer.to_string())]);
@@ -214,13 +216,13 @@
         let others: Vec<Peer> = self.scheduler.others.keys().cloned().collect();
         for peer in others {
             let member = self.members.get(&peer);
-            if !member.is_some_and(|member| member.reachable(now, LOST_MS)) {
+            if !member.is_some_and(|member| member.is_reachable(now, LOST_MS)) {
                 self.scheduler.others.remove(&peer);
             }
         }
         self.ended.retain(|_, at| at.after_ms(sure) > now);
         for peer in self.scheduler.targets() {
-            if !self.members.answers(now, &peer, sure) && !self.ended.contains_key(&peer) {
+            if !self.members.is_alive(now, &peer, sure) && !self.ended.contains_key(&peer) {
                 self.scheduler.lose_target(now, &peer);
             }
         }
@@ -248,9 +250,9 @@
         let Some(member) = self.members.get_mut(peer) else { return false };
         let Some(channel) = self.channels.get_mut(peer) else { return false };
         let Some(mut frame) = channel.frame(now, &self.setup.me) else { return false };
-        member.unechoed.get_or_insert(now);
+        member.unechoed_since.get_or_insert(now);
         frame.leaving = self.leaving;
-        frame.echo = member.theirs;
+        frame.echo = member.peer_clock;
         frame.report = Some(report.clone());
         frame.revision = self.table.as_ref().map_or(0, |table| table.version);
         let more = !frame.msgs.is_empty();
@@ -303,9 +305,9 @@
 fn beat_ms(own: bool, theirs: bool, touch: Touch) -> Option<u64> {
     match touch {
         _ if !own && !theirs => None,
-        Touch::Busy => Some(BEAT_MS),
-        Touch::Near => Some(REST_BEAT_MS),
-        Touch::Far { standby } => (standby || own && theirs).then_some(FAR_BEAT_MS),
+        Touch::Busy => Some(HEARTBEAT_MS),
+        Touch::Near => Some(IDLE_HEARTBEAT_MS),
+        Touch::Far { standby } => (standby || own && theirs).then_some(CROSS_ZONE_HEARTBEAT_MS),
     }
 }
 
@@ -316,5 +318,5 @@
     if all {
         return owners.cloned().collect();
     }
-    owners.min_by_key(|owner| rank(host, owner)).cloned().into_iter().collect()
+    owners.min_by_key(|owner| host_rank(host, owner)).cloned().into_iter().collect()
 }
--- a/endivestile_kernel/src/fleet/hosts/members.rs
+++ b/endivestile_kernel/src/fleet/hosts/membership.rs
@@ -8,17 +8,17 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::fleet::msg::Report;
-use crate::fleet::ownership::parts::capacity;
+use crate::fleet::ownership::partition::host_capacity;
 use crate::{Peer, Time};
 
 /// Time between two frames to a peer while nothing else is said, in
 /// milliseconds: four fit into the lease that they renew.
-pub(crate) const BEAT_MS: u64 = 110;
+pub(crate) const HEARTBEAT_MS: u64 = 110;
 /// The same within a zone while neither has jobs of the other.
-pub(crate) const REST_BEAT_MS: u64 = 200;
+pub(crate) const IDLE_HEARTBEAT_MS: u64 = 200;
 /// The same between an owner and a host of another zone while neither has jobs of the
 /// other: each has to know that the other lives, and nothing hangs on it.
-pub(crate) const FAR_BEAT_MS: u64 = 300;
+pub(crate) const CROSS_ZONE_HEARTBEAT_MS: u64 = 300;
 
 /// Age up to which a host's word counts that it owns workers, in milliseconds: one that
 /// owns none any more sends nothing.
@@ -67,23 +67,23 @@
     /// Bandwidth of its link, in kilobits a second.
     pub(crate) link_kbps: u32,
     /// Tasks of jobs sent there since its last report.
-    pub(crate) sent: u32,
+    pub(crate) sent_tasks: u32,
     /// When its last frame came.
-    pub(crate) heard: Option<Time>,
+    pub(crate) last_frame: Option<Time>,
     /// When the latest frame of ours left that it has had, as it echoed.
-    pub(crate) echoed: Time,
+    pub(crate) last_echo: Time,
     /// When the first frame left to which it has echoed nothing since.
-    pub(crate) unechoed: Option<Time>,
+    pub(crate) unechoed_since: Option<Time>,
     /// Its own clock at its latest frame, which we echo.
-    pub(crate) theirs: Time,
+    pub(crate) peer_clock: Time,
     /// What it told last.
     pub(crate) report: Arc<Report>,
     /// Since when it is known.
-    pub(crate) since: Time,
+    pub(crate) known_since: Time,
     /// From when on its link may be made anew.
-    pub(crate) redial_due: Time,
+    pub(crate) reconnect_due: Time,
     /// Times that its link was made anew without a sign of life since.
-    pub(crate) redials: u32,
+    pub(crate) reconnects: u32,
     /// Whether frames are exchanged with it while neither has jobs of the other, although
     /// only one of the two owns workers and they are of different zones.
     pub(crate) standby: bool,
@@ -91,19 +91,19 @@
 
 /// All other hosts.
 #[derive(Debug)]
-pub(crate) struct Members {
+pub(crate) struct Membership {
     me: Peer,
     by_name: BTreeMap<Name, Member>,
 }
 
-impl Members {
+impl Membership {
     /// Starts with nobody known.
     pub(crate) fn new(me: Peer) -> Self {
         Self { me, by_name: BTreeMap::new() }
     }
 
     /// Takes in a registration, or the end of one; returns an incarnation that ended.
-    pub(crate) fn register(
+    pub(crate) fn apply_registration(
         &mut self,
         now: Time,
         name: &Name,
@@ -132,7 +132,11 @@
 
     /// Takes in a frame's sender; returns an incarnation that it shows to have
     /// ended, or nothing known for a frame of one that has ended itself.
-    pub(crate) fn hear(&mut self, now: Time, heard: &Heard<'_>) -> Result<Option<Peer>, ()> {
+    pub(crate) fn apply_frame(
+        &mut self,
+        now: Time,
+        heard: &FrameHeader<'_>,
+    ) -> Result<Option<Peer>, ()> {
         let name = &heard.from.host;
         let known = self.by_name.get(name).map(|member| member.peer.birth);
         if *name == self.me.host || known.is_some_and(|birth| birth > heard.from.birth) {
@@ -153,21 +157,21 @@
             ended = old.map(|member| member.peer);
         }
         if let Some(member) = self.by_name.get_mut(name) {
-            if !member.answers(now, SILENT_MS) {
+            if !member.is_alive(now, SILENT_MS) {
                 // The path is back: a link that was made during the silence may never be.
-                member.redials = 0;
-                member.redial_due = now;
+                member.reconnects = 0;
+                member.reconnect_due = now;
             }
-            member.heard = Some(now);
+            member.last_frame = Some(now);
             member.leaving = heard.leaving;
-            member.theirs = member.theirs.max(heard.sent);
-            if heard.echo > member.echoed {
-                member.echoed = heard.echo;
-                member.unechoed = None;
-                member.redials = 0;
+            member.peer_clock = member.peer_clock.max(heard.sent);
+            if heard.echo > member.last_echo {
+                member.last_echo = heard.echo;
+                member.unechoed_since = None;
+                member.reconnects = 0;
             }
             if let Some(report) = heard.report {
-                member.sent = 0;
+                member.sent_tasks = 0;
                 member.report = report.clone();
             }
         }
@@ -185,7 +189,7 @@
     }
 
     /// Returns the member of a name.
-    pub(crate) fn named(&self, name: &str) -> Option<&Member> {
+    pub(crate) fn by_host(&self, name: &str) -> Option<&Member> {
         self.by_name.get(name)
     }
 
@@ -200,13 +204,13 @@
     }
 
     /// Returns whether a peer was heard within the last `ms` milliseconds.
-    pub(crate) fn answers(&self, now: Time, peer: &Peer, ms: u64) -> bool {
-        *peer == self.me || self.get(peer).is_some_and(|member| member.answers(now, ms))
+    pub(crate) fn is_alive(&self, now: Time, peer: &Peer, ms: u64) -> bool {
+        *peer == self.me || self.get(peer).is_some_and(|member| member.is_alive(now, ms))
     }
 }
 
 /// Sender of a frame, and what the frame says of it.
-pub(crate) struct Heard<'a> {
+pub(crate) struct FrameHeader<'a> {
     /// The incarnation.
     pub(crate) from: &'a Peer,
     /// Whether it is stopping.
@@ -228,54 +232,54 @@
             leaving: entry.leaving,
             cpu_milli: entry.cpu_milli,
             link_kbps: entry.link_kbps,
-            sent: 0,
-            heard: None,
-            echoed: Time::ZERO,
-            unechoed: None,
-            theirs: Time::ZERO,
+            sent_tasks: 0,
+            last_frame: None,
+            last_echo: Time::ZERO,
+            unechoed_since: None,
+            peer_clock: Time::ZERO,
             report: Arc::default(),
-            since: now,
-            redial_due: now.after_ms(REDIAL_MS),
-            redials: 0,
+            known_since: now,
+            reconnect_due: now.after_ms(REDIAL_MS),
+            reconnects: 0,
             standby: false,
         }
     }
 
     /// Returns whether it was heard within the last `ms` milliseconds.
-    pub(crate) fn answers(&self, now: Time, ms: u64) -> bool {
-        self.heard.is_some_and(|at| at.after_ms(ms) > now)
+    pub(crate) fn is_alive(&self, now: Time, ms: u64) -> bool {
+        self.last_frame.is_some_and(|at| at.after_ms(ms) > now)
     }
 
     /// Notes that its link is made anew; the next time waits twice as long, up to a limit.
-    pub(crate) fn redial(&mut self, now: Time) {
-        self.redials += 1;
-        self.redial_due = now.after_ms(REDIAL_MS << self.redials.min(REDIAL_DOUBLINGS));
+    pub(crate) fn note_reconnect(&mut self, now: Time) {
+        self.reconnects += 1;
+        self.reconnect_due = now.after_ms(REDIAL_MS << self.reconnects.min(REDIAL_DOUBLINGS));
     }
 
     /// Returns how many workers it can drive.
     pub(crate) fn capacity(&self) -> u32 {
-        capacity(self.cpu_milli, self.link_kbps)
+        host_capacity(self.cpu_milli, self.link_kbps)
     }
 
     /// Returns whether frames pass both ways: it was heard within the last `ms`
     /// milliseconds, and no frame to it has been without an echo for longer.
-    pub(crate) fn reachable(&self, now: Time, ms: u64) -> bool {
-        self.answers(now, ms) && self.unechoed.is_none_or(|at| at.after_ms(ms) > now)
+    pub(crate) fn is_reachable(&self, now: Time, ms: u64) -> bool {
+        self.is_alive(now, ms) && self.unechoed_since.is_none_or(|at| at.after_ms(ms) > now)
     }
 
     /// Returns whether it owns workers, by its own word of late.
-    pub(crate) fn drives(&self, now: Time) -> bool {
-        self.owns() && self.answers(now, OWNS_MS)
+    pub(crate) fn owned_recently(&self, now: Time) -> bool {
+        self.owns_workers() && self.is_alive(now, OWNS_MS)
     }
 
     /// Returns whether it owns workers, by its own word.
-    pub(crate) fn owns(&self) -> bool {
+    pub(crate) fn owns_workers(&self) -> bool {
         self.report.pools > 0
     }
 }
 
 /// Returns the rank of a host for a pool: the lowest goes first. All hosts
 /// work out the same order without a message.
-pub(crate) fn rank(pool: &str, host: &str) -> u64 {
+pub(crate) fn host_rank(pool: &str, host: &str) -> u64 {
     xxh3_64(format!("{pool}/{host}").as_bytes())
 }
--- a/endivestile_kernel/src/fleet/hosts/mod.rs
+++ b/endivestile_kernel/src/fleet/hosts/mod.rs
@@ -1,4 +1,4 @@
 //! The other hosts: which answer, and the frames to and from them.
 
-pub(crate) mod link;
-pub(crate) mod members;
+pub(crate) mod frames;
+pub(crate) mod membership;
--- a/endivestile_kernel/src/fleet/mod.rs
+++ b/endivestile_kernel/src/fleet/mod.rs
@@ -22,11 +22,11 @@
 
 pub use core::{Fleet, FleetEffect, FleetEvent, FleetSetup, ListRole};
 pub use evacuation::ZoneState;
-pub use hosts::members::HostEntry;
+pub use hosts::membership::HostEntry;
 pub use job::{Job, JobEnd, Reason, Step};
 pub use measure::{Count, Gauge, Span};
-pub use msg::{HandOver, JobMsg, Report, RoomFigure};
-pub use ownership::pools::{HOST_KEYS, POOL_KEYS};
+pub use msg::{DirectTransfer, JobMsg, Report, RoomFigure};
+pub use ownership::pools::{HOST_KEY_PREFIX, POOL_KEY_PREFIX};
 pub use table::{Limits, Route, RouteTable, ServiceRule};
 pub use workers::call::{Call as WorkerCall, due as worker_call_due};
 pub use workers::worker::{
--- a/endivestile_kernel/src/fleet/msg.rs
+++ b/endivestile_kernel/src/fleet/msg.rs
@@ -39,7 +39,7 @@
 /// The owner of a pool hands it on while the store cannot be reached: from now on
 /// the sender orders nothing there, and the receiver may under this token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandOver {
+pub struct DirectTransfer {
     /// The pool.
     pub pool: Name,
     /// Epoch of the record that names the owner by the store.
--- a/endivestile_kernel/src/fleet/ownership/balance.rs
+++ b/endivestile_kernel/src/fleet/ownership/balance.rs
@@ -11,9 +11,9 @@
 use endivestile_config::model::Name;
 
 use crate::fleet::core::Fleet;
-use crate::fleet::hosts::members::Member;
+use crate::fleet::hosts::membership::Member;
 use crate::fleet::lag::overloaded;
-use crate::fleet::ownership::parts::{owners_wanted, zone_of};
+use crate::fleet::ownership::partition::{desired_owners, zone_of};
 use crate::fleet::serve::LOST_MS;
 use crate::{Level, Peer, Time};
 
@@ -61,7 +61,7 @@
 
 /// Returns the owner that is to give a pool away and the host that is to take it.
 fn next_transfer(shares: &[Share], workers: usize) -> Option<(&Share, &Share)> {
-    let wanted = owners_wanted(workers, shares.iter().map(|share| share.capacity));
+    let wanted = desired_owners(workers, shares.iter().map(|share| share.capacity));
     let (owners, others): (Vec<&Share>, Vec<&Share>) =
         shares.iter().partition(|share| share.pools > 0);
     let fullest = *owners.iter().max_by_key(|share| (share.load(0), &share.host))?;
@@ -111,7 +111,7 @@
         let pool = &transfer.pool;
         let known = self.pools.by_name.get(pool);
         let mine = known.is_some_and(|pool| pool.owned_by(&self.setup.me));
-        let ready = self.members.answers(now, &transfer.to, LOST_MS) && self.store_since.is_some();
+        let ready = self.members.is_alive(now, &transfer.to, LOST_MS) && self.store_since.is_some();
         if !mine || self.leaving || !ready || transfer.limit <= now {
             if mine {
                 let pairs = vec![("pool", pool.to_string()), ("to", transfer.to.to_string())];
@@ -122,9 +122,9 @@
             self.transfer = None;
             return;
         }
-        let changing = known.is_some_and(|pool| pool.changing(now));
+        let changing = known.is_some_and(|pool| pool.swap_pending(now));
         if !changing && self.scheduler.idle(pool) {
-            self.change_owner(now, pool, &transfer.to);
+            self.transfer_pool(now, pool, &transfer.to);
         }
     }
 
@@ -136,10 +136,10 @@
         long && !self.leaving
             && names.all(|name| {
                 let Some(pool) = self.pools.by_name.get(name) else { return false };
-                let live = |owner: &Peer| self.members.answers(now, owner, LOST_MS);
+                let live = |owner: &Peer| self.members.is_alive(now, owner, LOST_MS);
                 let owned = pool.record.as_ref().is_some_and(|record| live(&record.owner));
-                let word = pool.owned_by_word();
-                owned && !word && !pool.challenged() && pool.changed.after_ms(SETTLED_MS) <= now
+                let word = pool.owned_by_grant();
+                owned && !word && !pool.challenged() && pool.changed_at.after_ms(SETTLED_MS) <= now
             })
     }
 
@@ -149,7 +149,7 @@
         let owners = self.pools.owners(zone);
         let pools = |peer: &Peer| owners.get(peer).copied().unwrap_or(0);
         let may = |member: &&Member| {
-            member.zone == *zone && !member.leaving && member.answers(now, LOST_MS)
+            member.zone == *zone && !member.leaving && member.is_alive(now, LOST_MS)
         };
         let mut shares: Vec<Share> = self
             .members
--- a/endivestile_kernel/src/fleet/ownership/turns.rs
+++ b/endivestile_kernel/src/fleet/ownership/candidates.rs
@@ -12,9 +12,9 @@
 use endivestile_config::model::Name;
 
 use crate::fleet::core::{Fleet, FleetEffect};
-use crate::fleet::hosts::members::{Member, rank};
+use crate::fleet::hosts::membership::{Member, host_rank};
 use crate::fleet::ownership::claim::Probe;
-use crate::fleet::ownership::parts::{owners_wanted, part_of, zone_of};
+use crate::fleet::ownership::partition::{desired_owners, pool_index, zone_of};
 use crate::fleet::serve::LOST_MS;
 use crate::fleet::workers::call::Call;
 use crate::fleet::workers::worker::{HoldOrder, WorkerEntry};
@@ -51,7 +51,7 @@
     /// jobs that were placed there are then placed anew without waiting for
     /// leases. Pools that nobody ever owned are dealt out to as many hosts as
     /// the zone's workers need.
-    pub(crate) fn turn(&self, now: Time, pool: &Name) -> Option<u64> {
+    pub(crate) fn claim_delay(&self, now: Time, pool: &Name) -> Option<u64> {
         if *self.setup.zone != *zone_of(pool) {
             return None;
         }
@@ -65,8 +65,8 @@
                 let workers =
                     self.workers.iter().filter(|(entry, _)| entry.zone == self.setup.zone);
                 let capacities = order.iter().map(|at| at.capacity);
-                let owners = owners_wanted(workers.count(), capacities);
-                let first = part_of(pool) % owners.min(order.len());
+                let owners = desired_owners(workers.count(), capacities);
+                let first = pool_index(pool) % owners.min(order.len());
                 (mine + order.len() - first) % order.len()
             }
         };
@@ -76,7 +76,7 @@
     /// Returns the hosts of this zone that may own pools, this one among them.
     fn order(&self, now: Time, seed: &str, lost: Option<&Peer>) -> Vec<Candidate> {
         let may = |member: &&Member| {
-            let lives = member.heard.is_none() || member.answers(now, LOST_MS);
+            let lives = member.last_frame.is_none() || member.is_alive(now, LOST_MS);
             member.zone == self.setup.zone && !member.leaving && lives
         };
         let others = self.members.all().filter(may);
@@ -88,7 +88,7 @@
         });
         hosts.sort_by_cached_key(|at| {
             let load = lost.map_or(0, |lost| self.load(&at.host, at.cpu_milli, lost));
-            (load, Reverse((at.capacity, at.cpu_milli)), rank(seed, &at.host))
+            (load, Reverse((at.capacity, at.cpu_milli)), host_rank(seed, &at.host))
         });
         hosts
     }
@@ -96,22 +96,24 @@
     /// Returns how many pools a host would have for each core of its processor
     /// time, in thousandths, if it took all of another's.
     fn load(&self, host: &str, cpu_milli: u32, lost: &Peer) -> u64 {
-        if !self.setup.policy.has(Mechanism::HeirOrder) {
+        if !self.setup.policy.has(Mechanism::CandidateOrder) {
             return 0;
         }
-        let pools = u64::from(self.pools.with_those_of(host, lost));
+        let pools = u64::from(self.pools.pools_after_takeover(host, lost));
         pools * 1_000_000 / u64::from(cpu_milli.max(1))
     }
 
     /// Returns the host that takes a zone's pools from this one when it stops.
     pub(crate) fn successor(&self, now: Time, zone: &str) -> Option<Peer> {
-        self.next_owner(zone, |member| member.heard.is_none_or(|_| member.answers(now, LOST_MS)))
+        self.next_owner(zone, |member| {
+            member.last_frame.is_none_or(|_| member.is_alive(now, LOST_MS))
+        })
     }
 
     /// Returns the host that takes a zone's pools at this one's word: it has to be heard,
     /// since nobody else learns of them.
-    pub(crate) fn heard_successor(&self, now: Time, zone: &str) -> Option<Peer> {
-        self.next_owner(zone, |member| member.answers(now, LOST_MS))
+    pub(crate) fn live_successor(&self, now: Time, zone: &str) -> Option<Peer> {
+        self.next_owner(zone, |member| member.is_alive(now, LOST_MS))
     }
 
     fn next_owner(&self, zone: &str, live: impl Fn(&Member) -> bool) -> Option<Peer> {
@@ -120,7 +122,7 @@
         let order = |member: &&Member| {
             let host = &member.peer.host;
             let load = self.load(host, member.cpu_milli, me);
-            (*member.zone != *zone, load, Reverse(member.cpu_milli), rank(&me.host, host))
+            (*member.zone != *zone, load, Reverse(member.cpu_milli), host_rank(&me.host, host))
         };
         live.min_by_key(order).map(|member| member.peer.clone())
     }
@@ -130,10 +132,10 @@
     /// From outside, a zone whose hosts have died and one that is cut off look
     /// alike. Claiming the workers of the latter serves nobody, and takes them
     /// from the zone's own host once the cut has healed.
-    pub(crate) fn in_reach(&mut self, now: Time, zone: &str) -> bool {
+    pub(crate) fn zone_reachable(&mut self, now: Time, zone: &str) -> bool {
         let here = self.workers.iter().map(|(entry, _)| entry).filter(|e| *e.zone == *zone);
         let workers: Vec<WorkerEntry> = here.cloned().collect();
-        let fresh = |probe: &&Probe| probe.reached.is_some_and(|at| at.after_ms(PROBE_MS) > now);
+        let fresh = |probe: &&Probe| probe.answered.is_some_and(|at| at.after_ms(PROBE_MS) > now);
         let ids = workers.iter().map(|entry| &entry.id);
         if ids.filter_map(|id| self.probes.get(id)).any(|probe| fresh(&probe)) {
             return true;
@@ -145,7 +147,7 @@
         if last.is_some_and(|sent| sent.after_ms(PROBE_MS) > now) {
             return false;
         }
-        self.probes.insert(entry.id.clone(), Probe { sent: now, reached: None });
+        self.probes.insert(entry.id.clone(), Probe { sent: now, answered: None });
         let order = HoldOrder {
             worker: entry.id.clone(),
             address: entry.address.clone(),
--- a/endivestile_kernel/src/fleet/ownership/claim.rs
+++ b/endivestile_kernel/src/fleet/ownership/claim.rs
@@ -6,10 +6,10 @@
 use endivestile_config::model::Name;
 
 use crate::fleet::core::{Fleet, FleetEffect};
-use crate::fleet::hosts::members::HostEntry;
+use crate::fleet::hosts::membership::HostEntry;
 use crate::fleet::measure::Count;
-use crate::fleet::ownership::parts::{pool_of, zone_of};
-use crate::fleet::ownership::pools::{Change, POOL_KEYS, Pool};
+use crate::fleet::ownership::partition::{pool_of, zone_of};
+use crate::fleet::ownership::pools::{POOL_KEY_PREFIX, Pool, RecordSwap};
 use crate::fleet::serve::LOST_MS;
 use crate::fleet::workers::worker::{CallFault, Held, WorkerEntry};
 use crate::{Level, Peer, StoreOp, Stored, Time};
@@ -36,20 +36,20 @@
     /// When it was sent.
     pub(crate) sent: Time,
     /// When it was answered.
-    pub(crate) reached: Option<Time>,
+    pub(crate) answered: Option<Time>,
 }
 
 impl Fleet {
-    pub(crate) fn register(&mut self, now: Time, name: &Name, entry: Option<&HostEntry>) {
-        if let Some(ended) = self.members.register(now, name, entry) {
+    pub(crate) fn apply_registration(&mut self, now: Time, name: &Name, entry: Option<&HostEntry>) {
+        if let Some(ended) = self.members.apply_registration(now, name, entry) {
             self.peer_ended(now, &ended);
             self.settle(now);
         }
     }
 
     /// Takes in a pool's record.
-    pub(crate) fn record(&mut self, now: Time, name: &Name, revision: u64, value: &[u8]) {
-        match self.pools.record(now, name, revision, value) {
+    pub(crate) fn apply_record(&mut self, now: Time, name: &Name, revision: u64, value: &[u8]) {
+        match self.pools.apply_record(now, name, revision, value) {
             Ok(true) => self.owners_changed(now, name),
             Ok(false) => {}
             Err(e) => {
@@ -60,14 +60,14 @@
     }
 
     /// Takes in how a change of a record ended.
-    pub(crate) fn stored(&mut self, now: Time, token: u64, stored: &Stored) {
-        let Some((name, done)) = self.pools.stored(now, token, stored) else { return };
+    pub(crate) fn apply_swap_result(&mut self, now: Time, token: u64, stored: &Stored) {
+        let Some((name, done)) = self.pools.apply_swap_result(now, token, stored) else { return };
         let pairs = vec![("pool", name.to_string()), ("outcome", format!("{stored:?}"))];
         self.note(Level::Info, "owner_change_ended", pairs);
         if done {
             self.owners_changed(now, &name);
         } else if *stored == Stored::Lost {
-            self.hand_over_unwritten(now, &name);
+            self.transfer_after_lost_swap(now, &name);
         }
     }
 
@@ -79,10 +79,10 @@
             vec![("pool", name.to_string()), ("owner", owner), ("token", token.to_string())];
         self.note(Level::Info, "owner_known", pairs);
         self.name_pools();
-        self.take_workers(now);
+        self.update_owned_workers(now);
     }
 
-    pub(crate) fn list_workers(&mut self, now: Time, workers: Vec<WorkerEntry>) {
+    pub(crate) fn apply_worker_list(&mut self, now: Time, workers: Vec<WorkerEntry>) {
         let pooled = workers.into_iter().map(|entry| {
             let pool = pool_of(&entry.zone, &entry.id);
             (entry, pool)
@@ -90,7 +90,7 @@
         self.workers = pooled.collect();
         self.list_came(now);
         self.name_pools();
-        self.take_workers(now);
+        self.update_owned_workers(now);
     }
 
     /// Works out which pools there are: those of listed workers, and those with a record,
@@ -105,7 +105,7 @@
     }
 
     /// Hands the scheduler the workers that this host owns.
-    pub(crate) fn take_workers(&mut self, now: Time) {
+    pub(crate) fn update_owned_workers(&mut self, now: Time) {
         let owned = self.pools.owned(&self.setup.me);
         let tokens: BTreeMap<Name, u64> =
             owned.map(|(name, pool)| (name.clone(), pool.token())).collect();
@@ -125,7 +125,7 @@
     }
 
     /// Takes in the answer to a hold, or to a probe.
-    pub(crate) fn held(
+    pub(crate) fn renewal_ended(
         &mut self,
         now: Time,
         worker: &Name,
@@ -135,7 +135,7 @@
         if number == 0 {
             let lost = matches!(end, Err(CallFault::Unreachable | CallFault::Lost));
             if let Some(probe) = self.probes.get_mut(worker).filter(|_| !lost) {
-                probe.reached = Some(now);
+                probe.answered = Some(now);
             }
             return;
         }
@@ -146,17 +146,17 @@
     /// A worker refused our token: somebody else owns the pool by now, though
     /// the store has not told yet.
     fn check_fenced(&mut self, now: Time) {
-        let fenced: BTreeSet<Name> = self.scheduler.fenced_pools();
-        for name in fenced {
+        let refused: BTreeSet<Name> = self.scheduler.fenced_pools();
+        for name in refused {
             let Some(pool) = self.pools.by_name.get_mut(&name) else { continue };
-            if pool.deposed {
+            if pool.fenced {
                 continue;
             }
-            pool.deposed = true;
-            pool.vacant = None;
+            pool.fenced = true;
+            pool.vacant_since = None;
             self.out.push(FleetEffect::Count(Count::Deposed));
             self.note(Level::Warn, "deposed", vec![("pool", name.to_string())]);
-            self.take_workers(now);
+            self.update_owned_workers(now);
         }
     }
 
@@ -171,12 +171,12 @@
         self.claim_due = now.after_ms(CLAIM_MS);
         for name in self.pool_names.clone().iter() {
             let pool = self.pools.by_name.entry(name.clone()).or_default();
-            if pool.changing(now) {
+            if pool.swap_pending(now) {
                 continue;
             }
-            if pool.owned_by_word() {
+            if pool.owned_by_grant() {
                 if self.store_since.is_some() {
-                    self.write_down(now, name);
+                    self.record_grant(now, name);
                 }
             } else if pool.owned_by(&self.setup.me) {
                 self.confirm(now, name);
@@ -190,8 +190,8 @@
     fn confirm(&mut self, now: Time, name: &Name) {
         let challenged = self.pools.by_name.get(name).is_some_and(Pool::challenged);
         if challenged && self.scheduler.reaches(now, zone_of(name)) {
-            let change = self.pools.ask(now, name, None);
-            self.write(change, "owner_confirmed");
+            let change = self.pools.swap_challenge(now, name, None);
+            self.send_swap(change, "owner_confirmed");
         }
     }
 
@@ -214,17 +214,17 @@
         });
         let asks = self.setup.policy.has(Mechanism::Challenge);
         if !lives || !asks || self.left(pool.record.as_ref().map(|record| &record.owner)) {
-            let change = self.pools.change(now, name, &me);
-            return self.write(change, "owner_claimed");
+            let change = self.pools.swap_owner(now, name, &me);
+            return self.send_swap(change, "owner_claimed");
         }
-        match pool.asked {
+        match pool.own_challenge {
             None => {
-                let change = self.pools.ask(now, name, Some(me));
-                self.write(change, "owner_challenged");
+                let change = self.pools.swap_challenge(now, name, Some(me));
+                self.send_swap(change, "owner_challenged");
             }
             Some((at, took)) if at.after_ms(ANSWER_MS.max(took * STORE_CALLS)) <= now => {
-                let change = self.pools.change(now, name, &me);
-                self.write(change, "owner_claimed");
+                let change = self.pools.swap_owner(now, name, &me);
+                self.send_swap(change, "owner_claimed");
             }
             Some(_) => {}
         }
@@ -236,12 +236,12 @@
         member.is_some_and(|member| member.leaving)
     }
 
-    pub(crate) fn change_owner(&mut self, now: Time, name: &Name, owner: &Peer) {
-        let change = self.pools.change(now, name, owner);
-        self.write(change, "owner_handover");
+    pub(crate) fn transfer_pool(&mut self, now: Time, name: &Name, owner: &Peer) {
+        let change = self.pools.swap_owner(now, name, owner);
+        self.send_swap(change, "owner_handover");
     }
 
-    pub(crate) fn write(&mut self, change: Option<Change>, event: &'static str) {
+    pub(crate) fn send_swap(&mut self, change: Option<RecordSwap>, event: &'static str) {
         let Some(change) = change else { return };
         let pairs = vec![
             ("pool", change.pool.to_string()),
@@ -250,9 +250,9 @@
         ];
         self.note(Level::Info, event, pairs);
         self.out.push(FleetEffect::Count(Count::RecordChanges));
-        let key = Name::from(format!("{POOL_KEYS}{}", change.pool));
+        let key = Name::from(format!("{POOL_KEY_PREFIX}{}", change.pool));
         let op = StoreOp::Swap { key, revision: change.revision, value: change.value };
-        self.out.push(FleetEffect::Store { token: change.token, op });
+        self.out.push(FleetEffect::Store { token: change.call, op });
     }
 
     /// Returns whether this host is to claim a pool now.
@@ -268,26 +268,26 @@
             // A worker refused the token of a record that still names us: only a
             // new epoch brings the workers back.
             Some(record) if record.owner == *me => {
-                let since = *pool.vacant.get_or_insert(now);
-                return pool.deposed && since.after_ms(DEPOSED_MS) <= now;
+                let since = *pool.vacant_since.get_or_insert(now);
+                return pool.fenced && since.after_ms(DEPOSED_MS) <= now;
             }
             Some(record) => {
-                let member = self.members.named(&record.owner.host);
+                let member = self.members.by_host(&record.owner.host);
                 let alive = member.is_some_and(|member| {
-                    let known = member.since.max(pool.changed);
-                    let fresh = member.heard.is_none() && known.after_ms(LOST_MS) > now;
-                    member.peer == record.owner && (fresh || member.answers(now, LOST_MS))
+                    let known = member.known_since.max(pool.changed_at);
+                    let fresh = member.last_frame.is_none() && known.after_ms(LOST_MS) > now;
+                    member.peer == record.owner && (fresh || member.is_alive(now, LOST_MS))
                 });
-                if alive || pool.confirmed > now {
-                    pool.vacant = None;
-                    pool.reached = None;
+                if alive || pool.confirmed_until > now {
+                    pool.vacant_since = None;
+                    pool.reachable_since = None;
                     return false;
                 }
                 0
             }
         };
-        let since = *pool.vacant.get_or_insert(now);
-        let wait = self.turn(now, name);
+        let since = *pool.vacant_since.get_or_insert(now);
+        let wait = self.claim_delay(now, name);
         if since.after_ms(first + wait.unwrap_or(OUTSIDE_MS)) > now {
             return false;
         }
@@ -298,13 +298,13 @@
     /// heals they answer before the zone's own hosts are heard again, and
     /// claiming them then would stop what those hosts have running.
     fn long_in_reach(&mut self, now: Time, name: &Name) -> bool {
-        let reached = self.in_reach(now, zone_of(name));
+        let reached = self.zone_reachable(now, zone_of(name));
         let Some(pool) = self.pools.by_name.get_mut(name) else { return false };
         if !reached {
-            pool.reached = None;
+            pool.reachable_since = None;
             return false;
         }
-        pool.reached.get_or_insert(now).after_ms(OUTSIDE_MS) <= now
+        pool.reachable_since.get_or_insert(now).after_ms(OUTSIDE_MS) <= now
     }
 
     /// Starts a graceful shutdown: the workers go to another host, and what
@@ -322,11 +322,11 @@
         for name in names {
             let zone = zone_of(&name);
             if self.store_since.is_none() {
-                if let Some(next) = self.heard_successor(now, zone) {
-                    self.hand_over(now, &name, &next);
+                if let Some(next) = self.live_successor(now, zone) {
+                    self.transfer_directly(now, &name, &next);
                 }
             } else if let Some(next) = self.successor(now, zone) {
-                self.change_owner(now, &name, &next);
+                self.transfer_pool(now, &name, &next);
             }
         }
     }
@@ -335,9 +335,10 @@
     pub(crate) fn check_drained(&mut self, now: Time) {
         let me = &self.setup.me;
         let owns = self.pools.owned(me).next().is_some();
-        let alone = self.members.all().all(|member| !member.answers(now, LOST_MS));
-        let busy =
-            !self.front.open.is_empty() || !self.scheduler.jobs.is_empty() || self.unheard(now);
+        let alone = self.members.all().all(|member| !member.is_alive(now, LOST_MS));
+        let busy = !self.front.open.is_empty()
+            || !self.scheduler.jobs.is_empty()
+            || self.grants_unacked(now);
         if self.leaving && !self.drained && !busy && (!owns || alone) {
             self.drained = true;
             self.out.push(FleetEffect::Drained);
--- a/endivestile_kernel/src/fleet/ownership/hand_over.rs
+++ b/endivestile_kernel/src/fleet/ownership/direct_transfer.rs
@@ -12,8 +12,8 @@
 use endivestile_config::model::Name;
 
 use crate::fleet::core::Fleet;
-use crate::fleet::msg::HandOver;
-use crate::fleet::ownership::parts::zone_of;
+use crate::fleet::msg::DirectTransfer;
+use crate::fleet::ownership::partition::zone_of;
 use crate::{Level, Msg, Peer, Time};
 
 /// Longest time for which a stopping host waits until its successor has its word, in
@@ -22,36 +22,36 @@
 
 impl Fleet {
     /// Gives a pool to another host that this one cannot name in the record.
-    pub(crate) fn hand_over(&mut self, now: Time, name: &Name, next: &Peer) {
+    pub(crate) fn transfer_directly(&mut self, now: Time, name: &Name, next: &Peer) {
         let Some(pool) = self.pools.by_name.get_mut(name) else { return };
-        let (epoch, token) = pool.give();
+        let (epoch, token) = pool.issue_grant();
         let pairs = vec![
             ("pool", name.to_string()),
             ("to", next.to_string()),
             ("token", token.to_string()),
         ];
         self.note(Level::Info, "owner_gave_word", pairs);
-        let msg = HandOver { pool: name.clone(), epoch, token };
-        self.send(next, Msg::HandOver(msg));
+        let msg = DirectTransfer { pool: name.clone(), epoch, token };
+        self.send(next, Msg::DirectTransfer(msg));
         self.words.insert(next.clone(), now.after_ms(HEARD_MS));
-        self.take_workers(now);
+        self.update_owned_workers(now);
     }
 
     /// Hands a pool on after the change of its record got no answer while this host is
     /// stopping: the store is away.
-    pub(crate) fn hand_over_unwritten(&mut self, now: Time, name: &Name) {
+    pub(crate) fn transfer_after_lost_swap(&mut self, now: Time, name: &Name) {
         let me = &self.setup.me;
         let mine = self.pools.by_name.get(name).filter(|pool| pool.owned_by(me));
         let Some(pool) = mine.filter(|_| self.leaving) else { return };
         // The change may yet take effect: it has to name the same host.
-        if let Some(next) = pool.named_next().cloned().filter(|next| next != me) {
-            self.hand_over(now, name, &next);
+        if let Some(next) = pool.pending_owner().cloned().filter(|next| next != me) {
+            self.transfer_directly(now, name, &next);
         }
     }
 
     /// Returns whether a host that a pool was given to may still not have heard of it.
     /// A process that ended before would take its word along.
-    pub(crate) fn unheard(&self, now: Time) -> bool {
+    pub(crate) fn grants_unacked(&self, now: Time) -> bool {
         let waits = |(peer, until): (&Peer, &Time)| {
             *until > now && self.channels.get(peer).is_some_and(|channel| channel.backlog() > 0)
         };
@@ -59,9 +59,9 @@
     }
 
     /// Takes a pool at its owner's word.
-    pub(crate) fn take_over(&mut self, now: Time, from: &Peer, msg: &HandOver) {
+    pub(crate) fn receive_grant(&mut self, now: Time, from: &Peer, msg: &DirectTransfer) {
         let pool = self.pools.by_name.entry(msg.pool.clone()).or_default();
-        let taken = pool.receive(msg.epoch, msg.token);
+        let taken = pool.accept_grant(msg.epoch, msg.token);
         let pairs = vec![
             ("pool", msg.pool.to_string()),
             ("from", from.to_string()),
@@ -72,18 +72,18 @@
         if !taken {
             return;
         }
-        self.take_workers(now);
+        self.update_owned_workers(now);
         if self.leaving
-            && let Some(next) = self.heard_successor(now, zone_of(&msg.pool))
+            && let Some(next) = self.live_successor(now, zone_of(&msg.pool))
         {
-            self.hand_over(now, &msg.pool, &next);
+            self.transfer_directly(now, &msg.pool, &next);
         }
     }
 
     /// Writes into the record what this host has by word alone, as soon as that can be.
-    pub(crate) fn write_down(&mut self, now: Time, name: &Name) {
+    pub(crate) fn record_grant(&mut self, now: Time, name: &Name) {
         let me = self.setup.me.clone();
-        let change = self.pools.change(now, name, &me);
-        self.write(change, "owner_written");
+        let change = self.pools.swap_owner(now, name, &me);
+        self.send_swap(change, "owner_written");
     }
 }
--- a/endivestile_kernel/src/fleet/ownership/mod.rs
+++ b/endivestile_kernel/src/fleet/ownership/mod.rs
@@ -1,8 +1,8 @@
 //! Which host owns which workers, and how that changes.
 
 pub(crate) mod balance;
+pub(crate) mod candidates;
 pub(crate) mod claim;
-pub(crate) mod hand_over;
-pub(crate) mod parts;
+pub(crate) mod direct_transfer;
+pub(crate) mod partition;
 pub(crate) mod pools;
-pub(crate) mod turns;
--- a/endivestile_kernel/src/fleet/ownership/pools.rs
+++ b/endivestile_kernel/src/fleet/ownership/pools.rs
@@ -13,13 +13,13 @@
 use endivestile_config::model::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::ownership::parts::zone_of;
+use crate::fleet::ownership::partition::zone_of;
 use crate::{Peer, Stored, Time};
 
 /// Prefix of the records' keys.
-pub const POOL_KEYS: &str = "endivestile/pools/";
+pub const POOL_KEY_PREFIX: &str = "endivestile/pools/";
 /// Prefix of the keys of hosts' registrations.
-pub const HOST_KEYS: &str = "endivestile/hosts/";
+pub const HOST_KEY_PREFIX: &str = "endivestile/hosts/";
 /// Bits of the fencing token below the epoch.
 const EPOCH_SHIFT: u32 = 20;
 /// Pause before a change of a record is tried again that got no answer or found
@@ -33,7 +33,7 @@
 
 /// Record of a pool in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct PoolRecord {
+pub(crate) struct OwnershipRecord {
     /// The owner.
     pub(crate) owner: Peer,
     /// Grows with every change of the owner.
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 struct Swap {
     token: u64,
-    record: PoolRecord,
+    record: OwnershipRecord,
     sent: Time,
     due: Time,
 }
@@ -59,22 +59,22 @@
     /// Revision of the record, 0 for none.
     pub(crate) revision: u64,
     /// The record.
-    pub(crate) record: Option<PoolRecord>,
+    pub(crate) record: Option<OwnershipRecord>,
     /// Owners before the present one, and when that was known here.
     former: Vec<(Peer, Time)>,
     /// When the record last changed, as far as is known here.
-    pub(crate) changed: Time,
+    pub(crate) changed_at: Time,
     /// Since when its owner is looked for in vain.
-    pub(crate) vacant: Option<Time>,
+    pub(crate) vacant_since: Option<Time>,
     /// A worker showed a higher token than that of the record.
-    pub(crate) deposed: bool,
+    pub(crate) fenced: bool,
     /// Since when this host, of another zone, reaches the workers.
-    pub(crate) reached: Option<Time>,
+    pub(crate) reachable_since: Option<Time>,
     /// Until when the owner's own word counts that it lives.
-    pub(crate) confirmed: Time,
+    pub(crate) confirmed_until: Time,
     /// When this host asked in the record whether the owner lives, and how long
     /// the store took for that, in milliseconds.
-    pub(crate) asked: Option<(Time, u64)>,
+    pub(crate) own_challenge: Option<(Time, u64)>,
     /// What this host was given by the owner's word alone: the record tells of it later.
     word: Option<Word>,
     swap: Option<Swap>,
@@ -93,8 +93,8 @@
 
 impl Pool {
     /// Takes the record over; returns whether its owner or epoch changed.
-    fn take(&mut self, now: Time, record: Option<PoolRecord>) -> bool {
-        let owner = |record: &Option<PoolRecord>| {
+    fn take(&mut self, now: Time, record: Option<OwnershipRecord>) -> bool {
+        let owner = |record: &Option<OwnershipRecord>| {
             record.as_ref().map(|record| (record.owner.clone(), record.epoch))
         };
         let changed = owner(&record) != owner(&self.record);
@@ -103,16 +103,16 @@
         if changed {
             self.former.retain(|(_, at)| at.after_ms(FORMER_MS) > now);
             self.former.extend(self.record.take().map(|old| (old.owner, now)));
-            self.changed = now;
-            self.vacant = None;
-            self.deposed = false;
+            self.changed_at = now;
+            self.vacant_since = None;
+            self.fenced = false;
         } else if challenged && cleared {
             // Only the owner takes a challenge out.
-            self.confirmed = now.after_ms(CONFIRMED_MS);
-            self.vacant = None;
+            self.confirmed_until = now.after_ms(CONFIRMED_MS);
+            self.vacant_since = None;
         }
         if cleared {
-            self.asked = None;
+            self.own_challenge = None;
         }
         let epoch = record.as_ref().map_or(0, |record| record.epoch);
         self.word = self.word.filter(|word| word.epoch >= epoch);
@@ -129,16 +129,16 @@
     /// Returns whether this host, `me`, owns it.
     pub(crate) fn owned_by(&self, me: &Peer) -> bool {
         let named = self.record.as_ref().is_some_and(|record| record.owner == *me);
-        !self.deposed && self.word.map_or(named, |word| word.mine)
+        !self.fenced && self.word.map_or(named, |word| word.mine)
     }
 
     /// Returns whether this host owns it by the former owner's word alone.
-    pub(crate) fn owned_by_word(&self) -> bool {
-        !self.deposed && self.word.is_some_and(|word| word.mine)
+    pub(crate) fn owned_by_grant(&self) -> bool {
+        !self.fenced && self.word.is_some_and(|word| word.mine)
     }
 
     /// Gives it away; returns the epoch and the token under which it is the other's.
-    pub(crate) fn give(&mut self) -> (u64, u64) {
+    pub(crate) fn issue_grant(&mut self) -> (u64, u64) {
         let epoch = self.record.as_ref().map_or(0, |record| record.epoch);
         let token = self.token() + 1;
         self.word = Some(Word { epoch, token, mine: false });
@@ -147,18 +147,18 @@
 
     /// Takes it at its owner's word, unless a later record or word is known; returns
     /// whether it is this host's now.
-    pub(crate) fn receive(&mut self, epoch: u64, token: u64) -> bool {
+    pub(crate) fn accept_grant(&mut self, epoch: u64, token: u64) -> bool {
         let later = self.record.as_ref().is_some_and(|record| record.epoch > epoch);
         if later || self.word.is_some_and(|word| word.token >= token) {
             return false;
         }
         self.word = Some(Word { epoch, token, mine: true });
-        self.deposed = false;
+        self.fenced = false;
         true
     }
 
     /// Returns the host that a change of the record on its way names as owner.
-    pub(crate) fn named_next(&self) -> Option<&Peer> {
+    pub(crate) fn pending_owner(&self) -> Option<&Peer> {
         self.swap.as_ref().map(|swap| &swap.record.owner)
     }
 
@@ -175,16 +175,16 @@
     }
 
     /// Returns whether a change of the record is on its way.
-    pub(crate) fn changing(&self, now: Time) -> bool {
+    pub(crate) fn swap_pending(&self, now: Time) -> bool {
         self.swap.as_ref().is_some_and(|swap| swap.due > now)
     }
 }
 
 /// A change of a record to be made in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Change {
+pub(crate) struct RecordSwap {
     /// Number of the call.
-    pub(crate) token: u64,
+    pub(crate) call: u64,
     /// The pool.
     pub(crate) pool: Name,
     /// Revision on which it depends.
@@ -203,7 +203,7 @@
 
 impl Pools {
     /// Takes in a record as the store has it; returns whether that is news.
-    pub(crate) fn record(
+    pub(crate) fn apply_record(
         &mut self,
         now: Time,
         name: &Name,
@@ -215,36 +215,41 @@
             return Ok(false);
         }
         pool.revision = revision;
-        let record: Option<PoolRecord> =
+        let record: Option<OwnershipRecord> =
             if value.is_empty() { None } else { Some(serde_json::from_slice(value)?) };
         Ok(pool.take(now, record))
     }
 
     /// Starts a change that makes `owner` the owner of a pool.
-    pub(crate) fn change(&mut self, now: Time, name: &Name, owner: &Peer) -> Option<Change> {
+    pub(crate) fn swap_owner(
+        &mut self,
+        now: Time,
+        name: &Name,
+        owner: &Peer,
+    ) -> Option<RecordSwap> {
         let epoch = self.by_name.get(name)?.record.as_ref().map_or(0, |record| record.epoch) + 1;
-        self.write(now, name, PoolRecord { owner: owner.clone(), epoch, challenge: None })
+        self.write(now, name, OwnershipRecord { owner: owner.clone(), epoch, challenge: None })
     }
 
     /// Starts a change that asks the owner whether it lives, or that answers.
-    pub(crate) fn ask(
+    pub(crate) fn swap_challenge(
         &mut self,
         now: Time,
         name: &Name,
         challenge: Option<Peer>,
-    ) -> Option<Change> {
+    ) -> Option<RecordSwap> {
         let record = self.by_name.get(name)?.record.clone()?;
-        self.write(now, name, PoolRecord { challenge, ..record })
+        self.write(now, name, OwnershipRecord { challenge, ..record })
     }
 
-    fn write(&mut self, now: Time, name: &Name, record: PoolRecord) -> Option<Change> {
+    fn write(&mut self, now: Time, name: &Name, record: OwnershipRecord) -> Option<RecordSwap> {
         let pool = self.by_name.get_mut(name)?;
         self.token += 1;
         let value = serde_json::to_vec(&record).ok()?;
         let due = now.after_ms(SWAP_RETRY_MS);
         pool.swap = Some(Swap { token: self.token, record, sent: now, due });
         let revision = pool.revision;
-        Some(Change { token: self.token, pool: name.clone(), revision, value: value.into() })
+        Some(RecordSwap { call: self.token, pool: name.clone(), revision, value: value.into() })
     }
 
     /// Takes in how a change ended; returns the pool and whether it took effect.
@@ -252,7 +257,7 @@
     /// A change without an answer may have taken effect or may yet do so. The
     /// store's record tells in time: a record that names an incarnation makes it
     /// the owner, however it came to stand there.
-    pub(crate) fn stored(
+    pub(crate) fn apply_swap_result(
         &mut self,
         now: Time,
         token: u64,
@@ -270,7 +275,7 @@
                 let challenge = swap.record.challenge.is_some();
                 let changed = pool.take(now, Some(swap.record));
                 if challenge {
-                    pool.asked = Some((now, now.since(swap.sent).as_millis() as u64));
+                    pool.own_challenge = Some((now, now.since(swap.sent).as_millis() as u64));
                 }
                 Some((name.clone(), changed))
             }
@@ -291,11 +296,11 @@
 
     /// Returns the owners of a zone's workers, each with the number of its pools.
     pub(crate) fn owners(&self, zone: &str) -> BTreeMap<&Peer, u32> {
-        self.owners_in(|it| it == zone)
+        self.owners_in_zones(|it| it == zone)
     }
 
     /// Returns the owners of some zones' workers, each with the number of its pools there.
-    pub(crate) fn owners_in(&self, zone: impl Fn(&str) -> bool) -> BTreeMap<&Peer, u32> {
+    pub(crate) fn owners_in_zones(&self, zone: impl Fn(&str) -> bool) -> BTreeMap<&Peer, u32> {
         let mut owners = BTreeMap::new();
         let here = self.by_name.iter().filter(|(name, _)| zone(zone_of(name)));
         for record in here.filter_map(|(_, pool)| pool.record.as_ref()) {
@@ -321,7 +326,7 @@
     /// What the other has left counts for every candidate alike, also while one of
     /// them is taking it: otherwise the next candidate's turn would come as soon as
     /// the first pool has changed hands, and the pools would be scattered.
-    pub(crate) fn with_those_of(&self, host: &str, other: &Peer) -> u32 {
+    pub(crate) fn pools_after_takeover(&self, host: &str, other: &Peer) -> u32 {
         let owned_by = |pool: &&Pool| {
             let owner = pool.record.as_ref().map(|record| &*record.owner.host);
             pool.held_by(other) || owner == Some(host)
@@ -336,7 +341,7 @@
 
     /// Returns the host that has taken over everything that a peer owned; none
     /// while something of it is still the peer's, or when several share it.
-    pub(crate) fn heir(&self, peer: &Peer) -> Option<&Peer> {
+    pub(crate) fn sole_successor(&self, peer: &Peer) -> Option<&Peer> {
         let held = self.by_name.values().filter(|pool| pool.held_by(peer));
         let mut owners = held.map(|pool| pool.record.as_ref().map(|record| &record.owner));
         let first = owners.next()??;
--- a/endivestile_kernel/src/fleet/serve.rs
+++ b/endivestile_kernel/src/fleet/serve.rs
@@ -48,7 +48,7 @@
     fn place_at(&mut self, now: Time, serial: u64, to: &Peer) {
         let Some((serial, job)) = self.front.send(now, serial, to) else { return };
         if let Some(member) = self.members.get_mut(to) {
-            member.sent += job.tasks() as u32;
+            member.sent_tasks += job.tasks() as u32;
         }
         self.note_sent(&job, to, serial);
         self.out.push(FleetEffect::Count(Count::JobsSent));
@@ -62,7 +62,7 @@
         }
         let member = self.members.get(peer);
         member.is_some_and(|member| {
-            member.reachable(now, LOST_MS) && member.owns() && !member.leaving
+            member.is_reachable(now, LOST_MS) && member.owns_workers() && !member.leaving
         })
     }
 
@@ -83,7 +83,7 @@
     /// Returns the owners of some zones' workers that can be sent jobs, each with the number
     /// of its pools.
     fn reachable_owners(&self, now: Time, zone: impl Fn(&str) -> bool) -> BTreeMap<&Peer, u32> {
-        let mut owners = self.pools.owners_in(&zone);
+        let mut owners = self.pools.owners_in_zones(&zone);
         owners.retain(|owner, _| self.places(now, owner));
         // A host that has its pools by the word of one that stops stands in no record yet.
         let told = self.members.all().filter(|member| zone(&member.zone));
@@ -113,7 +113,7 @@
     /// sent there since it told; the least of all for one that is late with its own work.
     fn spare(&self, peer: &Peer, service: &Name) -> i64 {
         let (report, sent) = match self.members.get(peer) {
-            Some(member) => (&member.report, member.sent),
+            Some(member) => (&member.report, member.sent_tasks),
             None => (&self.report.1, 0),
         };
         if overloaded(report.lag_ms) {
@@ -208,7 +208,7 @@
         for serial in serials {
             let Some(open) = self.front.open.get_mut(&serial) else { continue };
             let member = open.to.as_ref().and_then(|to| self.members.get(to));
-            if let Some(heard) = member.and_then(|member| member.heard) {
+            if let Some(heard) = member.and_then(|member| member.last_frame) {
                 open.contact = open.contact.max(heard);
             }
             let (contact, patience) = (open.contact, open.patience);
@@ -238,7 +238,8 @@
             return;
         }
         let lapsed = last.after_ms(lease + self.setup.worker_lease) <= now;
-        let successor = self.pools.heir(lost).filter(|heir| self.places(now, heir)).cloned();
+        let successor =
+            self.pools.sole_successor(lost).filter(|heir| self.places(now, heir)).cloned();
         let Some(open) = self.front.open.get(&serial) else { return };
         if successor.is_none() && !lapsed {
             return;
--- a/endivestile_kernel/src/kernel/link.rs
+++ b/endivestile_kernel/src/kernel/link.rs
@@ -71,7 +71,7 @@
             Msg::WantConfig(revision) => self.give_config(from, revision),
             Msg::Config { text, .. } => self.out.push(Effect::Offer(text)),
             // Hosts of this kind serve no jobs of that kind.
-            Msg::Job(_) | Msg::HandOver(_) => {}
+            Msg::Job(_) | Msg::DirectTransfer(_) => {}
             Msg::Record { .. }
             | Msg::Recorded { .. }
             | Msg::Fenced { .. }
--- a/endivestile_kernel/src/msg.rs
+++ b/endivestile_kernel/src/msg.rs
@@ -6,7 +6,7 @@
 use endivestile_config::model::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::{HandOver, JobMsg, Report};
+use crate::fleet::{DirectTransfer, JobMsg, Report};
 use crate::{Answer, Figure, Order, Outcome, Peer, Submission, SubmissionId, TaskKey, Time};
 
 /// One id as a shard's home and witness keep it.
@@ -138,7 +138,7 @@
     /// Between hosts that serve jobs.
     Job(JobMsg),
     /// Between owners of workers.
-    HandOver(HandOver),
+    DirectTransfer(DirectTransfer),
 }
 
 impl Msg {
--- a/endivestile_testkit/src/fleet/host.rs
+++ b/endivestile_testkit/src/fleet/host.rs
@@ -4,8 +4,8 @@
 
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{
-    Fleet, FleetEffect, FleetEvent, FleetSetup, HOST_KEYS, HostEntry, POOL_KEYS, WorkerCall,
-    ZoneState, worker_call_due,
+    Fleet, FleetEffect, FleetEvent, FleetSetup, HOST_KEY_PREFIX, HostEntry, POOL_KEY_PREFIX,
+    WorkerCall, ZoneState, worker_call_due,
 };
 use endivestile_kernel::{Peer, Time};
 
@@ -301,9 +301,9 @@
         if self.store.down || !self.net.reaches(host, crate::world::net::STORE) {
             return;
         }
-        let event = if let Some(pool) = key.strip_prefix(POOL_KEYS) {
+        let event = if let Some(pool) = key.strip_prefix(POOL_KEY_PREFIX) {
             FleetEvent::Record { pool: Name::from(pool), revision, value }
-        } else if let Some(name) = key.strip_prefix(HOST_KEYS) {
+        } else if let Some(name) = key.strip_prefix(HOST_KEY_PREFIX) {
             let entry = serde_json::from_slice(&value).ok();
             FleetEvent::Host { name: Name::from(name), entry }
         } else {
--- a/endivestile_testkit/src/fleet/story.rs
+++ b/endivestile_testkit/src/fleet/story.rs
@@ -252,7 +252,7 @@
     fn owners(&mut self) {
         let mut pools: BTreeMap<String, u32> = BTreeMap::new();
         for (key, (_, value)) in &self.world.store.keys {
-            if let Some(pool) = key.strip_prefix(endivestile_kernel::fleet::POOL_KEYS) {
+            if let Some(pool) = key.strip_prefix(endivestile_kernel::fleet::POOL_KEY_PREFIX) {
                 let zone = pool.split('/').next().unwrap_or(pool);
                 let line = format!("{zone} {}", String::from_utf8_lossy(value));
                 *pools.entry(line).or_default() += 1;
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use endivestile_config::Policy;
 use endivestile_config::model::Name;
-use endivestile_kernel::fleet::{FleetEvent, HOST_KEYS, HostEntry, RouteTable, WorkerCall};
+use endivestile_kernel::fleet::{FleetEvent, HOST_KEY_PREFIX, HostEntry, RouteTable, WorkerCall};
 use endivestile_kernel::{Need, StoreOp, Stored};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -269,7 +269,7 @@
             self.at(self.now + 300_000, again);
             return;
         }
-        let key = Name::from(format!("{HOST_KEYS}{host}"));
+        let key = Name::from(format!("{HOST_KEY_PREFIX}{host}"));
         let value = Bytes::from(serde_json::to_vec(entry).expect("an entry is plain data"));
         self.store.put(&key, value);
         self.publish(&key);
