--- a/endivestile/src/fleet/workers.rs
+++ b/endivestile/src/fleet/workers.rs
@@ -1,6 +1,8 @@
 //! Calls to workers.
 
-use endivestile_kernel::fleet::{CallFault, FleetEvent, StartEnd, WorkerCall, worker_call_due};
+use endivestile_kernel::fleet::{
+    CallError, FleetEvent, StartResult, WorkerCall, worker_call_deadline,
+};
 use endivestile_wire::adapter::Adapter;
 use tokio::time::Instant;
 
@@ -24,7 +26,7 @@
 impl Workers {
     /// Makes a call, on a task of its own.
     pub(crate) fn call(&self, call: WorkerCall) {
-        let due = self.clock.instant(worker_call_due(&call, self.clock.now()));
+        let due = self.clock.instant(worker_call_deadline(&call, self.clock.now()));
         let due = due.map_or_else(Instant::now, Instant::from_std);
         let workers = self.clone();
         tokio::spawn(async move {
@@ -40,7 +42,7 @@
                 let answer = self.client.call(&order.address, (adapter.start)(&order), due).await;
                 let end = match answer {
                     Ok((status, body)) => (adapter.started)(status, &body),
-                    Err(fault) => StartEnd::Fault(fault.into()),
+                    Err(fault) => StartResult::Failed(fault.into()),
                 };
                 FleetEvent::Started { worker: order.worker, task: order.task, run: order.run, end }
             }
@@ -52,7 +54,7 @@
                 };
                 FleetEvent::Stopped { worker: order.worker, task: order.task, run: order.run, end }
             }
-            WorkerCall::Hold(number, order) => {
+            WorkerCall::Renew(number, order) => {
                 let answer = self.client.call(&order.address, (adapter.hold)(&order), due).await;
                 let end = match answer {
                     Ok((status, body)) => (adapter.held)(status, &body),
@@ -64,7 +66,7 @@
     }
 }
 
-impl From<Fault> for CallFault {
+impl From<Fault> for CallError {
     fn from(fault: Fault) -> Self {
         match fault {
             Fault::Unreachable => Self::Unreachable,
--- a/endivestile_kernel/src/fleet/admission/mod.rs
+++ b/endivestile_kernel/src/fleet/admission/mod.rs
@@ -1,5 +1,5 @@
 //! Which jobs wait, in which order, and which are refused.
 
 pub(crate) mod order;
-pub(crate) mod overload;
 pub(crate) mod queue;
+pub(crate) mod shedding;
--- a/endivestile_kernel/src/fleet/admission/order.rs
+++ b/endivestile_kernel/src/fleet/admission/order.rs
@@ -15,7 +15,7 @@
 
 /// What a task's place in the queue depends on.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingTask {
     /// The operators' priority of its route, 0 first.
     pub(crate) priority: u32,
     /// When its job came.
@@ -25,19 +25,19 @@
     /// What it is expected to take, in microseconds.
     pub(crate) run_us: u64,
     /// Tasks of its job that have not ended.
-    pub(crate) left: u64,
+    pub(crate) remaining: u64,
     /// Whether a task of its job has been started.
-    pub(crate) begun: bool,
+    pub(crate) started: bool,
 }
 
-impl Waiting {
+impl WaitingTask {
     /// Returns whether its job can no longer be served well, and its rank among such, or
     /// among those that can.
     pub(crate) fn rank(&self, now: Time, policy: Policy) -> (bool, (u32, Time)) {
         let priority = if policy.has(Mechanism::Priority) { self.priority } else { 0 };
         // What has begun is finished: left to the late ones it would wait to its
         // deadline in a burst, and what its other tasks did would be lost.
-        let begun = self.begun && policy.has(Mechanism::BegunFirst);
+        let begun = self.started && policy.has(Mechanism::BegunFirst);
         let late = !begun && now.after_us(self.run_us) > self.objective;
         if policy.has(Mechanism::LeastWork) {
             return (late, (priority, self.behind()));
@@ -49,6 +49,6 @@
 
     /// Returns the instant of its arrival, put off by a part of the work that is left.
     fn behind(&self) -> Time {
-        self.arrived.after_us(self.left * self.run_us * WORK_PERCENT / 100)
+        self.arrived.after_us(self.remaining * self.run_us * WORK_PERCENT / 100)
     }
 }
--- a/endivestile_kernel/src/fleet/admission/overload.rs
+++ b/endivestile_kernel/src/fleet/admission/shedding.rs
@@ -12,7 +12,7 @@
 use endivestile_config::model::Name;
 
 use crate::Time;
-use crate::fleet::admission::queue::Key;
+use crate::fleet::admission::queue::QueueKey;
 use crate::fleet::job::{JobEnd, Reason};
 use crate::fleet::scheduler::Scheduler;
 
@@ -45,7 +45,7 @@
 
 /// Starts of one service's tasks.
 #[derive(Debug, Default)]
-pub(crate) struct Flow {
+pub(crate) struct ServiceRates {
     /// Starts of late tasks, by the priority of their routes: those of a lower
     /// priority wait for as long as higher ones come, however few are before them.
     late: BTreeMap<u32, Rate>,
@@ -53,14 +53,14 @@
 
 /// Rates of starts, by service.
 #[derive(Debug, Default)]
-pub(crate) struct Flows {
-    services: BTreeMap<Name, Flow>,
+pub(crate) struct StartRates {
+    services: BTreeMap<Name, ServiceRates>,
     looked: Time,
 }
 
-impl Flows {
+impl StartRates {
     /// Counts a start.
-    pub(crate) fn started(&mut self, service: &Name, key: &Key) {
+    pub(crate) fn record_start(&mut self, service: &Name, key: &QueueKey) {
         let flow = self.services.entry(service.clone()).or_default();
         if key.late {
             flow.late.entry(key.rank.0).or_default().starts += 1;
@@ -106,7 +106,7 @@
         let mut hopeless: Vec<(u64, f64)> = Vec::new();
         let mut last = None;
         let mut before: BTreeMap<u32, u32> = BTreeMap::new();
-        for (key, task) in queue.late() {
+        for (key, task) in queue.late_tasks() {
             let before = before.entry(key.rank.0).or_default();
             let ahead = std::mem::replace(before, *before + 1);
             if last == Some(task.job) {
@@ -118,7 +118,7 @@
             };
             let wait_s = WAITS * f64::from(ahead) / self.flows.late_rate(service, key.rank.0);
             let step = state.step(task.task as usize);
-            let run_us = self.durations.least_us(&state.job, step.estimate);
+            let run_us = self.durations.min_us(&state.job, step.estimate);
             let end = now.after_us((wait_s * 1e6 + run_us) as u64);
             if end > state.job.deadline {
                 hopeless.push((task.job, wait_s));
--- a/endivestile_kernel/src/fleet/core.rs
+++ b/endivestile_kernel/src/fleet/core.rs
@@ -20,9 +20,9 @@
 use crate::fleet::ownership::pools::Pools;
 use crate::fleet::scheduler::{Out, Scheduler};
 use crate::fleet::table::RouteTable;
-use crate::fleet::workers::call::Call;
+use crate::fleet::workers::call::WorkerCall;
+use crate::fleet::workers::protocol::{CallError, RenewReply, StartResult, WorkerEntry};
 use crate::fleet::workers::run::RunId;
-use crate::fleet::workers::worker::{CallFault, Held, StartEnd, WorkerEntry};
 use crate::{CallId, Frame, Level, Note, Peer, StoreOp, Stored, Time};
 
 /// Time between two looks at everything that is due, in milliseconds, while
@@ -128,7 +128,7 @@
         /// Number of the run.
         run: u32,
         /// How.
-        end: StartEnd,
+        end: StartResult,
     },
     /// An order to stop ended.
     Stopped {
@@ -139,7 +139,7 @@
         /// Number of the run.
         run: u32,
         /// The worker's clock in milliseconds, or the fault.
-        end: Result<u64, CallFault>,
+        end: Result<u64, CallError>,
     },
     /// A hold ended.
     Held {
@@ -148,7 +148,7 @@
         /// Number of the hold.
         number: u64,
         /// What the worker said.
-        end: Result<Held, CallFault>,
+        end: Result<RenewReply, CallError>,
     },
     /// A frame arrived.
     Frame(Box<Frame>),
@@ -178,7 +178,7 @@
     /// Make the link to an address anew: it seems to carry nothing.
     Redial(Name),
     /// Call a worker.
-    Worker(Call),
+    Worker(WorkerCall),
     /// Call the store.
     Store {
         /// Number of the call.
@@ -363,17 +363,17 @@
     pub fn set_leases(&mut self, worker: u64, host: u64) {
         self.setup.worker_lease = worker;
         self.setup.host_lease = host;
-        self.scheduler.set_lease(worker);
+        self.scheduler.set_worker_lease(worker);
     }
 
     /// Returns whether this host owns workers.
     pub fn owns_workers(&self) -> bool {
-        self.scheduler.owns()
+        self.scheduler.owns_workers()
     }
 
     /// Returns what this host needs the list of workers for.
     pub fn list_role(&self) -> ListRole {
-        if self.scheduler.owns() {
+        if self.scheduler.owns_workers() {
             ListRole::Owner
         } else if self.pools.owners(&self.setup.zone).is_empty() {
             ListRole::Claimant
--- a/endivestile_kernel/src/fleet/evacuation.rs
+++ b/endivestile_kernel/src/fleet/evacuation.rs
@@ -125,7 +125,7 @@
             let pairs = vec![("zone", state.zone.to_string())];
             self.note(Level::Warn, "evacuation_zone_unknown", pairs);
         }
-        self.scheduler.evacuate(now, self.evacuations.active().cloned().collect());
+        self.scheduler.set_evacuated(now, self.evacuations.active().cloned().collect());
         // Peers must not send tasks here by a report from before.
         self.report.0 = Time::ZERO;
         self.standby_due = now;
@@ -165,7 +165,7 @@
             self.out.push(FleetEffect::Gauge(Gauge::ZonesEvacuated, gauges.0));
             self.out.push(FleetEffect::Gauge(Gauge::RunsEvacuated, gauges.1));
         }
-        for zone in self.scheduler.take_emptied() {
+        for zone in self.scheduler.take_drained_zones() {
             let pairs = vec![("zone", zone.to_string())];
             self.note(Level::Info, "evacuation_drained", pairs);
         }
--- a/endivestile_kernel/src/fleet/hosts/link.rs
+++ b/endivestile_kernel/src/fleet/hosts/link.rs
@@ -126,7 +126,7 @@
     pub(crate) fn watch_members(&mut self, now: Time) {
         self.choose_standby(now);
         let busy = self.busy_peers();
-        let own = self.scheduler.owns();
+        let own = self.scheduler.owns_workers();
         let mut dumb = Vec::new();
         for member in self.members.all_mut() {
             let touch = if busy.contains(&member.peer) {
@@ -188,7 +188,7 @@
     /// Returns the peers that have jobs of this host, or this host theirs.
     fn busy_peers(&self) -> BTreeSet<Peer> {
         let mut busy: BTreeSet<Peer> = self.scheduler.fronts().into_iter().collect();
-        busy.extend(self.scheduler.targets());
+        busy.extend(self.scheduler.forward_targets());
         busy.extend(self.front.open.values().filter_map(|open| open.to.clone()));
         busy
     }
@@ -219,7 +219,7 @@
             }
         }
         self.ended.retain(|_, at| at.after_ms(sure) > now);
-        for peer in self.scheduler.targets() {
+        for peer in self.scheduler.forward_targets() {
             if !self.members.answers(now, &peer, sure) && !self.ended.contains_key(&peer) {
                 self.scheduler.lose_target(now, &peer);
             }
@@ -265,7 +265,7 @@
         }
         let me = &self.setup.me;
         let pools = self.pools.owned(me).count() as u32;
-        let rooms = self.scheduler.rooms(now).into_iter();
+        let rooms = self.scheduler.load_by_service(now).into_iter();
         let report = Report {
             zone: self.setup.zone.clone(),
             address: self.setup.address.clone(),
--- a/endivestile_kernel/src/fleet/mod.rs
+++ b/endivestile_kernel/src/fleet/mod.rs
@@ -28,8 +28,8 @@
 pub use msg::{HandOver, JobMsg, Report, RoomFigure};
 pub use ownership::pools::{HOST_KEYS, POOL_KEYS};
 pub use table::{Limits, Route, RouteTable, ServiceRule};
-pub use workers::call::{Call as WorkerCall, due as worker_call_due};
-pub use workers::worker::{
-    CallFault, EndRow, Held, HoldOrder, RunEnd, RunRow, StartEnd, StartOrder, StopOrder,
-    WorkerEntry,
+pub use workers::call::{WorkerCall, worker_call_deadline};
+pub use workers::protocol::{
+    CallError, EndRecord, RenewReply, RenewRequest, RunEnd, RunStatus, StartRequest, StartResult,
+    StopRequest, WorkerEntry,
 };
--- a/endivestile_kernel/src/fleet/outcome.rs
+++ b/endivestile_kernel/src/fleet/outcome.rs
@@ -6,8 +6,8 @@
 use crate::fleet::measure::{Count, Span};
 use crate::fleet::scheduler::{Out, Scheduler};
 use crate::fleet::state::TaskState;
-use crate::fleet::workers::run::{EndedRun, Outcome, Phase, RunId, TaskRef};
-use crate::fleet::workers::worker::{CallFault, Held, RunEnd, StartEnd};
+use crate::fleet::workers::protocol::{CallError, RenewReply, RunEnd, StartResult};
+use crate::fleet::workers::run::{EndedRun, Phase, RunId, RunOutcome, TaskRef};
 use crate::{Level, Peer, Time};
 
 /// Runs that another placer may have used up on a task it gave back.
@@ -17,14 +17,15 @@
 
 impl Scheduler {
     /// Takes in how a start ended.
-    pub(crate) fn started(&mut self, now: Time, worker: &Name, id: &RunId, end: StartEnd) {
-        if let StartEnd::Fault(fault) = end {
+    pub(crate) fn started(&mut self, now: Time, worker: &Name, id: &RunId, end: StartResult) {
+        if let StartResult::Failed(fault) = end {
             self.note_order(worker, id, fault.label());
         }
-        if let StartEnd::Started(_) = end {
+        if let StartResult::Started(_) = end {
             self.time_order(now, worker, id);
         }
-        let past = self.drivers.get_mut(worker).and_then(|driver| driver.started(now, id, end));
+        let past =
+            self.drivers.get_mut(worker).and_then(|driver| driver.start_answered(now, id, end));
         self.take_ended(now, worker, past.into_iter().collect());
     }
 
@@ -42,10 +43,10 @@
         now: Time,
         worker: &Name,
         id: &RunId,
-        end: Result<u64, CallFault>,
+        end: Result<u64, CallError>,
     ) {
         if let Some(driver) = self.drivers.get_mut(worker) {
-            driver.stopped(now, id, end);
+            driver.stop_answered(now, id, end);
         }
     }
 
@@ -55,11 +56,11 @@
         now: Time,
         worker: &Name,
         number: u64,
-        end: Result<Held, CallFault>,
+        end: Result<RenewReply, CallError>,
     ) {
         let Some(driver) = self.drivers.get_mut(worker) else { return };
         let usable = driver.usable(now);
-        let past = driver.held(now, number, end);
+        let past = driver.renewal_answered(now, number, end);
         let changed = usable != driver.usable(now);
         if changed || !past.is_empty() {
             self.dirty = true;
@@ -71,7 +72,7 @@
     pub(crate) fn take_ended(&mut self, now: Time, worker: &Name, past: Vec<EndedRun>) {
         for past in past {
             self.dirty = true;
-            let Some(task) = past.run.by else { continue };
+            let Some(task) = past.run.task else { continue };
             if self.runs_as(task, &past.id) {
                 self.run_over(now, worker, task, &past);
             }
@@ -86,17 +87,19 @@
     }
 
     fn run_over(&mut self, now: Time, worker: &Name, task: TaskRef, past: &EndedRun) {
-        match past.over {
-            Outcome::Ended(RunEnd::Done) => self.task_done(now, worker, task, past),
-            Outcome::Ended(RunEnd::Failed) => self.task_failed(now, worker, task),
-            Outcome::Never(StartEnd::Outrun) => {
+        match past.outcome {
+            RunOutcome::Ended(RunEnd::Done) => self.task_done(now, worker, task, past),
+            RunOutcome::Ended(RunEnd::Failed) => self.task_failed(now, worker, task),
+            RunOutcome::NotStarted(StartResult::Superseded) => {
                 if let Some(state) = self.jobs.get_mut(&task.job) {
                     state.tasks[task.task as usize].run += RUN_JUMP;
                 }
                 self.again(now, task);
             }
-            Outcome::Never(StartEnd::Fault(CallFault::Unhealthy | CallFault::Refused)) => {
-                self.health.failed(now, worker);
+            RunOutcome::NotStarted(StartResult::Failed(
+                CallError::Unhealthy | CallError::Refused,
+            )) => {
+                self.health.record_failure(now, worker);
                 self.again(now, task);
             }
             _ => {
@@ -105,10 +108,10 @@
                 }
                 // A worker that leaves orders unanswered and does not carry them out
                 // would be the free one that is given the task again and again.
-                if past.over == Outcome::Vanished && past.run.phase == Phase::Unsure {
-                    self.health.failed(now, worker);
+                if past.outcome == RunOutcome::Vanished && past.run.phase == Phase::Unconfirmed {
+                    self.health.record_failure(now, worker);
                 } else {
-                    self.health.inconclusive(worker);
+                    self.health.record_inconclusive(worker);
                 }
                 self.again(now, task);
             }
@@ -116,7 +119,7 @@
     }
 
     fn task_done(&mut self, now: Time, worker: &Name, task: TaskRef, past: &EndedRun) {
-        self.health.did(worker);
+        self.health.record_success(worker);
         let Some(state) = self.jobs.get_mut(&task.job) else { return };
         let index = task.task as usize;
         let estimate = state.step(index).estimate;
@@ -145,7 +148,7 @@
 
     /// Counts a failure against the task, unless its worker fails everything.
     fn task_failed(&mut self, now: Time, worker: &Name, task: TaskRef) {
-        let blamed = self.health.failed(now, worker);
+        let blamed = self.health.record_failure(now, worker);
         self.out.push(Out::Count(Count::TasksFailed));
         let Some(state) = self.jobs.get_mut(&task.job) else { return };
         state.course.failed += 1;
--- a/endivestile_kernel/src/fleet/ownership/balance.rs
+++ b/endivestile_kernel/src/fleet/ownership/balance.rs
@@ -95,13 +95,13 @@
             return;
         }
         self.balance_due = now.after_ms(LOOK_MS);
-        if !self.scheduler.owns() || !self.steady(now) {
+        if !self.scheduler.owns_workers() || !self.steady(now) {
             return;
         }
         if let Some((pool, to)) = self.planned(now) {
             let pairs = vec![("pool", pool.to_string()), ("to", to.to_string())];
             self.note(Level::Info, "transfer_planned", pairs);
-            self.scheduler.close_pool(Some(&pool));
+            self.scheduler.set_transferring(Some(&pool));
             self.transfer = Some(Transfer { pool, to, limit: now.after_ms(DRAIN_MS) });
         }
     }
@@ -118,12 +118,12 @@
                 self.note(Level::Info, "transfer_given_up", pairs);
                 self.balance_due = now.after_ms(RETRY_MS);
             }
-            self.scheduler.close_pool(None);
+            self.scheduler.set_transferring(None);
             self.transfer = None;
             return;
         }
         let changing = known.is_some_and(|pool| pool.changing(now));
-        if !changing && self.scheduler.idle(pool) {
+        if !changing && self.scheduler.pool_idle(pool) {
             self.change_owner(now, pool, &transfer.to);
         }
     }
@@ -173,7 +173,7 @@
         let (giver, taker) = next_transfer(&shares, workers)?;
         let own = self.pools.owned(me).filter(|(name, _)| zone_of(name) == &**zone);
         let mine: Vec<&Name> = own.map(|(name, _)| name).collect();
-        let least = mine.into_iter().min_by_key(|name| self.scheduler.runs_in(name))?;
+        let least = mine.into_iter().min_by_key(|name| self.scheduler.runs_in_pool(name))?;
         (giver.host == *me).then(|| (least.clone(), taker.host.clone()))
     }
 }
--- a/endivestile_kernel/src/fleet/ownership/claim.rs
+++ b/endivestile_kernel/src/fleet/ownership/claim.rs
@@ -11,7 +11,7 @@
 use crate::fleet::ownership::parts::{pool_of, zone_of};
 use crate::fleet::ownership::pools::{Change, POOL_KEYS, Pool};
 use crate::fleet::serve::LOST_MS;
-use crate::fleet::workers::worker::{CallFault, Held, WorkerEntry};
+use crate::fleet::workers::protocol::{CallError, RenewReply, WorkerEntry};
 use crate::{Level, Peer, StoreOp, Stored, Time};
 
 /// Wait before workers without any owner are claimed, in milliseconds: hosts
@@ -115,9 +115,9 @@
         });
         let mine: Vec<(WorkerEntry, Name, u64)> = mine.collect();
         let pools: BTreeSet<Name> = tokens.into_keys().collect();
-        let owned = self.scheduler.owns();
+        let owned = self.scheduler.owns_workers();
         self.scheduler.set_workers(now, &mine, &pools);
-        if !owned && self.scheduler.owns() {
+        if !owned && self.scheduler.owns_workers() {
             self.await_list(now);
         }
         self.report.0 = Time::ZERO;
@@ -130,10 +130,10 @@
         now: Time,
         worker: &Name,
         number: u64,
-        end: Result<Held, CallFault>,
+        end: Result<RenewReply, CallError>,
     ) {
         if number == 0 {
-            let lost = matches!(end, Err(CallFault::Unreachable | CallFault::Lost));
+            let lost = matches!(end, Err(CallError::Unreachable | CallError::Lost));
             if let Some(probe) = self.probes.get_mut(worker).filter(|_| !lost) {
                 probe.reached = Some(now);
             }
@@ -189,7 +189,7 @@
     /// Answers a host that asks in the record whether this owner lives.
     fn confirm(&mut self, now: Time, name: &Name) {
         let challenged = self.pools.by_name.get(name).is_some_and(Pool::challenged);
-        if challenged && self.scheduler.reaches(now, zone_of(name)) {
+        if challenged && self.scheduler.reaches_zone(now, zone_of(name)) {
             let change = self.pools.ask(now, name, None);
             self.write(change, "owner_confirmed");
         }
@@ -258,7 +258,7 @@
     /// Returns whether this host is to claim a pool now.
     fn wants(&mut self, now: Time, name: &Name) -> bool {
         // Of the hosts of other zones only owners hear all owners all the time.
-        if *self.setup.zone != *zone_of(name) && !self.scheduler.owns() {
+        if *self.setup.zone != *zone_of(name) && !self.scheduler.owns_workers() {
             return false;
         }
         let Some(pool) = self.pools.by_name.get_mut(name) else { return false };
--- a/endivestile_kernel/src/fleet/ownership/turns.rs
+++ b/endivestile_kernel/src/fleet/ownership/turns.rs
@@ -16,8 +16,8 @@
 use crate::fleet::ownership::claim::Probe;
 use crate::fleet::ownership::parts::{owners_wanted, part_of, zone_of};
 use crate::fleet::serve::LOST_MS;
-use crate::fleet::workers::call::Call;
-use crate::fleet::workers::worker::{HoldOrder, WorkerEntry};
+use crate::fleet::workers::call::WorkerCall;
+use crate::fleet::workers::protocol::{RenewRequest, WorkerEntry};
 use crate::{Peer, Time};
 
 /// Wait of each further candidate, in milliseconds: two round trips to a slow store.
@@ -146,15 +146,15 @@
             return false;
         }
         self.probes.insert(entry.id.clone(), Probe { sent: now, reached: None });
-        let order = HoldOrder {
+        let order = RenewRequest {
             worker: entry.id.clone(),
             address: entry.address.clone(),
-            until: None,
+            lease_until: None,
             token: 0,
             observed: 0,
-            wait: 0,
+            wait_ms: 0,
         };
-        self.out.push(FleetEffect::Worker(Call::Hold(0, order)));
+        self.out.push(FleetEffect::Worker(WorkerCall::Renew(0, order)));
         false
     }
 }
--- a/endivestile_kernel/src/fleet/placement/dispatch.rs
+++ b/endivestile_kernel/src/fleet/placement/dispatch.rs
@@ -5,14 +5,14 @@
 use endivestile_config::Mechanism;
 use endivestile_config::model::Name;
 
-use crate::fleet::admission::queue::Key;
+use crate::fleet::admission::queue::QueueKey;
 use crate::fleet::job::{Job, Step};
 use crate::fleet::measure::{Count, Span};
 use crate::fleet::msg::JobMsg;
-use crate::fleet::placement::fit::{Goal, Wanted};
+use crate::fleet::placement::goal::{Goal, TaskTiming};
 use crate::fleet::scheduler::{Out, Scheduler, carries, holds};
 use crate::fleet::state::{JobState, TaskState};
-use crate::fleet::workers::owned::SLOW;
+use crate::fleet::workers::owned::SLOW_SPEED;
 use crate::fleet::workers::run::{RunId, TaskRef};
 use crate::{Peer, Time};
 
@@ -38,8 +38,8 @@
     fn dispatch_service(&mut self, now: Time, service: &Name) {
         let mut misses = 0;
         let mut missed: Option<TaskRef> = None;
-        let mut at: Option<Key> = None;
-        while let Some((key, task)) = self.queues.get(service).and_then(|q| q.after(at)) {
+        let mut at: Option<QueueKey> = None;
+        while let Some((key, task)) = self.queues.get(service).and_then(|q| q.next_after(at)) {
             if self.settled_otherwise(now, service, key, task) {
                 continue;
             }
@@ -69,7 +69,13 @@
 
     /// Moves a task back that has turned late, and gives its job up when it
     /// cannot end in time at all.
-    fn settled_otherwise(&mut self, now: Time, service: &Name, key: Key, task: TaskRef) -> bool {
+    fn settled_otherwise(
+        &mut self,
+        now: Time,
+        service: &Name,
+        key: QueueKey,
+        task: TaskRef,
+    ) -> bool {
         let Some(state) = self.jobs.get(&task.job) else {
             if let Some(queue) = self.queues.get_mut(service) {
                 queue.remove(&key);
@@ -77,7 +83,7 @@
             return true;
         };
         let step = state.step(task.task as usize);
-        let least = self.durations.least_us(&state.job, step.estimate);
+        let least = self.durations.min_us(&state.job, step.estimate);
         if now.after_us(least as u64) > state.job.deadline {
             self.give_up_job(now, task.job);
             return true;
@@ -110,7 +116,7 @@
             if driver.entry.service != state.job.service || !driver.usable(now) {
                 continue;
             }
-            let free = driver.free();
+            let free = driver.free_capacity();
             if !holds(&free, &step.need) || !carries(&driver.entry, step.label.as_ref()) {
                 continue;
             }
@@ -121,7 +127,7 @@
                 continue;
             }
             let believed = self.durations.speed(id);
-            let probe = believed < SLOW && self.health.probes(now, id, goal.late);
+            let probe = believed < SLOW_SPEED && self.health.due_for_probe(now, id, goal.late);
             let speed = if probe { PROBED } else { believed };
             let cost = self.cost(step, &driver.entry.labels) / speed;
             if !goal.allows(now, run_us * cost) {
@@ -144,14 +150,14 @@
     }
 
     fn goal(&self, now: Time, state: &JobState, run_us: f64) -> Goal {
-        let wanted = Wanted {
+        let timing = TaskTiming {
             arrived: state.job.arrived,
             objective: state.objective,
             deadline: state.job.deadline,
             run_us,
-            fast: self.durations.fast(),
+            fast: self.durations.fast_speed(),
         };
-        Goal::of(now, &wanted, self.policy)
+        Goal::new(now, &timing, self.policy)
     }
 
     fn start(&mut self, now: Time, task: TaskRef, worker: &Name) -> bool {
@@ -167,7 +173,7 @@
             && let Some(queue) = self.queues.get_mut(&state.job.service)
         {
             queue.remove(key);
-            self.flows.started(&state.job.service, key);
+            self.flows.record_start(&state.job.service, key);
         }
         let slot = &mut state.tasks[index];
         slot.run += 1;
@@ -175,7 +181,7 @@
         state.starts += 1;
         state.course.last_order = Some(now);
         state.course.speed = self.durations.speed(worker);
-        self.health.given(worker);
+        self.health.record_start(worker);
         self.out.push(Out::Count(Count::Starts));
         self.out.push(Out::Call(call));
         self.begin(now, task.job);
--- a/endivestile_kernel/src/fleet/placement/estimate.rs
+++ b/endivestile_kernel/src/fleet/placement/duration_model.rs
@@ -31,16 +31,16 @@
 
 /// What is told of a task before it runs.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Told {
+pub(crate) struct Hints {
     /// The caller's estimate, in microseconds.
     pub(crate) estimate_us: f64,
     /// How long the caller waits for the job in all, in microseconds.
-    pub(crate) patience_us: f64,
+    pub(crate) budget_us: f64,
 }
 
-impl Told {
+impl Hints {
     fn features(self) -> [f64; SIZE] {
-        [1.0, self.estimate_us / 1e6, self.patience_us.max(1_000.0) / 1e6]
+        [1.0, self.estimate_us / 1e6, self.budget_us.max(1_000.0) / 1e6]
     }
 
     /// Variances before anything is known: the constant and the patience may each
@@ -53,7 +53,7 @@
 
 /// The line of one route.
 #[derive(Debug, Clone)]
-pub(crate) struct Fit {
+pub(crate) struct DurationModel {
     coefficients: [f64; SIZE],
     covariance: [[f64; SIZE]; SIZE],
     /// Variances before anything was known.
@@ -63,10 +63,10 @@
     tasks: u32,
 }
 
-impl Fit {
+impl DurationModel {
     /// Starts with the estimate as it is told.
-    pub(crate) fn new(told: Told) -> Self {
-        let doubt = told.doubt();
+    pub(crate) fn new(hints: Hints) -> Self {
+        let doubt = hints.doubt();
         let mut covariance = [[0.0; SIZE]; SIZE];
         for (at, row) in covariance.iter_mut().enumerate() {
             row[at] = doubt[at];
@@ -75,11 +75,11 @@
     }
 
     /// Returns the expected duration at speed 1, in microseconds.
-    pub(crate) fn expected_us(&self, told: Told) -> f64 {
+    pub(crate) fn expected_us(&self, hints: Hints) -> f64 {
         if self.tasks < ENOUGH {
-            return told.estimate_us;
+            return hints.estimate_us;
         }
-        self.line(&told.features()) * 1e6
+        self.line(&hints.features()) * 1e6
     }
 
     fn line(&self, features: &[f64; SIZE]) -> f64 {
@@ -91,8 +91,8 @@
     }
 
     /// Takes in what a task took at speed 1, in microseconds.
-    pub(crate) fn learn(&mut self, told: Told, took_us: f64) {
-        let features = told.features();
+    pub(crate) fn update(&mut self, hints: Hints, took_us: f64) {
+        let features = hints.features();
         let took = took_us.max(1_000.0) / 1e6;
         let expected = self.line(&features);
         let miss = (took - expected).clamp(-STEP * expected, STEP * expected);
--- a/endivestile_kernel/src/fleet/placement/durations.rs
+++ b/endivestile_kernel/src/fleet/placement/durations.rs
@@ -7,7 +7,7 @@
 
 use crate::Time;
 use crate::fleet::job::Job;
-use crate::fleet::placement::estimate::{Fit, Told};
+use crate::fleet::placement::duration_model::{DurationModel, Hints};
 
 /// Weight of one task's duration in the speed of its worker: some eight tasks
 /// count, so that a worker that has turned slow is known after a second.
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Durations {
     /// What the tasks of each route take.
-    routes: HashMap<Name, Fit>,
+    routes: HashMap<Name, DurationModel>,
     /// Logarithm of the speed.
     speeds: HashMap<Name, Mean>,
     forgiven: Time,
@@ -66,10 +66,10 @@
 
     /// Returns the expected duration of a task at speed 1, in microseconds.
     pub(crate) fn task_us(&self, job: &Job, estimate_ms: u32) -> f64 {
-        let told = told(job, estimate_ms);
+        let hints = hints(job, estimate_ms);
         match self.routes.get(&job.route).filter(|_| self.policy.has(Mechanism::Durations)) {
-            Some(route) => route.expected_us(told),
-            None => told.estimate_us,
+            Some(route) => route.expected_us(hints),
+            None => hints.estimate_us,
         }
     }
 
@@ -77,7 +77,7 @@
     ///
     /// Jobs are given up by this one: an estimate that is far too long would
     /// refuse them all, and nothing would ever correct it.
-    pub(crate) fn least_us(&self, job: &Job, estimate_ms: u32) -> f64 {
+    pub(crate) fn min_us(&self, job: &Job, estimate_ms: u32) -> f64 {
         let declared = f64::from(estimate_ms) * 1_000.0;
         self.task_us(job, estimate_ms).min(declared) / 2.0
     }
@@ -89,7 +89,7 @@
     }
 
     /// Returns the speed that one worker in five reaches.
-    pub(crate) fn fast(&self) -> f64 {
+    pub(crate) fn fast_speed(&self) -> f64 {
         self.fast.max(1.0)
     }
 
@@ -106,13 +106,14 @@
             speed.ln = (expected - took).min(0.0);
         }
         speed.learn(expected - took, SPEED_WEIGHT);
-        let told = told(job, estimate_ms);
-        let route = self.routes.entry(job.route.clone()).or_insert_with(|| Fit::new(told));
-        route.learn(told, took_us * known.exp());
+        let hints = hints(job, estimate_ms);
+        let route =
+            self.routes.entry(job.route.clone()).or_insert_with(|| DurationModel::new(hints));
+        route.update(hints, took_us * known.exp());
     }
 
     /// Takes in that a worker does a task this many times slower than expected.
-    pub(crate) fn slowed(&mut self, worker: &Name, factor: f64) {
+    pub(crate) fn record_slowdown(&mut self, worker: &Name, factor: f64) {
         let speed = self.speeds.entry(worker.clone()).or_default();
         let ln = -factor.max(1.0).ln();
         speed.ln = speed.ln.min(ln.max(-2.0 * STEP));
@@ -161,9 +162,9 @@
     }
 }
 
-fn told(job: &Job, estimate_ms: u32) -> Told {
-    Told {
+fn hints(job: &Job, estimate_ms: u32) -> Hints {
+    Hints {
         estimate_us: f64::from(estimate_ms.max(1)) * 1_000.0,
-        patience_us: job.deadline.since(job.arrived).as_micros() as f64,
+        budget_us: job.deadline.since(job.arrived).as_micros() as f64,
     }
 }
--- a/endivestile_kernel/src/fleet/placement/fit.rs
+++ b/endivestile_kernel/src/fleet/placement/goal.rs
@@ -16,7 +16,7 @@
 
 /// What decides whether a place is worth taking.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Wanted {
+pub(crate) struct TaskTiming {
     /// When the job came.
     pub(crate) arrived: Time,
     /// Until when its caller is served well.
@@ -41,16 +41,16 @@
 
 impl Goal {
     /// Returns the objective while a fast worker could still meet that, else the deadline.
-    pub(crate) fn of(now: Time, wanted: &Wanted, policy: Policy) -> Self {
+    pub(crate) fn new(now: Time, timing: &TaskTiming, policy: Policy) -> Self {
         if !policy.has(Mechanism::Fitting) {
             return Self { by: Time::from_micros(u64::MAX), times: 1.0, late: false };
         }
-        let least_us = wanted.run_us / wanted.fast;
-        if now.after_us(least_us as u64) > wanted.objective {
-            return Self { by: wanted.deadline, times: 1.0, late: true };
+        let least_us = timing.run_us / timing.fast;
+        if now.after_us(least_us as u64) > timing.objective {
+            return Self { by: timing.deadline, times: 1.0, late: true };
         }
-        let reserve = if policy.has(Mechanism::Reserve) { wanted.reserve(now) } else { 0.0 };
-        Self { by: wanted.objective, times: 1.0 + reserve, late: false }
+        let reserve = if policy.has(Mechanism::Reserve) { timing.reserve(now) } else { 0.0 };
+        Self { by: timing.objective, times: 1.0 + reserve, late: false }
     }
 
     /// Returns whether a run that is expected to take so many microseconds is worth its place.
@@ -59,7 +59,7 @@
     }
 }
 
-impl Wanted {
+impl TaskTiming {
     fn reserve(&self, now: Time) -> f64 {
         let left = self.slack_s(now) / self.slack_s(self.arrived).max(1e-3);
         MARGIN * left.min(1.0)
--- a/endivestile_kernel/src/fleet/placement/health.rs
+++ b/endivestile_kernel/src/fleet/placement/health.rs
@@ -50,27 +50,27 @@
     }
 
     /// Returns whether a worker that was out is due for one task that shows how it does.
-    pub(crate) fn probes(&self, now: Time, worker: &str, late: bool) -> bool {
+    pub(crate) fn due_for_probe(&self, now: Time, worker: &str, late: bool) -> bool {
         let out = self.workers.get(worker).is_some_and(|record| record.until.is_some());
         out && self.allows(now, worker, late)
     }
 
     /// Notes a run that stood still or crept: its worker is out at once.
-    pub(crate) fn stalled(&mut self, now: Time, worker: &Name) {
+    pub(crate) fn record_stall(&mut self, now: Time, worker: &Name) {
         let record = self.workers.entry(worker.clone()).or_default();
         record.row = record.row.max(ROW - 1);
-        self.failed(now, worker);
+        self.record_failure(now, worker);
     }
 
     /// Notes that a task was given to a worker: one that was out gets just one.
-    pub(crate) fn given(&mut self, worker: &str) {
+    pub(crate) fn record_start(&mut self, worker: &str) {
         if let Some(record) = self.workers.get_mut(worker) {
             record.probing = record.until.is_some();
         }
     }
 
     /// Notes a failure; returns whether the worker is to blame rather than the task.
-    pub(crate) fn failed(&mut self, now: Time, worker: &Name) -> bool {
+    pub(crate) fn record_failure(&mut self, now: Time, worker: &Name) -> bool {
         let record = self.workers.entry(worker.clone()).or_default();
         record.row += 1;
         record.probing = false;
@@ -85,12 +85,12 @@
     }
 
     /// Notes that a worker did a task.
-    pub(crate) fn did(&mut self, worker: &str) {
+    pub(crate) fn record_success(&mut self, worker: &str) {
         self.workers.remove(worker);
     }
 
     /// Notes that a task given to a worker came to no end there.
-    pub(crate) fn inconclusive(&mut self, worker: &str) {
+    pub(crate) fn record_inconclusive(&mut self, worker: &str) {
         if let Some(record) = self.workers.get_mut(worker) {
             record.probing = false;
         }
--- a/endivestile_kernel/src/fleet/placement/mod.rs
+++ b/endivestile_kernel/src/fleet/placement/mod.rs
@@ -1,10 +1,10 @@
 //! Which worker a task is started on, and what is known of workers and tasks.
 
-pub(crate) mod choice;
 pub(crate) mod dispatch;
+pub(crate) mod duration_model;
 pub(crate) mod durations;
-pub(crate) mod estimate;
-pub(crate) mod fit;
+pub(crate) mod goal;
 pub(crate) mod health;
 pub(crate) mod stalls;
-pub(crate) mod watchdog;
+pub(crate) mod tick;
+pub(crate) mod two_choices;
--- a/endivestile_kernel/src/fleet/placement/stalls.rs
+++ b/endivestile_kernel/src/fleet/placement/stalls.rs
@@ -39,9 +39,9 @@
     /// Believed speed of the worker, 1 for the usual.
     pub(crate) speed: f64,
     /// Expected duration at speed 1, in microseconds.
-    pub(crate) guess_us: f64,
+    pub(crate) expected_us: f64,
     /// What the first task of its job to end took at speed 1, in microseconds.
-    pub(crate) shown_us: Option<f64>,
+    pub(crate) measured_us: Option<f64>,
 }
 
 impl Progress {
@@ -57,13 +57,13 @@
 
     /// Returns how many times slower than expected it is, against what its job shows.
     fn factor(&self, shown: Option<f64>) -> f64 {
-        self.work_us() / shown.unwrap_or(self.guess_us)
+        self.work_us() / shown.unwrap_or(self.expected_us)
     }
 }
 
 /// Returns the runs that are to be begun elsewhere, each with how many times
 /// slower than expected it is.
-pub(crate) fn stalled(runs: &[Progress]) -> Vec<(&Progress, f64)> {
+pub(crate) fn stalled_runs(runs: &[Progress]) -> Vec<(&Progress, f64)> {
     let mut by_job: BTreeMap<u64, Vec<&Progress>> = BTreeMap::new();
     let mut by_worker: BTreeMap<&Name, Vec<&Progress>> = BTreeMap::new();
     for run in runs {
@@ -77,7 +77,7 @@
         }
         let (work, limit) = match shown {
             Some(shown) => (shown, STALLED_JOB),
-            None => (run.guess_us, STALLED),
+            None => (run.expected_us, STALLED),
         };
         let factor = run.factor(shown);
         let left_us = run.whole_us() - run.age_us;
@@ -89,8 +89,8 @@
 /// Returns what the other tasks of a job show that its tasks take, in microseconds at
 /// speed 1: one that has ended, or those that run on other workers.
 fn shown(run: &Progress, job: &[&Progress]) -> Option<f64> {
-    if run.shown_us.is_some() {
-        return run.shown_us;
+    if run.measured_us.is_some() {
+        return run.measured_us;
     }
     let others = job.iter().filter(|o| o.worker != run.worker && o.percent >= TELLING);
     others.map(|other| other.work_us()).min_by(f64::total_cmp)
@@ -99,5 +99,5 @@
 /// Returns whether a run of another job shows that a worker goes on as it should.
 fn goes_on(run: &Progress, there: &[&Progress]) -> bool {
     let mut others = there.iter().filter(|other| other.task.job != run.task.job);
-    others.any(|other| other.percent >= TELLING && other.factor(other.shown_us) < SOUND)
+    others.any(|other| other.percent >= TELLING && other.factor(other.measured_us) < SOUND)
 }
--- a/endivestile_kernel/src/fleet/placement/watchdog.rs
+++ b/endivestile_kernel/src/fleet/placement/tick.rs
@@ -4,10 +4,10 @@
 use endivestile_config::model::Name;
 
 use crate::fleet::measure::Count;
-use crate::fleet::placement::stalls::{Progress, stalled};
+use crate::fleet::placement::stalls::{Progress, stalled_runs};
 use crate::fleet::scheduler::{Out, Scheduler};
 use crate::fleet::state::TaskState;
-use crate::fleet::workers::call::Call;
+use crate::fleet::workers::call::WorkerCall;
 use crate::fleet::workers::run::{EndedRun, Run, RunId};
 use crate::{Level, Time};
 
@@ -33,13 +33,13 @@
         self.pass_deadlines(now);
         self.return_forwarded(now);
         self.judge_runs(now);
-        self.unpark(now);
+        self.resume_parked(now);
         self.shed(now);
         self.dirty |= self.queues.values().any(|queue| queue.len() > 0);
     }
 
     fn tick_drivers(&mut self, now: Time) {
-        let mut calls: Vec<Call> = Vec::new();
+        let mut calls: Vec<WorkerCall> = Vec::new();
         let mut past: Vec<(Name, Vec<EndedRun>)> = Vec::new();
         let mut gone: Vec<Name> = Vec::new();
         for (worker, driver) in &mut self.drivers {
@@ -47,7 +47,7 @@
             if !ended.is_empty() {
                 past.push((worker.clone(), ended));
             }
-            if (!driver.listed || driver.abandoned) && driver.finished(now) {
+            if (!driver.registered || driver.abandoned) && driver.removable(now) {
                 gone.push(worker.clone());
             }
         }
@@ -97,10 +97,10 @@
             return;
         }
         let runs = self.told_runs();
-        for (run, factor) in stalled(&runs) {
+        for (run, factor) in stalled_runs(&runs) {
             let (worker, task) = (run.worker.clone(), run.task);
-            self.durations.slowed(&worker, factor);
-            self.health.stalled(now, &worker);
+            self.durations.record_slowdown(&worker, factor);
+            self.health.record_stall(now, &worker);
             self.out.push(Out::Count(Count::RunsStalled));
             let more = [
                 ("worker", worker.to_string()),
@@ -112,7 +112,7 @@
                 state.course.stalled += 1;
             }
             if let Some(driver) = self.drivers.get_mut(&worker) {
-                driver.halt(now, &run.id);
+                driver.stop_run(now, &run.id);
             }
         }
     }
@@ -132,7 +132,7 @@
         if age_us < (JUDGED_MS * 1_000) as f64 {
             return None;
         }
-        let task = run.by?;
+        let task = run.task?;
         let state = self.jobs.get(&task.job)?;
         let estimate = state.step(task.task as usize).estimate;
         Some(Progress {
@@ -143,8 +143,8 @@
             percent: run.percent,
             // A worker that is known to be slow is still not waited for.
             speed: self.durations.speed(worker).clamp(SLOWEST, 1.0),
-            guess_us: self.durations.task_us(&state.job, estimate),
-            shown_us: state.work,
+            expected_us: self.durations.task_us(&state.job, estimate),
+            measured_us: state.work,
         })
     }
 }
--- a/endivestile_kernel/src/fleet/placement/choice.rs
+++ b/endivestile_kernel/src/fleet/placement/two_choices.rs
@@ -27,7 +27,7 @@
     }
 
     /// Returns the one with more room for each of its pools.
-    pub(crate) fn better(&self, spare: impl Fn(&Peer) -> i64) -> Option<&'a Peer> {
+    pub(crate) fn less_loaded(&self, spare: impl Fn(&Peer) -> i64) -> Option<&'a Peer> {
         let (first, second) = (self.first?, self.second?);
         let room = |(peer, pools): (&Peer, u32)| spare(peer) / i64::from(pools.max(1));
         let better = if room(second) > room(first) { second } else { first };
--- a/endivestile_kernel/src/fleet/scheduler.rs
+++ b/endivestile_kernel/src/fleet/scheduler.rs
@@ -6,9 +6,9 @@
 use endivestile_config::Policy;
 use endivestile_config::model::Name;
 
-use crate::fleet::admission::order::Waiting;
-use crate::fleet::admission::overload::Flows;
+use crate::fleet::admission::order::WaitingTask;
 use crate::fleet::admission::queue::Queue;
+use crate::fleet::admission::shedding::StartRates;
 use crate::fleet::core::FleetSetup;
 use crate::fleet::job::{Job, JobEnd, Reason, Step};
 use crate::fleet::lag::Lag;
@@ -17,10 +17,10 @@
 use crate::fleet::placement::durations::Durations;
 use crate::fleet::placement::health::Health;
 use crate::fleet::state::{JobState, TaskState};
-use crate::fleet::workers::call::Call;
+use crate::fleet::workers::call::WorkerCall;
 use crate::fleet::workers::driver::Driver;
+use crate::fleet::workers::protocol::WorkerEntry;
 use crate::fleet::workers::run::TaskRef;
-use crate::fleet::workers::worker::WorkerEntry;
 use crate::{Level, Need, Note, Peer, Time};
 
 /// Reserve before a caller's deadline within which the answer has to reach the
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(crate) enum Out {
     /// Call a worker.
-    Call(Call),
+    Call(WorkerCall),
     /// Tell a host about a job.
     Tell(Peer, JobMsg),
     /// Write a log line.
@@ -74,7 +74,7 @@
     pub(crate) durations: Durations,
     pub(crate) health: Health,
     pub(crate) usual: HashMap<Name, f64>,
-    pub(crate) flows: Flows,
+    pub(crate) flows: StartRates,
     pub(crate) lag: Lag,
     pub(crate) dirty: bool,
     pub(crate) out: Vec<Out>,
@@ -105,7 +105,7 @@
             durations: Durations::new(policy),
             health: Health::new(policy),
             usual: HashMap::new(),
-            flows: Flows::default(),
+            flows: StartRates::default(),
             lag: Lag::default(),
             dirty: false,
             out: Vec::new(),
@@ -138,7 +138,7 @@
         self.origins.insert(origin, number);
         self.deadlines.insert((job.deadline, number));
         let mut state = JobState::new(now, from.clone(), serial, job, objective);
-        state.parked = state.job.base > 0 && !state.job.forwarded && !self.settled(now);
+        state.parked = state.job.base > 0 && !state.job.forwarded && !self.cleared(now);
         self.jobs.insert(number, state);
         match earlier.filter(|earlier| self.jobs.contains_key(earlier)) {
             Some(earlier) => {
@@ -151,7 +151,7 @@
 
     /// Returns why a job cannot be served.
     fn refusal(&self, now: Time, job: &Job) -> Option<Reason> {
-        if !self.serves() {
+        if !self.has_open_workers() {
             return Some(Reason::NoPlacer);
         }
         if job.deadline <= now.after_ms(ANSWER_MS) {
@@ -159,7 +159,7 @@
         }
         let fits = |step: &Step, driver: &Driver| {
             driver.entry.service == job.service
-                && holds(&driver.entry.room, &step.need)
+                && holds(&driver.entry.capacity, &step.need)
                 && carries(&driver.entry, step.label.as_ref())
         };
         let held = |open: bool| {
@@ -289,7 +289,7 @@
                 }
                 TaskState::Running { worker, id } => {
                     if let Some(driver) = self.drivers.get_mut(worker) {
-                        driver.halt(now, id);
+                        driver.stop_run(now, id);
                     }
                 }
                 TaskState::Forwarded(serial) => cancels.push(*serial),
@@ -350,13 +350,13 @@
     /// Returns whether a task can no longer make its objective, and its rank.
     pub(crate) fn rank(&self, now: Time, state: &JobState, task: usize) -> (bool, (u32, Time)) {
         let step = state.step(task);
-        let waiting = Waiting {
+        let waiting = WaitingTask {
             priority: state.job.priority,
             arrived: state.job.arrived,
             objective: state.objective,
             run_us: self.durations.task_us(&state.job, step.estimate) as u64,
-            left: state.left.iter().map(|left| u64::from(*left)).sum(),
-            begun: state.started.is_some(),
+            remaining: state.left.iter().map(|left| u64::from(*left)).sum(),
+            started: state.started.is_some(),
         };
         waiting.rank(now, self.policy)
     }
--- a/endivestile_kernel/src/fleet/serve.rs
+++ b/endivestile_kernel/src/fleet/serve.rs
@@ -12,7 +12,7 @@
 use crate::fleet::lag::overloaded;
 use crate::fleet::measure::{Count, Span};
 use crate::fleet::msg::JobMsg;
-use crate::fleet::placement::choice::TwoChoices;
+use crate::fleet::placement::two_choices::TwoChoices;
 use crate::fleet::scheduler::RETRY_MS;
 use crate::{CallId, Level, Note, Peer, Time};
 
@@ -58,7 +58,7 @@
     /// Returns whether a peer can be sent jobs: it is in reach, owns workers and goes on.
     fn places(&self, now: Time, peer: &Peer) -> bool {
         if *peer == self.setup.me {
-            return self.scheduler.serves() && !self.leaving;
+            return self.scheduler.has_open_workers() && !self.leaving;
         }
         let member = self.members.get(peer);
         member.is_some_and(|member| {
@@ -106,7 +106,7 @@
         let choice = TwoChoices::draw(owners, serial);
         let two = self.setup.policy.has(Mechanism::TwoChoices);
         let spare = |peer: &Peer| if two { self.spare(peer, service) } else { 0 };
-        choice.better(spare).cloned()
+        choice.less_loaded(spare).cloned()
     }
 
     /// Returns the room that a placer has beyond what waits there and what was
--- a/endivestile_kernel/src/fleet/state.rs
+++ b/endivestile_kernel/src/fleet/state.rs
@@ -4,7 +4,7 @@
 
 use endivestile_config::model::Name;
 
-use crate::fleet::admission::queue::Key;
+use crate::fleet::admission::queue::QueueKey;
 use crate::fleet::course::Course;
 use crate::fleet::job::{Job, JobEnd, Step};
 use crate::fleet::workers::run::RunId;
@@ -16,7 +16,7 @@
     /// Earlier steps have not ended, or the job is being closed.
     Blocked,
     /// In the queue.
-    Waiting(Key),
+    Waiting(QueueKey),
     /// Ordered at a worker.
     Running {
         /// The worker.
--- a/endivestile_kernel/src/fleet/workers/driver.rs
+++ b/endivestile_kernel/src/fleet/workers/driver.rs
@@ -6,16 +6,18 @@
 //! any more. Counting by guesses would overload a worker that starts whatever
 //! it is told to start.
 
-mod look;
+mod renewal;
 
 use std::collections::BTreeMap;
 
 use endivestile_config::model::Name;
 
-use crate::fleet::workers::call::{Call, HOLD_SLACK_MS, ORDER_MS};
-use crate::fleet::workers::run::{EndedRun, Outcome, Phase, Run, RunId, STOP_LIMIT_MS, TaskRef};
-use crate::fleet::workers::worker::{
-    CallFault, HoldOrder, StartEnd, StartOrder, StopOrder, WorkerEntry,
+use crate::fleet::workers::call::{RENEW_MARGIN_MS, REQUEST_TIMEOUT_MS, WorkerCall};
+use crate::fleet::workers::protocol::{
+    CallError, RenewRequest, StartRequest, StartResult, StopRequest, WorkerEntry,
+};
+use crate::fleet::workers::run::{
+    EndedRun, Phase, Run, RunId, RunOutcome, STOP_TIMEOUT_MS, TaskRef,
 };
 use crate::{Need, Time};
 
@@ -26,7 +28,7 @@
 /// as long as its answer is waited for. A worker refuses it from then on, and one that
 /// is not listed by then runs nowhere. With the whole lease in its place a task whose
 /// order was held up waits 650 ms.
-const START_MS: u64 = 2 * ORDER_MS;
+const START_MS: u64 = 2 * REQUEST_TIMEOUT_MS;
 /// Pause between two looks at a worker whose room waits for them, in
 /// milliseconds; a stop takes up to fifty.
 const LOOK_MS: u64 = 10;
@@ -42,7 +44,7 @@
 const IDLE_WAIT_MS: u64 = 450;
 /// Time beyond a hold's wait without an answer from which on nothing new is started there,
 /// in milliseconds.
-const QUIET_MS: u64 = HOLD_SLACK_MS + 60;
+const QUIET_MS: u64 = RENEW_MARGIN_MS + 60;
 
 /// How far the owner's token is in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -74,12 +76,12 @@
     /// The pool that it belongs to.
     pub(crate) pool: Name,
     /// Whether its registration stands.
-    pub(crate) listed: bool,
+    pub(crate) registered: bool,
     /// Whether another host owns it by now: nothing is ordered any more, and
     /// its runs count until their lease has surely run out.
     pub(crate) abandoned: bool,
     /// Whether its pool is about to go to another owner: nothing new is started there.
-    pub(crate) closing: bool,
+    pub(crate) transferring: bool,
     /// Whether its zone is being evacuated: nothing new is started there.
     pub(crate) evacuated: bool,
     /// What takes its room.
@@ -91,7 +93,7 @@
     since: Time,
     stage: Stage,
     clock: Option<(u64, Time)>,
-    born: u64,
+    incarnation: u64,
     observed: u64,
     flight: Option<Flight>,
     number: u64,
@@ -114,12 +116,12 @@
         lease_ms: u64,
     ) -> Self {
         Self {
-            born: entry.born,
+            incarnation: entry.incarnation,
             entry,
             pool,
-            listed: true,
+            registered: true,
             abandoned: false,
-            closing: false,
+            transferring: false,
             evacuated: false,
             runs: BTreeMap::new(),
             lease_ms,
@@ -144,7 +146,7 @@
     }
 
     /// Goes on under a later token of the same owner; its own runs stay.
-    pub(crate) fn renew(&mut self, now: Time, token: u64) {
+    pub(crate) fn set_token(&mut self, now: Time, token: u64) {
         self.token = token;
         self.since = now;
         self.abandoned = false;
@@ -159,25 +161,25 @@
     }
 
     /// Returns whether the worker answers.
-    pub(crate) fn answers(&self, now: Time) -> bool {
+    pub(crate) fn responsive(&self, now: Time) -> bool {
         self.heard_until > now
     }
 
     /// Returns whether new tasks may be started there.
     pub(crate) fn usable(&self, now: Time) -> bool {
-        self.listed
+        self.registered
             && !self.abandoned
-            && !self.closing
+            && !self.transferring
             && !self.evacuated
             && !self.entry.leaving
             && self.stage == Stage::Owned
-            && self.answers(now)
+            && self.responsive(now)
             && !self.must_lapse(now)
     }
 
     /// Returns the room that nothing takes.
-    pub(crate) fn free(&self) -> Need {
-        let mut free = self.entry.room;
+    pub(crate) fn free_capacity(&self) -> Need {
+        let mut free = self.entry.capacity;
         for run in self.runs.values() {
             free.cpu_milli = free.cpu_milli.saturating_sub(run.need.cpu_milli);
             free.memory_mb = free.memory_mb.saturating_sub(run.need.memory_mb);
@@ -204,33 +206,33 @@
         &mut self,
         now: Time,
         id: RunId,
-        by: TaskRef,
+        task: TaskRef,
         need: Need,
         spec: &Name,
-    ) -> Option<Call> {
+    ) -> Option<WorkerCall> {
         let until = self.clock_at(now)? + START_MS;
         self.covered = self.covered.max(now.after_ms(self.longest()));
-        let order = StartOrder {
+        let order = StartRequest {
             worker: self.entry.id.clone(),
             address: self.entry.address.clone(),
             task: id.task.clone(),
             run: id.run,
             spec: spec.clone(),
-            until,
+            lease_until: until,
             token: self.token,
         };
         let run = Run {
-            by: Some(by),
+            task: Some(task),
             need,
             sent: now,
             percent: 0,
             seen: now,
             stopping: false,
             phase: Phase::Sent,
-            until,
-            halted: None,
-            stop_due: Time::NEVER,
-            stop_limit: Time::NEVER,
+            start_by: until,
+            stopped_clock: None,
+            next_stop: Time::NEVER,
+            stop_deadline: Time::NEVER,
         };
         self.runs.insert(id, run);
         self.busy_at = now;
@@ -239,59 +241,64 @@
             self.flight = None;
             self.due = now;
         }
-        Some(Call::Start(order))
+        Some(WorkerCall::Start(order))
     }
 
     /// Takes in how a start ended.
-    pub(crate) fn started(&mut self, now: Time, id: &RunId, end: StartEnd) -> Option<EndedRun> {
+    pub(crate) fn start_answered(
+        &mut self,
+        now: Time,
+        id: &RunId,
+        end: StartResult,
+    ) -> Option<EndedRun> {
         let run = self.runs.get_mut(id)?;
         match end {
-            StartEnd::Started(clock) => {
+            StartResult::Started(clock) => {
                 if run.phase == Phase::Sent {
-                    run.phase = Phase::Runs;
+                    run.phase = Phase::Running;
                     run.seen = now;
                 }
                 self.tell_clock(now, clock);
                 None
             }
-            StartEnd::Fault(CallFault::Lost) => {
-                run.phase = Phase::Unsure;
+            StartResult::Failed(CallError::Lost) => {
+                run.phase = Phase::Unconfirmed;
                 // A worker that is not heard at all must not have its lease renewed.
-                run.stop_limit = now.after_ms(STOP_LIMIT_MS);
+                run.stop_deadline = now.after_ms(STOP_TIMEOUT_MS);
                 // The hold on its way may wait for an end; a new one looks at once.
                 self.flight = None;
                 self.due = now;
                 None
             }
-            StartEnd::Fault(CallFault::Fenced) => {
+            StartResult::Failed(CallError::Fenced) => {
                 self.stage = Stage::Fenced;
-                self.over(id, Outcome::Never(end))
+                self.end_run(id, RunOutcome::NotStarted(end))
             }
-            _ => self.over(id, Outcome::Never(end)),
+            _ => self.end_run(id, RunOutcome::NotStarted(end)),
         }
     }
 
     /// Asks for the end of a run; its room is free once the worker shows it.
-    pub(crate) fn halt(&mut self, now: Time, id: &RunId) {
+    pub(crate) fn stop_run(&mut self, now: Time, id: &RunId) {
         if let Some(run) = self.runs.get_mut(id) {
-            run.halt(now);
+            run.request_stop(now);
         }
     }
 
     /// Takes in how a stop ended.
-    pub(crate) fn stopped(&mut self, now: Time, id: &RunId, end: Result<u64, CallFault>) {
+    pub(crate) fn stop_answered(&mut self, now: Time, id: &RunId, end: Result<u64, CallError>) {
         match end {
             Ok(clock) => {
                 self.tell_clock(now, clock);
                 if let Some(run) = self.runs.get_mut(id) {
-                    run.halted = Some(clock);
-                    run.stop_due = Time::NEVER;
-                    run.stop_limit = Time::NEVER;
+                    run.stopped_clock = Some(clock);
+                    run.next_stop = Time::NEVER;
+                    run.stop_deadline = Time::NEVER;
                 }
                 // The hold on its way may wait for an end that does not come.
                 self.due = self.due.min(now);
             }
-            Err(CallFault::Fenced) => self.stage = Stage::Fenced,
+            Err(CallError::Fenced) => self.stage = Stage::Fenced,
             Err(_) => {}
         }
     }
@@ -302,23 +309,23 @@
         self.clock = Some((clock, now));
     }
 
-    fn over(&mut self, id: &RunId, over: Outcome) -> Option<EndedRun> {
+    fn end_run(&mut self, id: &RunId, outcome: RunOutcome) -> Option<EndedRun> {
         let run = self.runs.remove(id)?;
-        Some(EndedRun { id: id.clone(), run, over })
+        Some(EndedRun { id: id.clone(), run, outcome })
     }
 
-    fn all_over(&mut self, over: Outcome) -> Vec<EndedRun> {
+    fn end_all_runs(&mut self, outcome: RunOutcome) -> Vec<EndedRun> {
         let runs = std::mem::take(&mut self.runs);
-        runs.into_iter().map(|(id, run)| EndedRun { id, run, over }).collect()
+        runs.into_iter().map(|(id, run)| EndedRun { id, run, outcome }).collect()
     }
 
     /// Does what is due: renews the lease, repeats stops, gives up runs that no
     /// lease covers any more.
-    pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<Call>) -> Vec<EndedRun> {
+    pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<WorkerCall>) -> Vec<EndedRun> {
         let lost = self.abandoned || self.stage == Stage::Fenced;
         let lapsed = self.covered <= now && !self.runs.is_empty();
-        let past = if lapsed && (lost || !self.answers(now)) {
-            self.all_over(Outcome::Vanished)
+        let past = if lapsed && (lost || !self.responsive(now)) {
+            self.end_all_runs(RunOutcome::Vanished)
         } else {
             Vec::new()
         };
@@ -327,19 +334,19 @@
         }
         self.repeat_stops(now, out);
         if self.flight.is_none() && self.due <= now {
-            self.hold(now, out);
+            self.renew_lease(now, out);
         }
         past
     }
 
-    fn repeat_stops(&mut self, now: Time, out: &mut Vec<Call>) {
+    fn repeat_stops(&mut self, now: Time, out: &mut Vec<WorkerCall>) {
         let (token, worker, address) = (self.token, &self.entry.id, &self.entry.address);
         for (id, run) in &mut self.runs {
-            if !run.stopping || run.stop_due > now {
+            if !run.stopping || run.next_stop > now {
                 continue;
             }
-            run.stop_due = now.after_ms(ORDER_MS + RETRY_MS);
-            out.push(Call::Stop(StopOrder {
+            run.next_stop = now.after_ms(REQUEST_TIMEOUT_MS + RETRY_MS);
+            out.push(WorkerCall::Stop(StopRequest {
                 worker: worker.clone(),
                 address: address.clone(),
                 task: id.task.clone(),
@@ -349,25 +356,25 @@
         }
     }
 
-    fn hold(&mut self, now: Time, out: &mut Vec<Call>) {
+    fn renew_lease(&mut self, now: Time, out: &mut Vec<WorkerCall>) {
         self.number += 1;
         let wait = self.wait(now);
         self.flight = Some(Flight { number: self.number, sent: now, wait });
-        if self.faults == 0 && self.answers(now) {
+        if self.faults == 0 && self.responsive(now) {
             self.heard_until = self.heard_until.max(now.after_ms(wait + QUIET_MS));
         }
         let clearing = self.stage != Stage::Owned;
         let lapse = clearing || self.must_lapse(now);
         let until = if lapse { None } else { self.lease(now) };
-        out.push(Call::Hold(
+        out.push(WorkerCall::Renew(
             self.number,
-            HoldOrder {
+            RenewRequest {
                 worker: self.entry.id.clone(),
                 address: self.entry.address.clone(),
-                until,
+                lease_until: until,
                 token: self.token,
                 observed: self.observed,
-                wait: wait as u32,
+                wait_ms: wait as u32,
             },
         ));
     }
@@ -387,12 +394,12 @@
 
     /// Returns whether a run there could not be told to stop.
     fn must_lapse(&self, now: Time) -> bool {
-        self.runs.values().any(|run| run.stop_limit <= now)
+        self.runs.values().any(|run| run.stop_deadline <= now)
     }
 
     /// Returns whether nothing that a former owner ordered can run there: it
     /// has been cleared, or every lease from before has run out.
-    pub(crate) fn settled(&self, now: Time) -> bool {
+    pub(crate) fn cleared(&self, now: Time) -> bool {
         self.stage == Stage::Owned || self.since.after_ms(self.longest()) <= now
     }
 
@@ -403,12 +410,12 @@
 
     /// Returns whether room waits for nothing but the worker's word.
     fn in_haste(&self) -> bool {
-        let open = |run: &Run| run.halted.is_some() || run.phase == Phase::Unsure;
+        let open = |run: &Run| run.stopped_clock.is_some() || run.phase == Phase::Unconfirmed;
         self.stage != Stage::Owned || self.runs.values().any(open)
     }
 
     /// Returns whether nothing runs and nothing is expected there any more.
-    pub(crate) fn finished(&self, now: Time) -> bool {
-        self.runs.is_empty() && (self.abandoned || !self.answers(now))
+    pub(crate) fn removable(&self, now: Time) -> bool {
+        self.runs.is_empty() && (self.abandoned || !self.responsive(now))
     }
 }
--- a/endivestile_kernel/src/fleet/workers/driver/look.rs
+++ b/endivestile_kernel/src/fleet/workers/driver/renewal.rs
@@ -2,16 +2,16 @@
 
 use super::{Driver, Flight, HOLD_WAIT_MS, LOOK_MS, QUIET_MS, RETRY_MAX_MS, RETRY_MS, Stage};
 use crate::Time;
-use crate::fleet::workers::run::{EndedRun, Outcome, Phase, Run, RunId, STOP_LIMIT_MS};
-use crate::fleet::workers::worker::{CallFault, EndRow, Held, RunRow};
+use crate::fleet::workers::protocol::{CallError, EndRecord, RenewReply, RunStatus};
+use crate::fleet::workers::run::{EndedRun, Phase, Run, RunId, RunOutcome, STOP_TIMEOUT_MS};
 
 impl Driver {
     /// Takes in the answer to a hold; returns the runs that are over.
-    pub(crate) fn held(
+    pub(crate) fn renewal_answered(
         &mut self,
         now: Time,
         number: u64,
-        end: Result<Held, CallFault>,
+        end: Result<RenewReply, CallError>,
     ) -> Vec<EndedRun> {
         let Some(flight) = self.flight.filter(|flight| flight.number == number) else {
             return Vec::new();
@@ -23,33 +23,33 @@
         }
     }
 
-    fn fault(&mut self, now: Time, fault: CallFault) -> Vec<EndedRun> {
+    fn fault(&mut self, now: Time, fault: CallError) -> Vec<EndedRun> {
         self.faults += 1;
         self.stop_unsure(now);
         let pause = (RETRY_MS << self.faults.min(4)).min(RETRY_MAX_MS) / 2;
         self.due = now.after_ms(pause);
         match fault {
-            CallFault::Fenced => self.stage = Stage::Fenced,
+            CallError::Fenced => self.stage = Stage::Fenced,
             // Somebody else answers at the address: this life has ended.
-            CallFault::OtherLife => {
-                self.listed = false;
-                return self.all_over(Outcome::Vanished);
+            CallError::OtherIncarnation => {
+                self.registered = false;
+                return self.end_all_runs(RunOutcome::Vanished);
             }
             _ => {}
         }
         Vec::new()
     }
 
-    fn look(&mut self, now: Time, flight: Flight, held: Held) -> Vec<EndedRun> {
+    fn look(&mut self, now: Time, flight: Flight, held: RenewReply) -> Vec<EndedRun> {
         self.faults = 0;
         self.heard_until = now.after_ms(HOLD_WAIT_MS + QUIET_MS);
         self.due = now;
         let mut past = Vec::new();
-        if held.born != 0 && self.born != 0 && held.born != self.born {
+        if held.incarnation != 0 && self.incarnation != 0 && held.incarnation != self.incarnation {
             self.reborn(now);
         }
-        if held.born != 0 {
-            self.born = held.born;
+        if held.incarnation != 0 {
+            self.incarnation = held.incarnation;
         }
         self.tell_clock(now, held.clock);
         for row in &held.ended {
@@ -75,45 +75,45 @@
         self.stage = Stage::Asking;
         for run in self.runs.values_mut().filter(|run| run.stopping) {
             // The new life knows nothing of a stop that the former one answered.
-            run.halted = None;
-            run.stop_due = now;
+            run.stopped_clock = None;
+            run.next_stop = now;
         }
     }
 
-    fn ended(&mut self, row: &EndRow) -> Option<EndedRun> {
+    fn ended(&mut self, row: &EndRecord) -> Option<EndedRun> {
         if row.number <= self.observed {
             return None;
         }
         self.observed = row.number;
         let id = RunId { task: row.task.clone(), run: row.run };
-        self.over(&id, Outcome::Ended(row.end))
+        self.end_run(&id, RunOutcome::Ended(row.end))
     }
 
-    fn running(&mut self, now: Time, row: &RunRow) {
+    fn running(&mut self, now: Time, row: &RunStatus) {
         let id = RunId { task: row.task.clone(), run: row.run };
         if let Some(run) = self.runs.get_mut(&id) {
             run.percent = row.percent;
             run.seen = now;
             // The answer to the order was lost, not the order.
-            if run.phase == Phase::Unsure && !run.stopping {
-                run.stop_limit = Time::NEVER;
+            if run.phase == Phase::Unconfirmed && !run.stopping {
+                run.stop_deadline = Time::NEVER;
             }
-            run.phase = Phase::Runs;
+            run.phase = Phase::Running;
             return;
         }
         // A former owner's run: nothing is known of what it takes.
         let run = Run {
-            by: None,
-            need: self.entry.room,
+            task: None,
+            need: self.entry.capacity,
             sent: now,
             percent: row.percent,
             seen: now,
             stopping: true,
-            phase: Phase::Runs,
-            until: 0,
-            halted: None,
-            stop_due: now,
-            stop_limit: now.after_ms(STOP_LIMIT_MS),
+            phase: Phase::Running,
+            start_by: 0,
+            stopped_clock: None,
+            next_stop: now,
+            stop_deadline: now.after_ms(STOP_TIMEOUT_MS),
         };
         self.runs.insert(id, run);
     }
@@ -121,34 +121,34 @@
     /// Drops runs that the worker shows to be over by not listing them: those
     /// stopped before it looked, those whose start came too late, and those
     /// that it had before the hold was even sent.
-    fn absent(&mut self, flight: Flight, held: &Held) -> Vec<EndedRun> {
+    fn absent(&mut self, flight: Flight, held: &RenewReply) -> Vec<EndedRun> {
         let lists =
             |id: &RunId| held.running.iter().any(|row| row.run == id.run && row.task == id.task);
         let gone = |id: &RunId, run: &Run| match run.phase {
             _ if lists(id) => false,
-            _ if run.halted.is_some_and(|clock| held.clock > clock) => true,
-            Phase::Unsure => held.clock > run.until,
-            Phase::Runs => run.seen < flight.sent && run.sent < flight.sent,
+            _ if run.stopped_clock.is_some_and(|clock| held.clock > clock) => true,
+            Phase::Unconfirmed => held.clock > run.start_by,
+            Phase::Running => run.seen < flight.sent && run.sent < flight.sent,
             Phase::Sent => false,
         };
         let ids: Vec<RunId> =
             self.runs.iter().filter(|(id, run)| gone(id, run)).map(|(id, _)| id.clone()).collect();
-        ids.iter().filter_map(|id| self.over(id, Outcome::Vanished)).collect()
+        ids.iter().filter_map(|id| self.end_run(id, RunOutcome::Vanished)).collect()
     }
 
     /// Stops runs whose orders got no answer and that the worker does not list: they
     /// may yet start. Those that it lists go on; on links that lose packets these are
     /// most, and to stop them would make a third of the jobs late.
     fn stop_unsure(&mut self, now: Time) {
-        let unsure = self.runs.values_mut().filter(|run| run.phase == Phase::Unsure);
-        unsure.for_each(|run| run.halt(now));
+        let unsure = self.runs.values_mut().filter(|run| run.phase == Phase::Unconfirmed);
+        unsure.for_each(|run| run.request_stop(now));
     }
 
     fn settle_stage(&mut self) {
         if self.stage != Stage::Asking && self.stage != Stage::Clearing {
             return;
         }
-        let foreign = self.runs.values().any(|run| run.until == 0);
+        let foreign = self.runs.values().any(|run| run.start_by == 0);
         self.stage = if foreign { Stage::Clearing } else { Stage::Owned };
     }
 }
--- a/endivestile_kernel/src/fleet/workers/evacuated.rs
+++ b/endivestile_kernel/src/fleet/workers/evacuation.rs
@@ -11,7 +11,7 @@
 
 impl Scheduler {
     /// Starts nothing more in these zones, and again in all others.
-    pub(crate) fn evacuate(&mut self, now: Time, zones: BTreeSet<Name>) {
+    pub(crate) fn set_evacuated(&mut self, now: Time, zones: BTreeSet<Name>) {
         for driver in self.drivers.values_mut() {
             driver.evacuated = zones.contains(&driver.entry.zone);
         }
@@ -25,7 +25,7 @@
     }
 
     /// Returns whether this host owns workers on which tasks may be started.
-    pub(crate) fn serves(&self) -> bool {
+    pub(crate) fn has_open_workers(&self) -> bool {
         self.drivers.values().any(|driver| !driver.abandoned && !driver.evacuated)
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Returns the evacuated zones in which the last run has ended since the last call.
-    pub(crate) fn take_emptied(&mut self) -> Vec<Name> {
+    pub(crate) fn take_drained_zones(&mut self) -> Vec<Name> {
         let emptied = self.emptying.iter().filter(|zone| self.runs_in_zone(zone) == 0);
         let emptied: Vec<Name> = emptied.cloned().collect();
         for zone in &emptied {
@@ -48,7 +48,7 @@
     /// Gives jobs of which nothing has run back to their hosts, to be placed elsewhere, once
     /// no worker of this host may start them.
     pub(crate) fn return_unservable(&mut self, now: Time) {
-        if !self.owns() || self.serves() {
+        if !self.owns_workers() || self.has_open_workers() {
             return;
         }
         let waits = |state: &JobState| !state.touched() && state.ending.is_none();
--- a/endivestile_kernel/src/fleet/workers/mod.rs
+++ b/endivestile_kernel/src/fleet/workers/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod call;
 pub(crate) mod driver;
-pub(crate) mod evacuated;
+pub(crate) mod evacuation;
 pub(crate) mod owned;
+pub(crate) mod protocol;
 pub(crate) mod run;
-pub(crate) mod worker;
--- a/endivestile_kernel/src/fleet/workers/owned.rs
+++ b/endivestile_kernel/src/fleet/workers/owned.rs
@@ -7,12 +7,12 @@
 use crate::fleet::scheduler::Scheduler;
 use crate::fleet::state::JobState;
 use crate::fleet::workers::driver::Driver;
-use crate::fleet::workers::worker::WorkerEntry;
+use crate::fleet::workers::protocol::WorkerEntry;
 use crate::{Peer, Time};
 
 /// Speed below which a worker's places count for late jobs only, 1 for the usual:
 /// hardly any job meets an objective of one and a half times its work there.
-pub(crate) const SLOW: f64 = 0.4;
+pub(crate) const SLOW_SPEED: f64 = 0.4;
 
 impl Scheduler {
     /// Takes over the listed workers of the pools that this host owns, each
@@ -26,7 +26,7 @@
     ) {
         let known: BTreeSet<&Name> = workers.iter().map(|(entry, ..)| &entry.id).collect();
         for driver in self.drivers.values_mut() {
-            driver.listed = known.contains(&driver.entry.id);
+            driver.registered = known.contains(&driver.entry.id);
             driver.abandoned = !pools.contains(&driver.pool);
         }
         for (entry, pool, token) in workers {
@@ -40,7 +40,7 @@
     }
 
     /// Returns whether this host owns workers.
-    pub(crate) fn owns(&self) -> bool {
+    pub(crate) fn owns_workers(&self) -> bool {
         self.drivers.values().any(|driver| !driver.abandoned)
     }
 
@@ -48,16 +48,16 @@
     ///
     /// A job that is sent again because its placer was lost must wait for that:
     /// its tasks may still run on a worker that has not been cleared yet.
-    pub(crate) fn settled(&self, now: Time) -> bool {
+    pub(crate) fn cleared(&self, now: Time) -> bool {
         let own = self.drivers.values().filter(|driver| !driver.abandoned);
-        own.into_iter().all(|driver| driver.settled(now))
+        own.into_iter().all(|driver| driver.cleared(now))
     }
 
     /// Lets jobs go on that waited for workers to be cleared.
-    pub(crate) fn unpark(&mut self, now: Time) {
+    pub(crate) fn resume_parked(&mut self, now: Time) {
         let parked = |(number, state): (&u64, &JobState)| state.parked.then_some(*number);
         let numbers: Vec<u64> = self.jobs.iter().filter_map(parked).collect();
-        if numbers.is_empty() || !self.settled(now) {
+        if numbers.is_empty() || !self.cleared(now) {
             return;
         }
         for number in numbers {
@@ -69,7 +69,7 @@
     }
 
     /// Puts another lease of workers in force, in milliseconds.
-    pub(crate) fn set_lease(&mut self, lease_ms: u64) {
+    pub(crate) fn set_worker_lease(&mut self, lease_ms: u64) {
         self.lease_ms = lease_ms;
         for driver in self.drivers.values_mut() {
             driver.lease_ms = lease_ms;
@@ -77,9 +77,9 @@
     }
 
     /// Returns whether any worker of a zone answers this host as its owner.
-    pub(crate) fn reaches(&self, now: Time, zone: &str) -> bool {
+    pub(crate) fn reaches_zone(&self, now: Time, zone: &str) -> bool {
         let mut own = self.drivers.values().filter(|driver| &*driver.entry.zone == zone);
-        own.any(|driver| !driver.abandoned && driver.answers(now))
+        own.any(|driver| !driver.abandoned && driver.responsive(now))
     }
 
     /// Returns the pools of which a worker refused our token.
@@ -96,7 +96,7 @@
     }
 
     /// Returns the hosts to which tasks are forwarded.
-    pub(crate) fn targets(&self) -> Vec<Peer> {
+    pub(crate) fn forward_targets(&self) -> Vec<Peer> {
         let peers: BTreeSet<&Peer> = self.forwards.values().map(|(peer, _)| peer).collect();
         peers.into_iter().cloned().collect()
     }
@@ -106,50 +106,50 @@
             driver.entry = entry.clone();
             driver.evacuated = self.evacuated.contains(&entry.zone);
             if driver.token() != token {
-                driver.renew(now, token);
+                driver.set_token(now, token);
             }
             return;
         }
         let mut driver = Driver::new(now, entry.clone(), pool.clone(), token, self.lease_ms);
-        driver.closing = self.closing.as_ref() == Some(pool);
+        driver.transferring = self.closing.as_ref() == Some(pool);
         driver.evacuated = self.evacuated.contains(&entry.zone);
         self.drivers.insert(entry.id.clone(), driver);
     }
 
     /// Starts nothing more on the workers of a pool, and opens any other again.
-    pub(crate) fn close_pool(&mut self, pool: Option<&Name>) {
+    pub(crate) fn set_transferring(&mut self, pool: Option<&Name>) {
         self.closing = pool.cloned();
         for driver in self.drivers.values_mut() {
-            driver.closing = pool == Some(&driver.pool);
+            driver.transferring = pool == Some(&driver.pool);
         }
         self.dirty = true;
     }
 
     /// Returns how many runs the workers of a pool have.
-    pub(crate) fn runs_in(&self, pool: &str) -> usize {
+    pub(crate) fn runs_in_pool(&self, pool: &str) -> usize {
         let there = self.drivers.values().filter(|driver| &*driver.pool == pool);
         there.map(|driver| driver.runs.len()).sum()
     }
 
     /// Returns whether nothing runs on the workers of a pool.
-    pub(crate) fn idle(&self, pool: &str) -> bool {
-        self.runs_in(pool) == 0
+    pub(crate) fn pool_idle(&self, pool: &str) -> bool {
+        self.runs_in_pool(pool) == 0
     }
 
     /// Returns whether jobs in time may be given to a worker: it is not out, and not slow.
-    pub(crate) fn sound(&self, now: Time, worker: &str) -> bool {
-        self.health.allows(now, worker, false) && self.durations.speed(worker) >= SLOW
+    pub(crate) fn healthy(&self, now: Time, worker: &str) -> bool {
+        self.health.allows(now, worker, false) && self.durations.speed(worker) >= SLOW_SPEED
     }
 
     /// Returns the room for usual tasks by service, and what waits.
-    pub(crate) fn rooms(&self, now: Time) -> BTreeMap<Name, (u32, u32)> {
+    pub(crate) fn load_by_service(&self, now: Time) -> BTreeMap<Name, (u32, u32)> {
         let mut rooms: BTreeMap<Name, (u32, u32)> = BTreeMap::new();
         for driver in self.drivers.values().filter(|driver| driver.usable(now)) {
             let service = &driver.entry.service;
             let usual = self.usual.get(service).copied().unwrap_or(1_000.0).max(1.0);
-            let places = (f64::from(driver.free().cpu_milli) / usual) as u32;
+            let places = (f64::from(driver.free_capacity().cpu_milli) / usual) as u32;
             let room = rooms.entry(service.clone()).or_default();
-            if self.sound(now, &driver.entry.id) {
+            if self.healthy(now, &driver.entry.id) {
                 room.0 += places;
             }
         }
--- a/endivestile_kernel/src/fleet/workers/worker.rs
+++ b/endivestile_kernel/src/fleet/workers/protocol.rs
@@ -7,7 +7,7 @@
 /// A worker as it registered itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// Id of this life of the worker, unless `born` tells another.
+    /// Id of this life of the worker, unless `incarnation` tells another.
     pub id: Name,
     /// Service that it belongs to.
     pub service: Name,
@@ -18,16 +18,16 @@
     /// Labels: its kind and its rack.
     pub labels: Vec<Name>,
     /// What it can run at once.
-    pub room: Need,
+    pub capacity: Need,
     /// Whether it is about to leave.
     pub leaving: bool,
     /// Start of this life, in milliseconds since 1970; 0 when it does not tell.
-    pub born: u64,
+    pub incarnation: u64,
 }
 
 /// Tells a worker to start a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StartOrder {
+pub struct StartRequest {
     /// Worker.
     pub worker: Name,
     /// Its address.
@@ -39,14 +39,14 @@
     /// The work.
     pub spec: Name,
     /// Instant on the worker's clock until which its runs may go on, in milliseconds.
-    pub until: u64,
+    pub lease_until: u64,
     /// Fencing token.
     pub token: u64,
 }
 
 /// Tells a worker to stop a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StopOrder {
+pub struct StopRequest {
     /// Worker.
     pub worker: Name,
     /// Its address.
@@ -61,30 +61,30 @@
 
 /// Prolongs the lease of all runs of a worker and asks what runs and what ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HoldOrder {
+pub struct RenewRequest {
     /// Worker.
     pub worker: Name,
     /// Its address.
     pub address: Name,
     /// Instant on the worker's clock until which its runs may go on; none asks only.
-    pub until: Option<u64>,
+    pub lease_until: Option<u64>,
     /// Fencing token.
     pub token: u64,
     /// Ends up to this number have been taken note of.
     pub observed: u64,
     /// How long the worker may wait for an end before it answers, in milliseconds.
-    pub wait: u32,
+    pub wait_ms: u32,
 }
 
 /// How a call to a worker ended other than by its proper answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallFault {
+pub enum CallError {
     /// No connection was made: nothing was sent.
     Unreachable,
     /// Something was sent and no whole answer came: the order may be carried out, also later.
     Lost,
     /// Another incarnation answers at the address.
-    OtherLife,
+    OtherIncarnation,
     /// A higher fencing token is in force.
     Fenced,
     /// The worker is unhealthy and did nothing.
@@ -93,13 +93,13 @@
     Refused,
 }
 
-impl CallFault {
+impl CallError {
     /// Returns the word for logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
             Self::Lost => "lost",
-            Self::OtherLife => "other_life",
+            Self::OtherIncarnation => "other_life",
             Self::Fenced => "fenced",
             Self::Unhealthy => "unhealthy",
             Self::Refused => "refused",
@@ -109,17 +109,17 @@
 
 /// How a start ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StartEnd {
+pub enum StartResult {
     /// It runs; the worker's clock in milliseconds.
     Started(u64),
     /// A run at least as high has ended or was stopped there.
-    Outrun,
+    Superseded,
     /// The lease in the order had passed when it arrived.
-    Late,
+    Expired,
     /// The worker has no room.
     Full,
     /// It did not come to that.
-    Fault(CallFault),
+    Failed(CallError),
 }
 
 /// How a run ended at its worker.
@@ -132,14 +132,14 @@
     /// It was told to stop.
     Stopped,
     /// Its lease ran out.
-    Lapsed,
+    Expired,
     /// Another member of its gang ended, or the gang never came together.
     Broken,
 }
 
 /// A run that goes on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunRow {
+pub struct RunStatus {
     /// Name of the task.
     pub task: Name,
     /// Number of the run.
@@ -150,7 +150,7 @@
 
 /// A run that ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndRow {
+pub struct EndRecord {
     /// Number of the end at this life of the worker, from 1.
     pub number: u64,
     /// Name of the task.
@@ -163,13 +163,13 @@
 
 /// What a worker answers to a hold.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Held {
+pub struct RenewReply {
     /// The worker's clock, in milliseconds.
     pub clock: u64,
     /// Start of the worker's life, in milliseconds since 1970; 0 when it does not tell.
-    pub born: u64,
+    pub incarnation: u64,
     /// What runs.
-    pub running: Vec<RunRow>,
+    pub running: Vec<RunStatus>,
     /// What ended since the last end taken note of.
-    pub ended: Vec<EndRow>,
+    pub ended: Vec<EndRecord>,
 }
--- a/endivestile_kernel/src/fleet/workers/run.rs
+++ b/endivestile_kernel/src/fleet/workers/run.rs
@@ -2,13 +2,13 @@
 
 use endivestile_config::model::Name;
 
-use crate::fleet::workers::worker::{RunEnd, StartEnd};
+use crate::fleet::workers::protocol::{RunEnd, StartResult};
 use crate::{Need, Time};
 
 /// Time for the answer to a stop before the worker's lease is not renewed any
 /// more, in milliseconds, twice that for an order: a run that cannot be told to
 /// stop has to lapse.
-pub(crate) const STOP_LIMIT_MS: u64 = 200;
+pub(crate) const STOP_TIMEOUT_MS: u64 = 200;
 
 /// Names a task of a job at its placer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -34,16 +34,16 @@
     /// On its way.
     Sent,
     /// The worker has it.
-    Runs,
+    Running,
     /// No answer came: it may run, or may yet start.
-    Unsure,
+    Unconfirmed,
 }
 
 /// One run that takes room.
 #[derive(Debug, Clone)]
 pub(crate) struct Run {
     /// The task that it works for; none once nobody wants it.
-    pub(crate) by: Option<TaskRef>,
+    pub(crate) task: Option<TaskRef>,
     /// What it takes; nothing is known of a former owner's runs.
     pub(crate) need: Need,
     /// When it was ordered.
@@ -57,33 +57,33 @@
     /// What is known of the order.
     pub(crate) phase: Phase,
     /// On the worker's clock: from here on a late start is refused.
-    pub(crate) until: u64,
+    pub(crate) start_by: u64,
     /// On the worker's clock: when a stop had been carried out.
-    pub(crate) halted: Option<u64>,
+    pub(crate) stopped_clock: Option<u64>,
     /// When the stop is sent again.
-    pub(crate) stop_due: Time,
+    pub(crate) next_stop: Time,
     /// From when on an unanswered stop holds back the lease of the whole worker.
-    pub(crate) stop_limit: Time,
+    pub(crate) stop_deadline: Time,
 }
 
 impl Run {
     /// Asks for its end.
-    pub(crate) fn halt(&mut self, now: Time) {
+    pub(crate) fn request_stop(&mut self, now: Time) {
         if !self.stopping {
             self.stopping = true;
-            self.stop_due = now;
-            self.stop_limit = now.after_ms(STOP_LIMIT_MS);
+            self.next_stop = now;
+            self.stop_deadline = now.after_ms(STOP_TIMEOUT_MS);
         }
     }
 }
 
 /// Why a run takes no room any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Outcome {
+pub(crate) enum RunOutcome {
     /// The worker listed its end.
     Ended(RunEnd),
     /// It never started and never will.
-    Never(StartEnd),
+    NotStarted(StartResult),
     /// No lease covers it any more, or the worker lives another life.
     Vanished,
 }
@@ -96,5 +96,5 @@
     /// What was known of it.
     pub(crate) run: Run,
     /// How it ended.
-    pub(crate) over: Outcome,
+    pub(crate) outcome: RunOutcome,
 }
--- a/endivestile_testkit/src/fleet/check.rs
+++ b/endivestile_testkit/src/fleet/check.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use endivestile_config::model::Name;
-use endivestile_kernel::fleet::{JobEnd, StartOrder};
+use endivestile_kernel::fleet::{JobEnd, StartRequest};
 
 use super::world::FleetWorld;
 
@@ -22,7 +22,7 @@
 
 impl Seen {
     /// Notes a start.
-    pub(crate) fn started(&mut self, order: &StartOrder) {
+    pub(crate) fn started(&mut self, order: &StartRequest) {
         let id = order.task.split('.').next().unwrap_or_default();
         self.ids.insert(Name::from(id));
         *self.starts.entry(order.worker.clone()).or_default() += 1;
@@ -36,7 +36,7 @@
 impl FleetWorld {
     /// Looks at an order to start: a host that the store has told of an evacuation sends
     /// none to that zone.
-    pub(crate) fn check_evacuated(&mut self, host: &Name, order: &StartOrder) {
+    pub(crate) fn check_evacuated(&mut self, host: &Name, order: &StartRequest) {
         let Some(worker) = self.workers.get(&order.worker) else { return };
         let zone = &worker.entry.zone;
         let Some(&(revision, true)) = self.store.evacuations.get(zone) else { return };
@@ -55,7 +55,7 @@
         let Some(worker) = self.workers.get(name) else { return };
         let taken: u32 = worker.runs.values().map(|run| run.need.cpu_milli).sum();
         let mut breaches = Vec::new();
-        if taken > worker.entry.room.cpu_milli {
+        if taken > worker.entry.capacity.cpu_milli {
             breaches.push(format!("{} ms: {name} is over its room", self.now / 1_000));
         }
         for (task, run) in worker.runs.keys() {
--- a/endivestile_testkit/src/fleet/host.rs
+++ b/endivestile_testkit/src/fleet/host.rs
@@ -5,7 +5,7 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{
     Fleet, FleetEffect, FleetEvent, FleetSetup, HOST_KEYS, HostEntry, POOL_KEYS, WorkerCall,
-    ZoneState, worker_call_due,
+    ZoneState, worker_call_deadline,
 };
 use endivestile_kernel::{Peer, Time};
 
@@ -271,12 +271,12 @@
         let worker = match &call {
             WorkerCall::Start(order) => order.worker.clone(),
             WorkerCall::Stop(order) => order.worker.clone(),
-            WorkerCall::Hold(_, order) => {
+            WorkerCall::Renew(_, order) => {
                 self.seen.holds += 1;
                 order.worker.clone()
             }
         };
-        let due = worker_call_due(&call, Time::from_micros(self.now)).as_micros();
+        let due = worker_call_deadline(&call, Time::from_micros(self.now)).as_micros();
         self.visits += 1;
         let visit = self.visits;
         self.open_visits.insert(visit, (name.clone(), birth, call));
--- a/endivestile_testkit/src/fleet/visits.rs
+++ b/endivestile_testkit/src/fleet/visits.rs
@@ -1,7 +1,7 @@
 //! Calls of hosts to workers, and what happens there.
 
 use endivestile_config::model::Name;
-use endivestile_kernel::fleet::{CallFault, FleetEvent, StartEnd, WorkerCall};
+use endivestile_kernel::fleet::{CallError, FleetEvent, StartResult, WorkerCall};
 
 use super::worker::{Behaviour, Worker, none};
 use super::world::{FleetWorld, Happening, Work};
@@ -19,15 +19,15 @@
         if let (Behaviour::Late(ms), WorkerCall::Start(_) | WorkerCall::Stop(_)) =
             (state.behaviour, &call)
         {
-            let (worker, born) = (worker.clone(), state.entry.born);
+            let (worker, born) = (worker.clone(), state.entry.incarnation);
             self.at(self.now + ms * 1_000, Happening::Belated { call, worker, born });
             return;
         }
-        if let WorkerCall::Hold(_, order) = &call {
+        if let WorkerCall::Renew(_, order) = &call {
             self.advance(worker);
             let Some(state) = self.workers.get_mut(worker) else { return };
             if let Ok(false) = state.hold(self.now, order) {
-                let wait = u64::from(order.wait) * 1_000;
+                let wait = u64::from(order.wait_ms) * 1_000;
                 self.waiting.insert(visit, worker.clone());
                 self.at(self.now + wait, Happening::Look { visit, worker: worker.clone() });
                 self.schedule(worker);
@@ -45,7 +45,7 @@
         let worker = match call {
             WorkerCall::Start(order) => &order.worker,
             WorkerCall::Stop(order) => &order.worker,
-            WorkerCall::Hold(_, order) => &order.worker,
+            WorkerCall::Renew(_, order) => &order.worker,
         };
         self.advance(worker);
         let state = self.workers.get_mut(worker)?;
@@ -59,7 +59,7 @@
                 let (work_us, need) = (work.us * times, work.need);
                 let new = !state.runs.contains_key(&(order.task.clone(), order.run));
                 let end = state.start(now, order, need, work_us);
-                if new && matches!(end, StartEnd::Started(_)) {
+                if new && matches!(end, StartResult::Started(_)) {
                     self.seen.started(order);
                 }
                 FleetEvent::Started {
@@ -75,7 +75,7 @@
                 run: order.run,
                 end: state.stop(now, order),
             },
-            WorkerCall::Hold(number, order) => {
+            WorkerCall::Renew(number, order) => {
                 let end = match state.hold(now, order) {
                     Ok(_) => Ok(state.held(now)),
                     Err(fault) => Err(fault),
@@ -91,7 +91,7 @@
     }
 
     pub(crate) fn belated(&mut self, call: &WorkerCall, worker: &Name, born: u64) {
-        if self.workers.get(worker).is_some_and(|state| state.entry.born == born) {
+        if self.workers.get(worker).is_some_and(|state| state.entry.incarnation == born) {
             self.carry_out(call);
         }
     }
@@ -107,7 +107,7 @@
         if self.waiting.remove(&visit).is_none() {
             return;
         }
-        let Some((host, _, WorkerCall::Hold(number, _))) = self.open_visits.get(&visit).cloned()
+        let Some((host, _, WorkerCall::Renew(number, _))) = self.open_visits.get(&visit).cloned()
         else {
             return;
         };
@@ -126,16 +126,16 @@
                 worker: order.worker,
                 task: order.task,
                 run: order.run,
-                end: StartEnd::Fault(CallFault::Lost),
+                end: StartResult::Failed(CallError::Lost),
             },
             WorkerCall::Stop(order) => FleetEvent::Stopped {
                 worker: order.worker,
                 task: order.task,
                 run: order.run,
-                end: Err(CallFault::Lost),
+                end: Err(CallError::Lost),
             },
-            WorkerCall::Hold(number, order) => {
-                FleetEvent::Held { worker: order.worker, number, end: Err(CallFault::Lost) }
+            WorkerCall::Renew(number, order) => {
+                FleetEvent::Held { worker: order.worker, number, end: Err(CallError::Lost) }
             }
         };
         self.deliver(&host, birth, event);
--- a/endivestile_testkit/src/fleet/worker.rs
+++ b/endivestile_testkit/src/fleet/worker.rs
@@ -6,8 +6,8 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::Need;
 use endivestile_kernel::fleet::{
-    CallFault, EndRow, Held, HoldOrder, RunEnd, RunRow, StartEnd, StartOrder, StopOrder,
-    WorkerEntry,
+    CallError, EndRecord, RenewReply, RenewRequest, RunEnd, RunStatus, StartRequest, StartResult,
+    StopRequest, WorkerEntry,
 };
 
 /// Longest lease that it grants, in milliseconds.
@@ -68,7 +68,7 @@
     token: u64,
     until_ms: u64,
     highest: BTreeMap<Name, u32>,
-    ends: Vec<EndRow>,
+    ends: Vec<EndRecord>,
     number: u64,
 }
 
@@ -94,7 +94,7 @@
     /// Crashes and starts again, knowing nothing.
     pub(crate) fn reborn(&mut self, now: u64) {
         let mut entry = self.entry.clone();
-        entry.born += 1;
+        entry.incarnation += 1;
         *self = Self::new(now, entry, self.speed);
     }
 
@@ -136,7 +136,7 @@
             } else if run.fails_at.is_some_and(|at| at <= now) {
                 over.push((task.clone(), *number, RunEnd::Failed));
             } else if lapsed {
-                over.push((task.clone(), *number, RunEnd::Lapsed));
+                over.push((task.clone(), *number, RunEnd::Expired));
             }
         }
         for (task, number, end) in &over {
@@ -149,7 +149,7 @@
         self.runs.remove(&(task.clone(), run));
         self.raise(task, run);
         self.number += 1;
-        self.ends.push(EndRow { number: self.number, task: task.clone(), run, end });
+        self.ends.push(EndRecord { number: self.number, task: task.clone(), run, end });
     }
 
     fn raise(&mut self, task: &Name, run: u32) {
@@ -172,35 +172,35 @@
     pub(crate) fn start(
         &mut self,
         now: u64,
-        order: &StartOrder,
+        order: &StartRequest,
         need: Need,
         work_us: f64,
-    ) -> StartEnd {
+    ) -> StartResult {
         let id = (order.task.clone(), order.run);
         if self.fenced(order.token) {
-            return StartEnd::Fault(CallFault::Fenced);
+            return StartResult::Failed(CallError::Fenced);
         }
         if self.runs.contains_key(&id) {
-            return StartEnd::Started(self.clock_ms(now));
+            return StartResult::Started(self.clock_ms(now));
         }
         if self.highest.get(&order.task).is_some_and(|highest| *highest >= order.run) {
-            return StartEnd::Outrun;
+            return StartResult::Superseded;
         }
-        if order.until <= self.clock_ms(now) {
-            return StartEnd::Late;
+        if order.lease_until <= self.clock_ms(now) {
+            return StartResult::Expired;
         }
-        self.lease(now, order.until);
+        self.lease(now, order.lease_until);
         let fails_at = (self.behaviour == Behaviour::Errors).then_some(now + 5_000);
         let run =
             Run { need, left_us: work_us, whole_us: work_us, at: now, fails_at, stops_at: None };
         self.runs.insert(id, run);
-        StartEnd::Started(self.clock_ms(now))
+        StartResult::Started(self.clock_ms(now))
     }
 
     /// Carries out an order to stop.
-    pub(crate) fn stop(&mut self, now: u64, order: &StopOrder) -> Result<u64, CallFault> {
+    pub(crate) fn stop(&mut self, now: u64, order: &StopRequest) -> Result<u64, CallError> {
         if self.fenced(order.token) {
-            return Err(CallFault::Fenced);
+            return Err(CallError::Fenced);
         }
         if let Some(run) = self.runs.get_mut(&(order.task.clone(), order.run)) {
             run.stops_at.get_or_insert(now + STOP_US);
@@ -210,27 +210,27 @@
     }
 
     /// Takes a hold; returns whether there is something to tell at once.
-    pub(crate) fn hold(&mut self, now: u64, order: &HoldOrder) -> Result<bool, CallFault> {
+    pub(crate) fn hold(&mut self, now: u64, order: &RenewRequest) -> Result<bool, CallError> {
         if self.fenced(order.token) {
-            return Err(CallFault::Fenced);
+            return Err(CallError::Fenced);
         }
-        if let Some(until) = order.until {
+        if let Some(until) = order.lease_until {
             self.lease(now, until);
         }
         self.ends.retain(|end| end.number > order.observed);
-        Ok(!self.ends.is_empty() || order.wait == 0)
+        Ok(!self.ends.is_empty() || order.wait_ms == 0)
     }
 
     /// Returns what a hold is answered.
-    pub(crate) fn held(&self, now: u64) -> Held {
-        let running = self.runs.iter().map(|((task, run), state)| RunRow {
+    pub(crate) fn held(&self, now: u64) -> RenewReply {
+        let running = self.runs.iter().map(|((task, run), state)| RunStatus {
             task: task.clone(),
             run: *run,
             percent: (100.0 * (1.0 - state.left_us / state.whole_us)) as u8,
         });
-        Held {
+        RenewReply {
             clock: self.clock_ms(now),
-            born: self.entry.born,
+            incarnation: self.entry.incarnation,
             running: running.collect(),
             ended: self.ends.clone(),
         }
@@ -256,8 +256,8 @@
         address: id,
         zone: Name::from(zone),
         labels: vec![Name::from(format!("{zone}-r{}", index / 2))],
-        room: Need { cpu_milli: cpu, memory_mb: 65_536, accelerators: 0 },
+        capacity: Need { cpu_milli: cpu, memory_mb: 65_536, accelerators: 0 },
         leaving: false,
-        born: 1,
+        incarnation: 1,
     }
 }
--- a/endivestile_testkit/src/platform/workers.rs
+++ b/endivestile_testkit/src/platform/workers.rs
@@ -8,7 +8,8 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::Need;
 use endivestile_kernel::fleet::{
-    CallFault, Held, HoldOrder, RunEnd, StartEnd, StartOrder, StopOrder, WorkerEntry,
+    CallError, RenewReply, RenewRequest, RunEnd, StartRequest, StartResult, StopRequest,
+    WorkerEntry,
 };
 use serde_json::{Value, json};
 use tokio::time::sleep;
@@ -73,9 +74,9 @@
             address: Name::from(address.to_string()),
             zone: Name::from(zone),
             labels: Vec::new(),
-            room: Need { cpu_milli: 32_000, memory_mb: 65_536, accelerators: 0 },
+            capacity: Need { cpu_milli: 32_000, memory_mb: 65_536, accelerators: 0 },
             leaving: false,
-            born: 1,
+            incarnation: 1,
         };
         self.workers.insert(id.to_owned(), Worker::new(self.now(), entry, 1.0));
     }
@@ -133,7 +134,7 @@
         });
         let Some(worker) = self.workers.get(id) else { return };
         let taken: u32 = worker.runs.values().map(|run| run.need.cpu_milli).sum();
-        if taken > worker.entry.room.cpu_milli {
+        if taken > worker.entry.capacity.cpu_milli {
             self.breaches.push(format!("{id} is over its room"));
         }
         for (task, _) in worker.runs.keys() {
@@ -145,7 +146,7 @@
     }
 
     /// Carries an order out; `work` is the run time that a task's work names.
-    fn start(&mut self, id: &str, order: &StartOrder) -> Option<StartEnd> {
+    fn start(&mut self, id: &str, order: &StartRequest) -> Option<StartResult> {
         let now = self.now();
         let work_ms: f64 = order.spec.parse().unwrap_or(50.0);
         let worker = self.workers.get_mut(id)?;
@@ -160,14 +161,14 @@
         Some(end)
     }
 
-    fn stop(&mut self, id: &str, order: &StopOrder) -> Option<Result<u64, CallFault>> {
+    fn stop(&mut self, id: &str, order: &StopRequest) -> Option<Result<u64, CallError>> {
         let now = self.now();
         let worker = self.workers.get_mut(id)?;
         worker.advance(now);
         Some(worker.stop(now, order))
     }
 
-    fn hold(&mut self, id: &str, order: &HoldOrder) -> Option<Result<bool, CallFault>> {
+    fn hold(&mut self, id: &str, order: &RenewRequest) -> Option<Result<bool, CallError>> {
         let now = self.now();
         let worker = self.workers.get_mut(id)?;
         worker.advance(now);
@@ -175,7 +176,7 @@
     }
 
     /// Returns what a hold is answered, none while it waits.
-    fn held(&mut self, id: &str, waits: bool) -> Option<Held> {
+    fn held(&mut self, id: &str, waits: bool) -> Option<RenewReply> {
         let now = self.now();
         let worker = self.workers.get_mut(id)?;
         worker.advance(now);
@@ -218,7 +219,7 @@
 
 async fn hold(shared: &Arc<Shared>, id: &str, body: &Value) -> Answer {
     let order = hold_order(id, body)?;
-    let end = Instant::now() + Duration::from_millis(u64::from(order.wait));
+    let end = Instant::now() + Duration::from_millis(u64::from(order.wait_ms));
     let at_once = match lock(&shared.workers).hold(id, &order)? {
         Ok(at_once) => at_once,
         Err(_) => return Some(refused("fence")),
@@ -232,13 +233,13 @@
     }
 }
 
-fn started(end: StartEnd) -> (u16, Value) {
+fn started(end: StartResult) -> (u16, Value) {
     match end {
-        StartEnd::Started(clock) => (200, json!({"ClockMs": clock})),
-        StartEnd::Outrun => refused("old"),
-        StartEnd::Late => refused("late"),
-        StartEnd::Full => refused("room"),
-        StartEnd::Fault(_) => refused("fence"),
+        StartResult::Started(clock) => (200, json!({"ClockMs": clock})),
+        StartResult::Superseded => refused("old"),
+        StartResult::Expired => refused("late"),
+        StartResult::Full => refused("room"),
+        StartResult::Failed(_) => refused("fence"),
     }
 }
 
@@ -246,20 +247,20 @@
     (409, json!({"ClockMs": 0, "Reason": reason}))
 }
 
-fn lists(held: &Held) -> Value {
+fn lists(held: &RenewReply) -> Value {
     let running = held.running.iter().map(|row| json!([row.task, row.run, "", row.percent, 0]));
     let finished = held.ended.iter().map(|row| {
         let how = match row.end {
             RunEnd::Done => "done",
             RunEnd::Failed => "failed",
             RunEnd::Stopped => "stopped",
-            RunEnd::Lapsed => "lapsed",
+            RunEnd::Expired => "lapsed",
             RunEnd::Broken => "broken",
         };
         json!([row.number, row.task, row.run, how, ""])
     });
     json!({
-        "ClockMs": held.clock, "born": held.born,
+        "ClockMs": held.clock, "born": held.incarnation,
         "Running": running.collect::<Vec<_>>(), "Finished": finished.collect::<Vec<_>>(),
     })
 }
@@ -273,20 +274,20 @@
     body[key].as_str().map(Name::from)
 }
 
-fn start_order(id: &str, body: &Value) -> Option<StartOrder> {
-    Some(StartOrder {
+fn start_order(id: &str, body: &Value) -> Option<StartRequest> {
+    Some(StartRequest {
         worker: Name::from(id),
         address: Name::from(""),
         task: text(body, "Task")?,
         run: body["Run"].as_u64()? as u32,
         spec: text(body, "Spec")?,
-        until: body["DeadlineMs"].as_u64()?,
+        lease_until: body["DeadlineMs"].as_u64()?,
         token: body["FencingToken"].as_u64().unwrap_or(0),
     })
 }
 
-fn stop_order(id: &str, body: &Value) -> Option<StopOrder> {
-    Some(StopOrder {
+fn stop_order(id: &str, body: &Value) -> Option<StopRequest> {
+    Some(StopRequest {
         worker: Name::from(id),
         address: Name::from(""),
         task: text(body, "Task")?,
@@ -295,13 +296,13 @@
     })
 }
 
-fn hold_order(id: &str, body: &Value) -> Option<HoldOrder> {
-    Some(HoldOrder {
+fn hold_order(id: &str, body: &Value) -> Option<RenewRequest> {
+    Some(RenewRequest {
         worker: Name::from(id),
         address: Name::from(""),
-        until: body["DeadlineMs"].as_u64(),
+        lease_until: body["DeadlineMs"].as_u64(),
         token: body["FencingToken"].as_u64().unwrap_or(0),
         observed: body["Observed"].as_u64()?,
-        wait: body["WaitMs"].as_u64().unwrap_or(0) as u32,
+        wait_ms: body["WaitMs"].as_u64().unwrap_or(0) as u32,
     })
 }
--- a/endivestile_wire/src/adapter.rs
+++ b/endivestile_wire/src/adapter.rs
@@ -9,8 +9,8 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::Time;
 use endivestile_kernel::fleet::{
-    CallFault, Held, HoldOrder, Job, JobEnd, RouteTable, StartEnd, StartOrder, StopOrder,
-    WorkerEntry,
+    CallError, Job, JobEnd, RenewReply, RenewRequest, RouteTable, StartRequest, StartResult,
+    StopRequest, WorkerEntry,
 };
 use http::request::Parts;
 use http::{Request, Response, StatusCode};
@@ -135,17 +135,17 @@
     fn say(say: &Say) -> Response<Bytes>;
 
     /// Writes an order to start.
-    fn start(order: &StartOrder) -> Request<Bytes>;
+    fn start(order: &StartRequest) -> Request<Bytes>;
     /// Reads its answer.
-    fn started(status: StatusCode, body: &[u8]) -> StartEnd;
+    fn started(status: StatusCode, body: &[u8]) -> StartResult;
     /// Writes an order to stop.
-    fn stop(order: &StopOrder) -> Request<Bytes>;
+    fn stop(order: &StopRequest) -> Request<Bytes>;
     /// Reads its answer.
-    fn stopped(status: StatusCode, body: &[u8]) -> Result<u64, CallFault>;
+    fn stopped(status: StatusCode, body: &[u8]) -> Result<u64, CallError>;
     /// Writes a hold.
-    fn hold(order: &HoldOrder) -> Request<Bytes>;
+    fn hold(order: &RenewRequest) -> Request<Bytes>;
     /// Reads its answer.
-    fn held(status: StatusCode, body: &[u8]) -> Result<Held, CallFault>;
+    fn held(status: StatusCode, body: &[u8]) -> Result<RenewReply, CallError>;
 
     /// Reads a worker's registration; none when it names nothing to use.
     fn worker(id: &str, value: &[u8]) -> Option<WorkerEntry>;
@@ -185,12 +185,12 @@
     pub keys: Keys,
     pub demand: fn(&Parts, &[u8], Option<&RouteTable>, Time) -> Demand,
     pub say: fn(&Say) -> Response<Bytes>,
-    pub start: fn(&StartOrder) -> Request<Bytes>,
-    pub started: fn(StatusCode, &[u8]) -> StartEnd,
-    pub stop: fn(&StopOrder) -> Request<Bytes>,
-    pub stopped: fn(StatusCode, &[u8]) -> Result<u64, CallFault>,
-    pub hold: fn(&HoldOrder) -> Request<Bytes>,
-    pub held: fn(StatusCode, &[u8]) -> Result<Held, CallFault>,
+    pub start: fn(&StartRequest) -> Request<Bytes>,
+    pub started: fn(StatusCode, &[u8]) -> StartResult,
+    pub stop: fn(&StopRequest) -> Request<Bytes>,
+    pub stopped: fn(StatusCode, &[u8]) -> Result<u64, CallError>,
+    pub hold: fn(&RenewRequest) -> Request<Bytes>,
+    pub held: fn(StatusCode, &[u8]) -> Result<RenewReply, CallError>,
     pub worker: fn(&str, &[u8]) -> Option<WorkerEntry>,
     pub table: fn(&[u8]) -> Result<RouteTable, String>,
     pub range: fn(&str, Option<&str>) -> Request<Bytes>,
