--- a/endivestile/src/fleet/callers.rs
+++ b/endivestile/src/fleet/callers.rs
@@ -103,12 +103,12 @@
     let limits = desk.limits();
     let mut closing = desk.closing.clone();
     let (stage, stages) = watch::channel(Stage::Resting);
-    let stream = Watched::new(stream, stage.clone(), limits.head_ms);
+    let stream = Watched::new(stream, stage.clone(), limits.head_timeout_ms);
     let service = service_fn(move |request| serve_one(request, desk.clone(), stage.clone()));
     let mut served = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(limits.idle_ms))
-        .max_buf_size(limits.head.max(MIN_BUFFER))
+        .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     let ended = tokio::select! {
         ended = &mut served => ended,
@@ -153,8 +153,8 @@
     let (head, body) = request.into_parts();
     let limits = desk.limits();
     let body = match timeout(
-        Duration::from_millis(limits.head_ms),
-        Limited::new(body, limits.body).collect(),
+        Duration::from_millis(limits.head_timeout_ms),
+        Limited::new(body, limits.body_bytes).collect(),
     )
     .await
     {
@@ -196,7 +196,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         if !self.answered {
-            self.inbox.event(FleetEvent::Hangup(self.call));
+            self.inbox.event(FleetEvent::Cancel(self.call));
         }
     }
 }
--- a/endivestile/src/fleet/config.rs
+++ b/endivestile/src/fleet/config.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_kernel::fleet::{FleetEvent, ZoneState};
+use endivestile_kernel::fleet::{EvacuationState, FleetEvent};
 use endivestile_wire::adapter::Adapter;
 
 use super::feed::Sink;
@@ -22,14 +22,14 @@
 
 impl Sink for OperatorKeys {
     fn store(&mut self, up: bool) {
-        self.inbox.event(FleetEvent::Store(up));
+        self.inbox.event(FleetEvent::StoreAvailable(up));
     }
 
     fn tell(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
         let keys = &self.adapter.keys;
         if let Some(zone) = key.strip_prefix(keys.evacuations) {
             let evacuated = value.is_some();
-            let state = ZoneState { zone: Name::from(zone), revision, evacuated };
+            let state = EvacuationState { zone: Name::from(zone), revision, evacuated };
             self.inbox.event(FleetEvent::Evacuation(state));
         } else if key == keys.config {
             self.config(key, revision, value);
@@ -48,7 +48,7 @@
             return;
         };
         match (self.adapter.table)(&value) {
-            Ok(table) => self.inbox.event(FleetEvent::Table(Arc::new(table))),
+            Ok(table) => self.inbox.event(FleetEvent::Routes(Arc::new(table))),
             Err(e) => {
                 log::error!(
                     "event=config_refused step=read-config revision={revision} error={e:?}"
--- a/endivestile/src/fleet/engine.rs
+++ b/endivestile/src/fleet/engine.rs
@@ -107,7 +107,7 @@
         let now = self.parts.clock.at(cx.now());
         match input {
             Input::Event(event) => {
-                if let FleetEvent::Hangup(call) = &event {
+                if let FleetEvent::Cancel(call) = &event {
                     self.waiting.forget(*call);
                 }
                 self.event(now, event);
@@ -127,9 +127,9 @@
     }
 
     fn event(&mut self, now: Time, event: FleetEvent) {
-        let table = matches!(event, FleetEvent::Table(_));
+        let table = matches!(event, FleetEvent::Routes(_));
         self.fleet.handle(now, event);
-        if table && let Some(table) = self.fleet.table() {
+        if table && let Some(table) = self.fleet.route_table() {
             *self.parts.limits.write().unwrap_or_else(PoisonError::into_inner) = table.limits;
         }
     }
@@ -151,7 +151,7 @@
 
     /// Serves a caller.
     fn call(&mut self, now: Time, call: HttpCall) {
-        let table = self.fleet.table().map(AsRef::as_ref);
+        let table = self.fleet.route_table().map(AsRef::as_ref);
         let demand = (self.parts.adapter.demand)(&call.head, &call.body, table, now);
         let say = match demand {
             Demand::Submit(_) if self.refusing => {
@@ -184,13 +184,13 @@
 
     fn cancel(&mut self, now: Time, id: &str) -> bool {
         let Some(call) = self.fleet.find(id) else { return false };
-        self.fleet.handle(now, FleetEvent::Hangup(call));
+        self.fleet.handle(now, FleetEvent::Cancel(call));
         self.waiting.answer(call, &Say::Ended(JobEnd::Lost(Reason::Cancelled), now));
         true
     }
 
     fn ready(&self) -> bool {
-        !self.stopping && self.fleet.table().is_some()
+        !self.stopping && self.fleet.route_table().is_some()
     }
 
     /// Carries out all effects.
@@ -202,12 +202,12 @@
                     self.waiting.answer(call, &Say::Ended(end, now));
                 }
                 FleetEffect::Send { address, frame } => self.parts.links.send(address, frame),
-                FleetEffect::Redial(address) => self.parts.links.redial(address),
-                FleetEffect::Worker(call) => self.parts.workers.call(call),
-                FleetEffect::Store { token, op } => {
+                FleetEffect::Reconnect(address) => self.parts.links.redial(address),
+                FleetEffect::WorkerCall(call) => self.parts.workers.call(call),
+                FleetEffect::StoreCall { op_id: token, op } => {
                     store::call(&self.parts.reader, &self.parts.inbox, token, op);
                 }
-                FleetEffect::Leave => self.parts.wish.send_modify(|wish| {
+                FleetEffect::RegisterLeaving => self.parts.wish.send_modify(|wish| {
                     wish.entry.leaving = true;
                     wish.stands = wish.stands.map(|(revision, _)| (revision, false));
                 }),
@@ -222,7 +222,7 @@
             }
         }
         self.effects = effects;
-        self.parts.need.set(self.fleet.list_role());
+        self.parts.need.set(self.fleet.pool_role());
     }
 
     /// Sets the timer for the fleet's next deadline.
@@ -267,7 +267,7 @@
         let now = self.parts.clock.at(cx.now());
         let open = self.waiting.len();
         for call in self.waiting.calls() {
-            self.fleet.handle(now, FleetEvent::Hangup(call));
+            self.fleet.handle(now, FleetEvent::Cancel(call));
             self.waiting.answer(call, &Say::Ended(JobEnd::Lost(Reason::Deadline), now));
         }
         self.settle(cx);
--- a/endivestile/src/fleet/listing.rs
+++ b/endivestile/src/fleet/listing.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use endivestile_kernel::fleet::{FleetEvent, ListRole, WorkerEntry};
+use endivestile_kernel::fleet::{FleetEvent, PoolRole, WorkerEntry};
 use endivestile_wire::adapter::Adapter;
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep_until, timeout_at};
@@ -42,32 +42,32 @@
 /// Tells how urgently this host needs the list, and when it needs it more than before.
 #[derive(Debug, Clone)]
 pub(crate) struct Need {
-    role: Arc<watch::Sender<ListRole>>,
+    role: Arc<watch::Sender<PoolRole>>,
     changed: Arc<Notify>,
 }
 
 impl Default for Need {
     fn default() -> Self {
-        let role = Arc::new(watch::Sender::new(ListRole::Claimant));
+        let role = Arc::new(watch::Sender::new(PoolRole::Candidate));
         Self { role, changed: Arc::default() }
     }
 }
 
 impl Need {
     /// Sets what this host needs the list for.
-    pub(crate) fn set(&self, role: ListRole) {
+    pub(crate) fn set(&self, role: PoolRole) {
         let before = self.role.send_replace(role);
         if role > before {
             self.changed.notify_one();
         }
     }
 
-    fn role(&self) -> ListRole {
+    fn role(&self) -> PoolRole {
         *self.role.borrow()
     }
 
     fn owner(&self) -> bool {
-        self.role() == ListRole::Owner
+        self.role() == PoolRole::Owner
     }
 }
 
@@ -184,7 +184,7 @@
             }
             return Next::Watch;
         }
-        if changes >= BUSY_ITEMS && self.need.role() == ListRole::Bystander {
+        if changes >= BUSY_ITEMS && self.need.role() == PoolRole::Observer {
             let end = Instant::now() + Duration::from_millis(REST_MS);
             return self.rest(Next::Reload, end).await;
         }
--- a/endivestile/src/fleet/run.rs
+++ b/endivestile/src/fleet/run.rs
@@ -138,10 +138,10 @@
         zone,
         cpu_milli: settings.platform.cpu_milli,
         link_kbps: settings.platform.link_kbps,
-        remote_milli: settings.platform.remote_milli,
+        remote_factor_milli: settings.platform.remote_milli,
         address,
-        worker_lease: settings.platform.worker_lease(),
-        host_lease: settings.platform.host_lease(),
+        worker_lease_ms: settings.platform.worker_lease(),
+        host_lease_ms: settings.platform.host_lease(),
         policy: settings.platform.policy,
     };
     Ok(Parts {
--- a/endivestile/src/fleet/store.rs
+++ b/endivestile/src/fleet/store.rs
@@ -57,7 +57,7 @@
     }
 
     fn store(&mut self, up: bool) {
-        self.inbox.event(FleetEvent::Store(up));
+        self.inbox.event(FleetEvent::StoreAvailable(up));
     }
 
     /// The registration waits until it is known what stands under its key.
@@ -142,6 +142,6 @@
             // A store that turns calls away is not asked again at once.
             Err(_) => Stored::Lost,
         };
-        inbox.event(FleetEvent::Stored { token, stored });
+        inbox.event(FleetEvent::StoreResult { op_id: token, result: stored });
     });
 }
--- a/endivestile/src/fleet/workers.rs
+++ b/endivestile/src/fleet/workers.rs
@@ -42,7 +42,12 @@
                     Ok((status, body)) => (adapter.started)(status, &body),
                     Err(fault) => StartEnd::Fault(fault.into()),
                 };
-                FleetEvent::Started { worker: order.worker, task: order.task, run: order.run, end }
+                FleetEvent::StartResult {
+                    worker: order.worker,
+                    task: order.task,
+                    run: order.run,
+                    end,
+                }
             }
             WorkerCall::Stop(order) => {
                 let answer = self.client.call(&order.address, (adapter.stop)(&order), due).await;
@@ -50,7 +55,12 @@
                     Ok((status, body)) => (adapter.stopped)(status, &body),
                     Err(fault) => Err(fault.into()),
                 };
-                FleetEvent::Stopped { worker: order.worker, task: order.task, run: order.run, end }
+                FleetEvent::StopResult {
+                    worker: order.worker,
+                    task: order.task,
+                    run: order.run,
+                    end,
+                }
             }
             WorkerCall::Hold(number, order) => {
                 let answer = self.client.call(&order.address, (adapter.hold)(&order), due).await;
@@ -58,7 +68,7 @@
                     Ok((status, body)) => (adapter.held)(status, &body),
                     Err(fault) => Err(fault.into()),
                 };
-                FleetEvent::Held { worker: order.worker, number, end }
+                FleetEvent::RenewalResult { worker: order.worker, number, end }
             }
         }
     }
--- a/endivestile_kernel/src/fleet/admission/overload.rs
+++ b/endivestile_kernel/src/fleet/admission/overload.rs
@@ -113,12 +113,12 @@
                 continue;
             }
             last = Some(task.job);
-            let Some(state) = self.jobs.get(&task.job).filter(|state| !state.touched()) else {
+            let Some(state) = self.jobs.get(&task.job).filter(|state| !state.may_have_run()) else {
                 continue;
             };
             let wait_s = WAITS * f64::from(ahead) / self.flows.late_rate(service, key.rank.0);
             let step = state.step(task.task as usize);
-            let run_us = self.durations.least_us(&state.job, step.estimate);
+            let run_us = self.durations.least_us(&state.job, step.estimate_ms);
             let end = now.after_us((wait_s * 1e6 + run_us) as u64);
             if end > state.job.deadline {
                 hopeless.push((task.job, wait_s));
--- a/endivestile_kernel/src/fleet/serve.rs
+++ b/endivestile_kernel/src/fleet/assignment.rs
@@ -7,17 +7,17 @@
 use endivestile_config::model::Name;
 
 use crate::fleet::core::{Fleet, FleetEffect};
-use crate::fleet::front::placeable;
+use crate::fleet::front::retryable;
 use crate::fleet::job::{Job, JobEnd, Reason};
 use crate::fleet::lag::overloaded;
-use crate::fleet::measure::{Count, Span};
+use crate::fleet::metrics::{Count, Span};
 use crate::fleet::msg::JobMsg;
 use crate::fleet::placement::choice::TwoChoices;
-use crate::fleet::scheduler::RETRY_MS;
+use crate::fleet::scheduler::RETRY_AFTER_MS;
 use crate::{CallId, Level, Note, Peer, Time};
 
 /// Silence after which a placer counts as lost, in milliseconds: five frames.
-pub(crate) const LOST_MS: u64 = 600;
+pub(crate) const UNREACHABLE_MS: u64 = 600;
 /// Reserve over a host's lease before its tasks surely are stopped, in
 /// milliseconds: the way of the stops.
 const STOP_RESERVE_MS: u64 = 80;
@@ -26,7 +26,7 @@
 const EVACUATED_RETRY_MS: u64 = 5_000;
 
 impl Fleet {
-    pub(crate) fn call(&mut self, now: Time, call: CallId, job: Job) {
+    pub(crate) fn submit_call(&mut self, now: Time, call: CallId, job: Job) {
         let serial = self.front.add(now, call, job);
         self.place(now, serial);
     }
@@ -46,13 +46,13 @@
     }
 
     fn place_at(&mut self, now: Time, serial: u64, to: &Peer) {
-        let Some((serial, job)) = self.front.send(now, serial, to) else { return };
+        let Some((serial, job)) = self.front.assign(now, serial, to) else { return };
         if let Some(member) = self.members.get_mut(to) {
             member.sent += job.tasks() as u32;
         }
         self.note_sent(&job, to, serial);
         self.out.push(FleetEffect::Count(Count::JobsSent));
-        self.tell(now, to, JobMsg::Submit { serial, job, echo: Time::ZERO });
+        self.send_job_msg(now, to, JobMsg::Submit { serial, job, echo: Time::ZERO });
     }
 
     /// Returns whether a peer can be sent jobs: it is in reach, owns workers and goes on.
@@ -62,7 +62,7 @@
         }
         let member = self.members.get(peer);
         member.is_some_and(|member| {
-            member.reachable(now, LOST_MS) && member.owns() && !member.leaving
+            member.reachable(now, UNREACHABLE_MS) && member.owns() && !member.leaving
         })
     }
 
@@ -119,12 +119,12 @@
         if overloaded(report.lag_ms) {
             return i64::MIN;
         }
-        let figure = report.room.iter().find(|figure| figure.service == *service);
+        let figure = report.capacity.iter().find(|figure| figure.service == *service);
         figure.map_or(0, |room| i64::from(room.free) - i64::from(room.waiting) - i64::from(sent))
     }
 
-    pub(crate) fn hangup(&mut self, now: Time, call: CallId) {
-        let Some(serial) = self.front.serial(call) else { return };
+    pub(crate) fn cancel_call(&mut self, now: Time, call: CallId) {
+        let Some(serial) = self.front.serial_of(call) else { return };
         let Some(open) = self.front.end(serial) else { return };
         self.out.push(FleetEffect::Count(Count::CallersLeft));
         self.note_job(
@@ -132,21 +132,21 @@
             &open.job,
             &[("zone", self.setup.zone.to_string()), ("ms", ms(now, open.job.arrived))],
         );
-        if let Some(to) = open.to {
-            self.tell(now, &to, JobMsg::Cancel { serial });
+        if let Some(to) = open.assigned_to {
+            self.send_job_msg(now, &to, JobMsg::Cancel { serial });
         }
-        self.settle(now);
+        self.apply_output(now);
     }
 
     /// Takes in a message about a job.
-    pub(crate) fn message(&mut self, now: Time, from: &Peer, msg: JobMsg) {
+    pub(crate) fn handle_job_msg(&mut self, now: Time, from: &Peer, msg: JobMsg) {
         match msg {
             JobMsg::Submit { serial, job, .. } => {
                 let refused = self.leaving && *from != self.setup.me;
                 if refused {
                     let reason = Reason::NoPlacer;
-                    let end = JobEnd::NotRun { reason, retry: now.after_ms(RETRY_MS) };
-                    self.tell(now, from, JobMsg::Ended { serial, end });
+                    let end = JobEnd::NotRun { reason, retry: now.after_ms(RETRY_AFTER_MS) };
+                    self.send_job_msg(now, from, JobMsg::Ended { serial, end });
                 } else {
                     self.scheduler.submit(now, from, serial, job);
                 }
@@ -163,9 +163,9 @@
     }
 
     fn job_ended(&mut self, now: Time, serial: u64, end: JobEnd) {
-        if placeable(&end) {
+        if retryable(&end) {
             let touched = !matches!(end, JobEnd::NotRun { .. });
-            self.front.unplace(now, serial, touched);
+            self.front.unassign(now, serial, touched);
             return;
         }
         self.answer(now, serial, end);
@@ -174,14 +174,14 @@
     fn answer(&mut self, now: Time, serial: u64, end: JobEnd) {
         let Some(open) = self.front.end(serial) else { return };
         let end = match end {
-            JobEnd::NotRun { reason, .. } if open.touched => JobEnd::Lost(reason),
+            JobEnd::NotRun { reason, .. } if open.may_have_run => JobEnd::Lost(reason),
             end => end,
         };
         let more = [
             ("end", end.label().to_owned()),
             ("reason", end.reason().map_or("", Reason::label).to_owned()),
             ("route", open.job.route.to_string()),
-            ("placer", open.to.as_ref().map_or(String::new(), ToString::to_string)),
+            ("placer", open.assigned_to.as_ref().map_or(String::new(), ToString::to_string)),
             ("tries", open.tries.to_string()),
             ("zone", self.setup.zone.to_string()),
             ("ms", ms(now, open.job.arrived)),
@@ -203,18 +203,18 @@
     }
 
     /// Places jobs anew whose placer is lost, once nothing of them can run there.
-    pub(crate) fn replace_lost(&mut self, now: Time) {
+    pub(crate) fn reassign_lost(&mut self, now: Time) {
         let serials: Vec<u64> = self.front.open.keys().copied().collect();
         for serial in serials {
             let Some(open) = self.front.open.get_mut(&serial) else { continue };
-            let member = open.to.as_ref().and_then(|to| self.members.get(to));
+            let member = open.assigned_to.as_ref().and_then(|to| self.members.get(to));
             if let Some(heard) = member.and_then(|member| member.heard) {
-                open.contact = open.contact.max(heard);
+                open.last_contact = open.last_contact.max(heard);
             }
-            let (contact, patience) = (open.contact, open.patience);
-            match open.to.clone() {
+            let (contact, patience) = (open.last_contact, open.assign_deadline);
+            match open.assigned_to.clone() {
                 None if patience <= now => {
-                    let retry = now.after_ms(RETRY_MS);
+                    let retry = now.after_ms(RETRY_AFTER_MS);
                     self.answer(now, serial, JobEnd::NotRun { reason: Reason::NoPlacer, retry });
                 }
                 None => self.place(now, serial),
@@ -222,7 +222,7 @@
                 Some(_) => {}
             }
         }
-        self.settle(now);
+        self.apply_output(now);
     }
 
     /// Places a job anew whose placer has been silent for so long that
@@ -233,11 +233,11 @@
     /// A host that has taken over all workers of the peer need not wait for
     /// those: it stops everything there before it starts a job that was sent before.
     fn replace(&mut self, now: Time, serial: u64, lost: &Peer, last: Time) {
-        let lease = self.setup.host_lease + STOP_RESERVE_MS;
+        let lease = self.setup.host_lease_ms + STOP_RESERVE_MS;
         if last.after_ms(lease) > now {
             return;
         }
-        let lapsed = last.after_ms(lease + self.setup.worker_lease) <= now;
+        let lapsed = last.after_ms(lease + self.setup.worker_lease_ms) <= now;
         let successor = self.pools.heir(lost).filter(|heir| self.places(now, heir)).cloned();
         let Some(open) = self.front.open.get(&serial) else { return };
         if successor.is_none() && !lapsed {
@@ -246,7 +246,7 @@
         let job = open.job.clone();
         self.out.push(FleetEffect::Count(Count::PlacersLost));
         self.note_job("placer_lost", &job, &[("placer", lost.to_string())]);
-        self.front.unplace(now, serial, true);
+        self.front.unassign(now, serial, true);
         match successor {
             Some(successor) => self.place_at(now, serial, &successor),
             None => self.place(now, serial),
@@ -254,28 +254,28 @@
     }
 
     /// Answers callers whose deadline passes though their placer has not told.
-    pub(crate) fn pass_deadlines(&mut self, now: Time) {
-        let over = |(serial, open): (&u64, &crate::fleet::front::Open)| {
+    pub(crate) fn expire_deadlines(&mut self, now: Time) {
+        let over = |(serial, open): (&u64, &crate::fleet::front::OpenJob)| {
             (open.job.deadline <= now).then_some(*serial)
         };
         let serials: Vec<u64> = self.front.open.iter().filter_map(over).collect();
         for serial in serials {
-            let to = self.front.open.get(&serial).and_then(|open| open.to.clone());
-            let retry = now.after_ms(RETRY_MS);
+            let to = self.front.open.get(&serial).and_then(|open| open.assigned_to.clone());
+            let retry = now.after_ms(RETRY_AFTER_MS);
             let end = match &to {
                 None => JobEnd::NotRun { reason: Reason::NoPlacer, retry },
                 Some(_) => JobEnd::Lost(Reason::Deadline),
             };
             self.answer(now, serial, end);
             if let Some(to) = to {
-                self.tell(now, &to, JobMsg::Cancel { serial });
+                self.send_job_msg(now, &to, JobMsg::Cancel { serial });
             }
         }
-        self.settle(now);
+        self.apply_output(now);
     }
 
     fn note_sent(&mut self, job: &Arc<Job>, to: &Peer, serial: u64) {
-        let version = self.table.as_ref().map_or(0, |table| table.version);
+        let version = self.route_table.as_ref().map_or(0, |table| table.version);
         let more = [
             ("request", job.request.to_string()),
             ("route", job.route.to_string()),
--- a/endivestile_kernel/src/fleet/outcome.rs
+++ b/endivestile_kernel/src/fleet/completion.rs
@@ -3,9 +3,9 @@
 use endivestile_config::model::Name;
 
 use crate::fleet::job::{JobEnd, Reason};
-use crate::fleet::measure::{Count, Span};
-use crate::fleet::scheduler::{Out, Scheduler};
-use crate::fleet::state::TaskState;
+use crate::fleet::job_state::TaskState;
+use crate::fleet::metrics::{Count, Span};
+use crate::fleet::scheduler::{Output, Scheduler};
 use crate::fleet::workers::run::{EndedRun, Outcome, Phase, RunId, TaskRef};
 use crate::fleet::workers::worker::{CallFault, Held, RunEnd, StartEnd};
 use crate::{Level, Peer, Time};
@@ -17,7 +17,7 @@
 
 impl Scheduler {
     /// Takes in how a start ended.
-    pub(crate) fn started(&mut self, now: Time, worker: &Name, id: &RunId, end: StartEnd) {
+    pub(crate) fn handle_start(&mut self, now: Time, worker: &Name, id: &RunId, end: StartEnd) {
         if let StartEnd::Fault(fault) = end {
             self.note_order(worker, id, fault.label());
         }
@@ -25,19 +25,19 @@
             self.time_order(now, worker, id);
         }
         let past = self.drivers.get_mut(worker).and_then(|driver| driver.started(now, id, end));
-        self.take_ended(now, worker, past.into_iter().collect());
+        self.handle_ended(now, worker, past.into_iter().collect());
     }
 
     fn time_order(&mut self, now: Time, worker: &Name, id: &RunId) {
         let run = self.drivers.get(worker).and_then(|driver| driver.runs.get(id));
         let Some(run) = run.filter(|run| run.phase == Phase::Sent) else { return };
         let took_us = now.since(run.sent).as_micros() as u64;
-        self.lag.note(took_us);
-        self.out.push(Out::Time(Span::OrderAnswer, took_us));
+        self.lag.record(took_us);
+        self.out.push(Output::Time(Span::OrderAnswer, took_us));
     }
 
     /// Takes in how a stop ended.
-    pub(crate) fn stopped(
+    pub(crate) fn handle_stop(
         &mut self,
         now: Time,
         worker: &Name,
@@ -50,7 +50,7 @@
     }
 
     /// Takes in the answer to a hold.
-    pub(crate) fn held(
+    pub(crate) fn handle_renewal(
         &mut self,
         now: Time,
         worker: &Name,
@@ -64,11 +64,11 @@
         if changed || !past.is_empty() {
             self.dirty = true;
         }
-        self.take_ended(now, worker, past);
+        self.handle_ended(now, worker, past);
     }
 
     /// Handles runs that are over.
-    pub(crate) fn take_ended(&mut self, now: Time, worker: &Name, past: Vec<EndedRun>) {
+    pub(crate) fn handle_ended(&mut self, now: Time, worker: &Name, past: Vec<EndedRun>) {
         for past in past {
             self.dirty = true;
             let Some(task) = past.run.by else { continue };
@@ -91,17 +91,17 @@
             Outcome::Ended(RunEnd::Failed) => self.task_failed(now, worker, task),
             Outcome::Never(StartEnd::Outrun) => {
                 if let Some(state) = self.jobs.get_mut(&task.job) {
-                    state.tasks[task.task as usize].run += RUN_JUMP;
+                    state.tasks[task.task as usize].next_run += RUN_JUMP;
                 }
-                self.again(now, task);
+                self.requeue(now, task);
             }
             Outcome::Never(StartEnd::Fault(CallFault::Unhealthy | CallFault::Refused)) => {
                 self.health.failed(now, worker);
-                self.again(now, task);
+                self.requeue(now, task);
             }
             _ => {
                 if let Some(state) = self.jobs.get_mut(&task.job) {
-                    state.course.vanished += u32::from(!past.run.stopping);
+                    state.stats.vanished += u32::from(!past.run.stopping);
                 }
                 // A worker that leaves orders unanswered and does not carry them out
                 // would be the free one that is given the task again and again.
@@ -110,7 +110,7 @@
                 } else {
                     self.health.inconclusive(worker);
                 }
-                self.again(now, task);
+                self.requeue(now, task);
             }
         }
     }
@@ -119,10 +119,10 @@
         self.health.did(worker);
         let Some(state) = self.jobs.get_mut(&task.job) else { return };
         let index = task.task as usize;
-        let estimate = state.step(index).estimate;
+        let estimate = state.step(index).estimate_ms;
         let took = now.since(past.run.sent).as_micros() as f64;
-        self.out.push(Out::Time(Span::TaskRun, took as u64));
-        state.work.get_or_insert(took * self.durations.speed(worker));
+        self.out.push(Output::Time(Span::TaskRun, took as u64));
+        state.work_us.get_or_insert(took * self.durations.speed(worker));
         self.durations.learn(&state.job, estimate, worker, took);
         self.end_task(now, task);
     }
@@ -133,12 +133,12 @@
         let index = task.task as usize;
         let step = state.tasks[index].step;
         state.tasks[index].state = TaskState::Done;
-        state.left[step] -= 1;
+        state.remaining[step] -= 1;
         if state.ending.is_some() {
             self.finish(now, task.job);
         } else if state.done() {
             self.close(now, task.job, JobEnd::Done, true);
-        } else if state.left[step] == 0 {
+        } else if state.remaining[step] == 0 {
             self.unblock(now, task.job);
         }
     }
@@ -146,23 +146,23 @@
     /// Counts a failure against the task, unless its worker fails everything.
     fn task_failed(&mut self, now: Time, worker: &Name, task: TaskRef) {
         let blamed = self.health.failed(now, worker);
-        self.out.push(Out::Count(Count::TasksFailed));
+        self.out.push(Output::Count(Count::TasksFailed));
         let Some(state) = self.jobs.get_mut(&task.job) else { return };
-        state.course.failed += 1;
+        state.stats.failed += 1;
         let slot = &mut state.tasks[task.task as usize];
-        slot.fails += 1;
-        let (fails, attempts) = (slot.fails, state.job.attempts.max(1));
+        slot.failures += 1;
+        let (fails, attempts) = (slot.failures, state.job.max_attempts.max(1));
         let more = [
             ("worker", worker.to_string()),
             ("task", task.task.to_string()),
             ("fails", fails.to_string()),
             ("worker_out", blamed.to_string()),
         ];
-        self.note_job(Level::Info, "task_failed", task.job, &more);
+        self.log_job(Level::Info, "task_failed", task.job, &more);
         if fails >= attempts {
             self.fail(now, task);
         } else {
-            self.again(now, task);
+            self.requeue(now, task);
         }
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Queues a task again of which nothing runs any more, unless its job is closed.
-    pub(crate) fn again(&mut self, now: Time, task: TaskRef) {
+    pub(crate) fn requeue(&mut self, now: Time, task: TaskRef) {
         let Some(state) = self.jobs.get_mut(&task.job) else { return };
         state.tasks[task.task as usize].state = TaskState::Blocked;
         if state.ending.is_some() {
@@ -192,7 +192,7 @@
         if slot.state != TaskState::Forwarded(serial) {
             return;
         }
-        slot.run += FORWARD_RUNS + slot.fails;
+        slot.next_run += FORWARD_RUNS + slot.failures;
         if !matches!(end, JobEnd::NotRun { .. }) {
             state.started.get_or_insert(now);
         }
@@ -201,20 +201,22 @@
             JobEnd::Done => self.end_task(now, task),
             JobEnd::Failed(_) => self.fail(now, task),
             JobEnd::NotRun { .. } | JobEnd::Lost(_) => {
-                self.out.push(Out::Count(Count::ForwardsReturned));
+                self.out.push(Output::Count(Count::ForwardsReturned));
                 // It has no room after all: until its next report nothing more
                 // is sent there.
-                if let Some(free) = self.others.get_mut(from).and_then(|r| r.get_mut(&service)) {
+                if let Some(free) =
+                    self.peer_capacity.get_mut(from).and_then(|r| r.get_mut(&service))
+                {
                     *free = 0;
                 }
-                self.again(now, task);
+                self.requeue(now, task);
             }
         }
     }
 
     /// Takes back what was forwarded to a host that has surely stopped it by now.
-    pub(crate) fn lose_target(&mut self, now: Time, peer: &Peer) {
-        self.others.remove(peer);
+    pub(crate) fn reclaim_forwards(&mut self, now: Time, peer: &Peer) {
+        self.peer_capacity.remove(peer);
         let of = |(serial, (at, _)): (&u64, &(Peer, TaskRef))| (at == peer).then_some(*serial);
         let serials: Vec<u64> = self.forwards.iter().filter_map(of).collect();
         for serial in serials {
@@ -233,7 +235,7 @@
                 ("fault", fault.to_owned()),
             ],
         };
-        self.out.push(Out::Count(Count::StartFaults));
-        self.out.push(Out::Log(note));
+        self.out.push(Output::Count(Count::StartFaults));
+        self.out.push(Output::Log(note));
     }
 }
--- a/endivestile_kernel/src/fleet/core.rs
+++ b/endivestile_kernel/src/fleet/core.rs
@@ -8,18 +8,18 @@
 use endivestile_config::model::Name;
 
 use crate::channel::Channel;
-use crate::fleet::evacuation::{Evacuations, Source, ZoneState};
+use crate::fleet::evacuation::{EvacuationState, Evacuations, Source};
 use crate::fleet::front::Front;
 use crate::fleet::hosts::members::{HostEntry, Members};
 use crate::fleet::job::{Job, JobEnd};
-use crate::fleet::measure::{Count, Gauge, Span};
-use crate::fleet::msg::{JobMsg, Report};
+use crate::fleet::metrics::{Count, Gauge, Span};
+use crate::fleet::msg::{HostReport, JobMsg};
 use crate::fleet::ownership::balance::Transfer;
 use crate::fleet::ownership::claim::Probe;
 use crate::fleet::ownership::parts::capacity;
 use crate::fleet::ownership::pools::Pools;
-use crate::fleet::scheduler::{Out, Scheduler};
-use crate::fleet::table::RouteTable;
+use crate::fleet::route_table::RouteTable;
+use crate::fleet::scheduler::{Output, Scheduler};
 use crate::fleet::workers::call::Call;
 use crate::fleet::workers::run::RunId;
 use crate::fleet::workers::worker::{CallFault, Held, StartEnd, WorkerEntry};
@@ -54,15 +54,15 @@
     /// Bandwidth of its link, in kilobits a second; 0 when that is not known.
     pub link_kbps: u32,
     /// How many times longer a task takes away from its data, in thousandths.
-    pub remote_milli: u32,
+    pub remote_factor_milli: u32,
     /// Address of this host's links, `IP:port`.
     pub address: Name,
     /// Lease of a worker's runs, in milliseconds.
-    pub worker_lease: u64,
+    pub worker_lease_ms: u64,
     /// Lease of another host's tasks, in milliseconds. Together with that of
     /// the workers it has to stay below the time after which a caller without
     /// an answer sends its job again.
-    pub host_lease: u64,
+    pub host_lease_ms: u64,
     /// Policies in force.
     pub policy: Policy,
 }
@@ -85,11 +85,11 @@
         job: Job,
     },
     /// A caller went away, or cancelled its job.
-    Hangup(CallId),
+    Cancel(CallId),
     /// The operator's routes changed.
-    Table(Arc<RouteTable>),
+    Routes(Arc<RouteTable>),
     /// Operators ask for a zone to be evacuated, or no longer do.
-    Evacuation(ZoneState),
+    Evacuation(EvacuationState),
     /// Everything that operators had written at this revision of the store has been told.
     EvacuationsRead(u64),
     /// All workers as the store lists them.
@@ -111,16 +111,16 @@
         value: Bytes,
     },
     /// The store answers again, or does not.
-    Store(bool),
+    StoreAvailable(bool),
     /// A change of a record ended.
-    Stored {
+    StoreResult {
         /// Number of the call.
-        token: u64,
+        op_id: u64,
         /// How.
-        stored: Stored,
+        result: Stored,
     },
     /// An order to start ended.
-    Started {
+    StartResult {
         /// Worker.
         worker: Name,
         /// Name of the task.
@@ -131,7 +131,7 @@
         end: StartEnd,
     },
     /// An order to stop ended.
-    Stopped {
+    StopResult {
         /// Worker.
         worker: Name,
         /// Name of the task.
@@ -142,7 +142,7 @@
         end: Result<u64, CallFault>,
     },
     /// A hold ended.
-    Held {
+    RenewalResult {
         /// Worker.
         worker: Name,
         /// Number of the hold.
@@ -176,18 +176,18 @@
         frame: Frame,
     },
     /// Make the link to an address anew: it seems to carry nothing.
-    Redial(Name),
+    Reconnect(Name),
     /// Call a worker.
-    Worker(Call),
+    WorkerCall(Call),
     /// Call the store.
-    Store {
+    StoreCall {
         /// Number of the call.
-        token: u64,
+        op_id: u64,
         /// The call.
         op: StoreOp,
     },
     /// Register this host anew, as leaving.
-    Leave,
+    RegisterLeaving,
     /// Write a log line.
     Log(Note),
     /// Count an event.
@@ -202,11 +202,11 @@
 
 /// What a host needs the list of workers for, the least urgent need first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ListRole {
+pub enum PoolRole {
     /// Others own the workers of its zone.
-    Bystander,
+    Observer,
     /// Nobody owns workers of its zone: it may claim them.
-    Claimant,
+    Candidate,
     /// It owns workers, and starts nothing on those that are leaving.
     Owner,
 }
@@ -215,7 +215,7 @@
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) setup: FleetSetup,
-    pub(crate) table: Option<Arc<RouteTable>>,
+    pub(crate) route_table: Option<Arc<RouteTable>>,
     pub(crate) evacuations: Evacuations,
     pub(crate) members: Members,
     pub(crate) channels: BTreeMap<Peer, Channel>,
@@ -223,7 +223,7 @@
     /// All workers, each with its pool.
     pub(crate) workers: Vec<(WorkerEntry, Name)>,
     /// When the list of them came.
-    pub(crate) listed: Time,
+    pub(crate) listed_at: Time,
     /// Until when nothing is started for want of a fresh list.
     list_due: Option<Time>,
     /// Pools that have a worker, in order.
@@ -242,11 +242,11 @@
     pub(crate) lost_fronts: BTreeSet<Peer>,
     /// Incarnations that have ended, and when that was noticed.
     pub(crate) ended: BTreeMap<Peer, Time>,
-    pub(crate) report: (Time, Arc<Report>),
+    pub(crate) report: (Time, Arc<HostReport>),
     /// Since when the store answers.
     pub(crate) store_since: Option<Time>,
     /// Hosts that were given pools by word, and until when it matters that they hear.
-    pub(crate) words: BTreeMap<Peer, Time>,
+    pub(crate) grants: BTreeMap<Peer, Time>,
     pub(crate) leaving: bool,
     pub(crate) drained: bool,
     pub(crate) due: Time,
@@ -257,13 +257,13 @@
     /// Starts without a configuration and without workers.
     pub fn new(setup: FleetSetup) -> Self {
         Self {
-            table: None,
+            route_table: None,
             evacuations: Evacuations::default(),
             members: Members::new(setup.me.clone()),
             channels: BTreeMap::new(),
             pools: Pools::default(),
             workers: Vec::new(),
-            listed: Time::ZERO,
+            listed_at: Time::ZERO,
             list_due: None,
             pool_names: Arc::from([]),
             claim_due: Time::ZERO,
@@ -277,7 +277,7 @@
             ended: BTreeMap::new(),
             report: (Time::ZERO, Arc::default()),
             store_since: None,
-            words: BTreeMap::new(),
+            grants: BTreeMap::new(),
             leaving: false,
             drained: false,
             due: Time::ZERO,
@@ -289,9 +289,9 @@
     /// Takes one event in. Frames wait for [`Self::flush`].
     pub fn handle(&mut self, now: Time, event: FleetEvent) {
         match event {
-            FleetEvent::Call { call, job } => self.call(now, call, job),
-            FleetEvent::Hangup(call) => self.hangup(now, call),
-            FleetEvent::Table(table) => self.adopt(table),
+            FleetEvent::Call { call, job } => self.submit_call(now, call, job),
+            FleetEvent::Cancel(call) => self.cancel_call(now, call),
+            FleetEvent::Routes(table) => self.adopt(table),
             FleetEvent::Evacuation(state) => self.set_evacuation(now, &state, Source::Store),
             FleetEvent::EvacuationsRead(revision) => self.evacuations_read(now, revision),
             FleetEvent::Workers(workers) => self.list_workers(now, workers),
@@ -299,15 +299,19 @@
             FleetEvent::Record { pool, revision, value } => {
                 self.record(now, &pool, revision, &value);
             }
-            FleetEvent::Store(up) => self.store(now, up),
-            FleetEvent::Stored { token, stored } => self.stored(now, token, &stored),
-            FleetEvent::Started { worker, task, run, end } => {
-                self.scheduler.started(now, &worker, &RunId { task, run }, end);
+            FleetEvent::StoreAvailable(up) => self.store(now, up),
+            FleetEvent::StoreResult { op_id: token, result: stored } => {
+                self.stored(now, token, &stored)
             }
-            FleetEvent::Stopped { worker, task, run, end } => {
-                self.scheduler.stopped(now, &worker, &RunId { task, run }, end);
+            FleetEvent::StartResult { worker, task, run, end } => {
+                self.scheduler.handle_start(now, &worker, &RunId { task, run }, end);
+            }
+            FleetEvent::StopResult { worker, task, run, end } => {
+                self.scheduler.handle_stop(now, &worker, &RunId { task, run }, end);
+            }
+            FleetEvent::RenewalResult { worker, number, end } => {
+                self.held(now, &worker, number, end)
             }
-            FleetEvent::Held { worker, number, end } => self.held(now, &worker, number, end),
             FleetEvent::Frame(frame) => self.frame(now, *frame),
             FleetEvent::LinkDown(peer) => {
                 if let Some(channel) = self.channels.get_mut(&peer) {
@@ -327,7 +331,7 @@
         if self.may_start(now) {
             self.scheduler.dispatch(now);
         }
-        self.settle(now);
+        self.apply_output(now);
         self.send_frames(now);
         out.append(&mut self.out);
     }
@@ -336,20 +340,20 @@
     /// evacuations, which are read together, and which workers are leaving.
     fn may_start(&mut self, now: Time) -> bool {
         self.list_due = self.list_due.filter(|due| *due > now);
-        self.table.is_some() && self.list_due.is_none()
+        self.route_table.is_some() && self.list_due.is_none()
     }
 
     /// Notes that this host has come to own workers: it reads their list anew, unless the
     /// store is away.
-    pub(crate) fn await_list(&mut self, now: Time) {
-        if self.store_since.is_some() && self.listed.after_ms(FRESH_LIST_MS) <= now {
+    pub(crate) fn await_worker_list(&mut self, now: Time) {
+        if self.store_since.is_some() && self.listed_at.after_ms(FRESH_LIST_MS) <= now {
             self.list_due = Some(now.after_ms(LIST_WAIT_MS));
         }
     }
 
     /// Notes that the list of workers has come.
-    pub(crate) fn list_came(&mut self, now: Time) {
-        self.listed = now;
+    pub(crate) fn worker_list_received(&mut self, now: Time) {
+        self.listed_at = now;
         self.list_due = None;
     }
 
@@ -361,8 +365,8 @@
 
     /// Puts other leases in force, in milliseconds, for orders from now on.
     pub fn set_leases(&mut self, worker: u64, host: u64) {
-        self.setup.worker_lease = worker;
-        self.setup.host_lease = host;
+        self.setup.worker_lease_ms = worker;
+        self.setup.host_lease_ms = host;
         self.scheduler.set_lease(worker);
     }
 
@@ -372,19 +376,19 @@
     }
 
     /// Returns what this host needs the list of workers for.
-    pub fn list_role(&self) -> ListRole {
+    pub fn pool_role(&self) -> PoolRole {
         if self.scheduler.owns() {
-            ListRole::Owner
+            PoolRole::Owner
         } else if self.pools.owners(&self.setup.zone).is_empty() {
-            ListRole::Claimant
+            PoolRole::Candidate
         } else {
-            ListRole::Bystander
+            PoolRole::Observer
         }
     }
 
     /// Returns the routes in force.
-    pub fn table(&self) -> Option<&Arc<RouteTable>> {
-        self.table.as_ref()
+    pub fn route_table(&self) -> Option<&Arc<RouteTable>> {
+        self.route_table.as_ref()
     }
 
     /// Returns the open call that an id's job was handed in by.
@@ -401,7 +405,7 @@
     /// this host's own count and its peers' latest reports.
     pub fn pending(&self, now: Time, route: &str) -> u32 {
         let own = self.scheduler.pending().get(route).copied().unwrap_or(0);
-        let told = |report: &Report| {
+        let told = |report: &HostReport| {
             let row = report.pending.iter().find(|(name, _)| &**name == route);
             row.map_or(0, |(_, count)| *count)
         };
@@ -410,24 +414,24 @@
     }
 
     /// Carries out what the scheduler wants until nothing is left.
-    pub(crate) fn settle(&mut self, now: Time) {
+    pub(crate) fn apply_output(&mut self, now: Time) {
         while !self.scheduler.out.is_empty() {
             for out in std::mem::take(&mut self.scheduler.out) {
                 match out {
-                    Out::Call(call) => self.out.push(FleetEffect::Worker(call)),
-                    Out::Tell(peer, msg) => self.tell(now, &peer, msg),
-                    Out::Log(note) => self.out.push(FleetEffect::Log(note)),
-                    Out::Count(count) => self.out.push(FleetEffect::Count(count)),
-                    Out::Time(span, took) => self.out.push(FleetEffect::Time(span, took)),
+                    Output::Call(call) => self.out.push(FleetEffect::WorkerCall(call)),
+                    Output::Message(peer, msg) => self.send_job_msg(now, &peer, msg),
+                    Output::Log(note) => self.out.push(FleetEffect::Log(note)),
+                    Output::Count(count) => self.out.push(FleetEffect::Count(count)),
+                    Output::Time(span, took) => self.out.push(FleetEffect::Time(span, took)),
                 }
             }
         }
     }
 
     /// Sends a message about a job; to this host itself it goes at once.
-    pub(crate) fn tell(&mut self, now: Time, peer: &Peer, msg: JobMsg) {
+    pub(crate) fn send_job_msg(&mut self, now: Time, peer: &Peer, msg: JobMsg) {
         if *peer == self.setup.me {
-            self.message(now, &peer.clone(), msg);
+            self.handle_job_msg(now, &peer.clone(), msg);
         } else {
             self.push(peer, msg);
         }
@@ -435,15 +439,15 @@
 
     fn adopt(&mut self, table: Arc<RouteTable>) {
         // A read that lagged may bring an earlier version after a later one.
-        if self.table.as_ref().is_some_and(|own| own.version >= table.version) {
+        if self.route_table.as_ref().is_some_and(|own| own.version >= table.version) {
             return;
         }
         let pairs = vec![
             ("version", table.version.to_string()),
             ("routes", table.routes.len().to_string()),
         ];
-        self.note(Level::Info, "config_adopted", pairs);
-        self.table = Some(table);
+        self.log(Level::Info, "config_adopted", pairs);
+        self.route_table = Some(table);
     }
 
     fn store(&mut self, now: Time, up: bool) {
@@ -453,7 +457,7 @@
                 pool.vacant = None;
             }
             let event = if up { "store_up" } else { "store_down" };
-            self.note(Level::Info, event, Vec::new());
+            self.log(Level::Info, event, Vec::new());
         }
     }
 
@@ -462,18 +466,18 @@
         self.claim_pools(now);
         self.balance(now);
         self.scheduler.tick(now);
-        self.settle(now);
-        self.replace_lost(now);
-        self.pass_deadlines(now);
+        self.apply_output(now);
+        self.reassign_lost(now);
+        self.expire_deadlines(now);
         self.check_drained(now);
-        self.tell_evacuations();
+        self.report_evacuations();
         let busy = !self.front.open.is_empty() || !self.scheduler.jobs.is_empty();
         let pause = if busy { TICK_MS } else { REST_MS };
         self.due = now.after_ms(pause);
     }
 
     /// Writes a line that concerns no job.
-    pub(crate) fn note(
+    pub(crate) fn log(
         &mut self,
         level: Level,
         event: &'static str,
--- a/endivestile_kernel/src/fleet/evacuation.rs
+++ b/endivestile_kernel/src/fleet/evacuation.rs
@@ -13,13 +13,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::core::{Fleet, FleetEffect};
-use crate::fleet::measure::Gauge;
+use crate::fleet::metrics::Gauge;
 use crate::fleet::ownership::parts::zone_of;
 use crate::{Level, Time};
 
 /// Whether a zone is being evacuated, as of a revision of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneState {
+pub struct EvacuationState {
     /// Availability zone.
     pub zone: Name,
     /// Revision of the store at which this held.
@@ -49,7 +49,7 @@
 /// The latest known states of zones that were ever evacuated.
 #[derive(Debug, Default)]
 pub(crate) struct Evacuations {
-    zones: BTreeMap<Name, ZoneState>,
+    zones: BTreeMap<Name, EvacuationState>,
     /// Zones of which the store told this host that they are evacuated.
     stored: BTreeSet<Name>,
     /// Revision up to which this host has read the store itself.
@@ -60,7 +60,7 @@
 
 impl Evacuations {
     /// Takes a state in unless a later one is known; returns whether the zone's state changed.
-    pub(crate) fn merge(&mut self, state: &ZoneState, source: Source) -> bool {
+    pub(crate) fn merge(&mut self, state: &EvacuationState, source: Source) -> bool {
         match source {
             Source::Peer if state.revision <= self.read => return false,
             Source::Store if state.evacuated => {
@@ -82,12 +82,16 @@
 
     /// Notes that the store has been read up to a revision; returns the states of zones that
     /// are believed to be evacuated, by a peer's word, and are not.
-    pub(crate) fn read(&mut self, revision: u64) -> Vec<ZoneState> {
+    pub(crate) fn read(&mut self, revision: u64) -> Vec<EvacuationState> {
         self.read = self.read.max(revision);
         let outdated = self.zones.values().filter(|state| {
             state.evacuated && state.revision < revision && !self.stored.contains(&state.zone)
         });
-        let ended = |state: &ZoneState| ZoneState { revision, evacuated: false, ..state.clone() };
+        let ended = |state: &EvacuationState| EvacuationState {
+            revision,
+            evacuated: false,
+            ..state.clone()
+        };
         outdated.map(ended).collect()
     }
 
@@ -102,14 +106,14 @@
     }
 
     /// Returns all states, for other hosts.
-    pub(crate) fn states(&self) -> Vec<ZoneState> {
+    pub(crate) fn states(&self) -> Vec<EvacuationState> {
         self.zones.values().cloned().collect()
     }
 }
 
 impl Fleet {
     /// Takes the state of a zone in, and puts a change in force.
-    pub(crate) fn set_evacuation(&mut self, now: Time, state: &ZoneState, source: Source) {
+    pub(crate) fn set_evacuation(&mut self, now: Time, state: &EvacuationState, source: Source) {
         if !self.evacuations.merge(state, source) {
             return;
         }
@@ -120,16 +124,16 @@
             ("source", source.label().to_owned()),
             ("runs", self.scheduler.runs_in_zone(&state.zone).to_string()),
         ];
-        self.note(Level::Info, event, pairs);
+        self.log(Level::Info, event, pairs);
         if state.evacuated && !self.knows_zone(&state.zone) {
             let pairs = vec![("zone", state.zone.to_string())];
-            self.note(Level::Warn, "evacuation_zone_unknown", pairs);
+            self.log(Level::Warn, "evacuation_zone_unknown", pairs);
         }
         self.scheduler.evacuate(now, self.evacuations.active().cloned().collect());
         // Peers must not send tasks here by a report from before.
         self.report.0 = Time::ZERO;
         self.standby_due = now;
-        self.settle(now);
+        self.apply_output(now);
     }
 
     /// Takes in that the store has been read up to a revision.
@@ -156,7 +160,7 @@
 
     /// Tells how far evacuations have come: what still runs, and once of each zone that
     /// nothing runs any more on the workers there that this host owns.
-    pub(crate) fn tell_evacuations(&mut self) {
+    pub(crate) fn report_evacuations(&mut self) {
         let zones = self.evacuations.active().count() as u64;
         let runs = self.evacuations.active().map(|zone| self.scheduler.runs_in_zone(zone));
         let gauges = (zones, runs.sum::<usize>() as u64);
@@ -167,7 +171,7 @@
         }
         for zone in self.scheduler.take_emptied() {
             let pairs = vec![("zone", zone.to_string())];
-            self.note(Level::Info, "evacuation_drained", pairs);
+            self.log(Level::Info, "evacuation_drained", pairs);
         }
     }
 }
--- a/endivestile_kernel/src/fleet/hosts/link.rs
+++ b/endivestile_kernel/src/fleet/hosts/link.rs
@@ -6,14 +6,14 @@
 use endivestile_config::model::Name;
 
 use crate::channel::Channel;
+use crate::fleet::assignment::UNREACHABLE_MS;
 use crate::fleet::core::{Fleet, FleetEffect};
 use crate::fleet::evacuation::Source;
 use crate::fleet::hosts::members::{BEAT_MS, FAR_BEAT_MS, Heard, Member, REST_BEAT_MS, rank};
 use crate::fleet::job::{JobEnd, Reason};
 use crate::fleet::lag::overloaded;
-use crate::fleet::measure::Count;
-use crate::fleet::msg::{JobMsg, Report, RoomFigure};
-use crate::fleet::serve::LOST_MS;
+use crate::fleet::metrics::Count;
+use crate::fleet::msg::{HostReport, JobMsg, ServiceCapacity};
 use crate::{Frame, Level, Msg, Peer, Time};
 
 /// Age at which the report of this host is worked out anew, in milliseconds.
@@ -53,19 +53,19 @@
             }
             self.take_room(now, &from, &report);
         }
-        let lease = self.setup.host_lease;
+        let lease = self.setup.host_lease_ms;
         let channel = self.channel(&from);
         for msg in channel.receive(now, frame) {
             match msg {
                 Msg::Job(JobMsg::Submit { serial, echo, .. }) if echo.after_ms(lease) <= now => {
                     self.refuse_stale(now, &from, serial);
                 }
-                Msg::Job(msg) => self.message(now, &from, msg),
+                Msg::Job(msg) => self.handle_job_msg(now, &from, msg),
                 Msg::HandOver(msg) => self.take_over(now, &from, &msg),
                 _ => {}
             }
         }
-        self.settle(now);
+        self.apply_output(now);
     }
 
     /// Refuses a job that was held up for a lease on its way, in a cut or in a
@@ -73,24 +73,24 @@
     /// run twice.
     fn refuse_stale(&mut self, now: Time, from: &Peer, serial: u64) {
         let pairs = vec![("front", from.to_string()), ("serial", serial.to_string())];
-        self.note(Level::Info, "job_stale", pairs);
+        self.log(Level::Info, "job_stale", pairs);
         self.out.push(FleetEffect::Count(Count::JobsStale));
         let end = JobEnd::NotRun { reason: Reason::NoPlacer, retry: now };
-        self.tell(now, from, JobMsg::Ended { serial, end });
+        self.send_job_msg(now, from, JobMsg::Ended { serial, end });
     }
 
     /// Remembers what room another placer has. It counts only if this host's frames
     /// reach it: after a cut, tasks would wait on a link that is not back yet.
-    fn take_room(&mut self, now: Time, from: &Peer, report: &Report) {
-        let reachable = self.members.get(from).is_some_and(|it| it.reachable(now, LOST_MS));
+    fn take_room(&mut self, now: Time, from: &Peer, report: &HostReport) {
+        let reachable = self.members.get(from).is_some_and(|it| it.reachable(now, UNREACHABLE_MS));
         if report.pools == 0 || !reachable || overloaded(report.lag_ms) {
-            self.scheduler.others.remove(from);
+            self.scheduler.peer_capacity.remove(from);
             return;
         }
         let spare =
-            |room: &RoomFigure| (room.service.clone(), room.free.saturating_sub(room.waiting));
-        let room = report.room.iter().map(spare).collect();
-        self.scheduler.others.insert(from.clone(), room);
+            |room: &ServiceCapacity| (room.service.clone(), room.free.saturating_sub(room.waiting));
+        let room = report.capacity.iter().map(spare).collect();
+        self.scheduler.peer_capacity.insert(from.clone(), room);
         self.scheduler.dirty = true;
     }
 
@@ -113,12 +113,12 @@
     /// An incarnation is known to have ended: what it was forwarded is taken back
     /// when its workers' leases have run out, and its own jobs are stopped.
     pub(crate) fn peer_ended(&mut self, now: Time, peer: &Peer) {
-        self.note(Level::Info, "peer_ended", vec![("peer", peer.to_string())]);
+        self.log(Level::Info, "peer_ended", vec![("peer", peer.to_string())]);
         // Workers that it drove may run on for their leases' time.
         self.ended.insert(peer.clone(), now);
         self.channels.remove(peer);
-        self.scheduler.lose_front(now, peer);
-        self.scheduler.others.remove(peer);
+        self.scheduler.cancel_front(now, peer);
+        self.scheduler.peer_capacity.remove(peer);
     }
 
     /// Looks at every peer: asks for beats, makes dumb links anew, gives up
@@ -147,7 +147,7 @@
                 dumb.push(member.address.clone());
             }
         }
-        self.out.extend(dumb.into_iter().map(FleetEffect::Redial));
+        self.out.extend(dumb.into_iter().map(FleetEffect::Reconnect));
         self.lose_silent(now);
     }
 
@@ -189,42 +189,42 @@
     fn busy_peers(&self) -> BTreeSet<Peer> {
         let mut busy: BTreeSet<Peer> = self.scheduler.fronts().into_iter().collect();
         busy.extend(self.scheduler.targets());
-        busy.extend(self.front.open.values().filter_map(|open| open.to.clone()));
+        busy.extend(self.front.open.values().filter_map(|open| open.assigned_to.clone()));
         busy
     }
 
     /// Stops what runs for hosts that have not had our frames for a lease, and
     /// takes back what was forwarded to hosts that must have stopped it.
     fn lose_silent(&mut self, now: Time) {
-        let lease = self.setup.host_lease;
-        let sure = lease + self.setup.worker_lease + 100;
+        let lease = self.setup.host_lease_ms;
+        let sure = lease + self.setup.worker_lease_ms + 100;
         let fronts: Vec<Peer> = self.scheduler.fronts();
         for peer in fronts {
             let echoed = self.members.get(&peer).map(|member| member.echoed);
             let lost = echoed.is_none_or(|at| at.after_ms(lease) <= now);
             if lost && self.lost_fronts.insert(peer.clone()) {
-                self.note(Level::Info, "front_lost", vec![("peer", peer.to_string())]);
+                self.log(Level::Info, "front_lost", vec![("peer", peer.to_string())]);
             }
             if lost {
-                self.scheduler.lose_front(now, &peer);
+                self.scheduler.cancel_front(now, &peer);
             } else {
                 self.lost_fronts.remove(&peer);
             }
         }
-        let others: Vec<Peer> = self.scheduler.others.keys().cloned().collect();
+        let others: Vec<Peer> = self.scheduler.peer_capacity.keys().cloned().collect();
         for peer in others {
             let member = self.members.get(&peer);
-            if !member.is_some_and(|member| member.reachable(now, LOST_MS)) {
-                self.scheduler.others.remove(&peer);
+            if !member.is_some_and(|member| member.reachable(now, UNREACHABLE_MS)) {
+                self.scheduler.peer_capacity.remove(&peer);
             }
         }
         self.ended.retain(|_, at| at.after_ms(sure) > now);
         for peer in self.scheduler.targets() {
             if !self.members.answers(now, &peer, sure) && !self.ended.contains_key(&peer) {
-                self.scheduler.lose_target(now, &peer);
+                self.scheduler.reclaim_forwards(now, &peer);
             }
         }
-        self.settle(now);
+        self.apply_output(now);
     }
 
     /// Sends what is due to every peer.
@@ -244,7 +244,7 @@
         }
     }
 
-    fn send_frame(&mut self, now: Time, peer: &Peer, report: &Arc<Report>) -> bool {
+    fn send_frame(&mut self, now: Time, peer: &Peer, report: &Arc<HostReport>) -> bool {
         let Some(member) = self.members.get_mut(peer) else { return false };
         let Some(channel) = self.channels.get_mut(peer) else { return false };
         let Some(mut frame) = channel.frame(now, &self.setup.me) else { return false };
@@ -252,29 +252,29 @@
         frame.leaving = self.leaving;
         frame.echo = member.theirs;
         frame.report = Some(report.clone());
-        frame.revision = self.table.as_ref().map_or(0, |table| table.version);
+        frame.revision = self.route_table.as_ref().map_or(0, |table| table.version);
         let more = !frame.msgs.is_empty();
         self.out.push(FleetEffect::Send { address: member.address.clone(), frame });
         more
     }
 
     /// Returns what this host tells of itself.
-    fn current_report(&mut self, now: Time) -> Arc<Report> {
+    fn current_report(&mut self, now: Time) -> Arc<HostReport> {
         if self.report.0 > now {
             return self.report.1.clone();
         }
         let me = &self.setup.me;
         let pools = self.pools.owned(me).count() as u32;
         let rooms = self.scheduler.rooms(now).into_iter();
-        let report = Report {
+        let report = HostReport {
             zone: self.setup.zone.clone(),
             address: self.setup.address.clone(),
             cpu_milli: self.setup.cpu_milli,
             link_kbps: self.setup.link_kbps,
             lag_ms: self.scheduler.lag.ms(),
             pools,
-            room: rooms
-                .map(|(service, (free, waiting))| RoomFigure { service, free, waiting })
+            capacity: rooms
+                .map(|(service, (free, waiting))| ServiceCapacity { service, free, waiting })
                 .collect(),
             pending: self.scheduler.pending().into_iter().collect(),
             evacuations: self.evacuations.states(),
--- a/endivestile_kernel/src/fleet/hosts/members.rs
+++ b/endivestile_kernel/src/fleet/hosts/members.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::fleet::msg::Report;
+use crate::fleet::msg::HostReport;
 use crate::fleet::ownership::parts::capacity;
 use crate::{Peer, Time};
 
@@ -77,7 +77,7 @@
     /// Its own clock at its latest frame, which we echo.
     pub(crate) theirs: Time,
     /// What it told last.
-    pub(crate) report: Arc<Report>,
+    pub(crate) report: Arc<HostReport>,
     /// Since when it is known.
     pub(crate) since: Time,
     /// From when on its link may be made anew.
@@ -216,7 +216,7 @@
     /// Our clock at the sending of the latest frame that it has had.
     pub(crate) echo: Time,
     /// What it tells of itself.
-    pub(crate) report: Option<&'a Arc<Report>>,
+    pub(crate) report: Option<&'a Arc<HostReport>>,
 }
 
 impl Member {
--- a/endivestile_kernel/src/fleet/job.rs
+++ b/endivestile_kernel/src/fleet/job.rs
@@ -11,21 +11,21 @@
     /// Tasks.
     pub count: u16,
     /// Number of the first task; above 0 where one task was passed on alone.
-    pub first: u16,
+    pub first_task: u16,
     /// Number of the step in the job as the caller sent it.
     pub number: u16,
     /// What each task takes of a worker.
     pub need: Need,
     /// The caller's rough estimate of one task's run time, in milliseconds.
-    pub estimate: u32,
+    pub estimate_ms: u32,
     /// Earlier steps that must have ended, as indices into [`Job::steps`].
     pub after: Vec<u16>,
     /// Label that a worker must carry.
-    pub label: Option<Name>,
+    pub required_label: Option<Name>,
     /// Label of the workers that are near the step's data.
-    pub near: Option<Name>,
+    pub near_label: Option<Name>,
     /// Most tasks of the step on one worker at a time; 0 for no limit.
-    pub spread: u16,
+    pub max_per_worker: u16,
 }
 
 /// A job whose answer is its end: it needs no storing, and a caller that gets
@@ -47,18 +47,18 @@
     /// 0 comes first.
     pub priority: u32,
     /// Runs of one task that may fail before the job does.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Objective: this many thousandths of the work's own duration ..
-    pub stretch: u32,
+    pub stretch_milli: u32,
     /// .. and this many milliseconds more.
-    pub allowance: u32,
+    pub allowance_ms: u32,
     /// When the caller handed it in.
     pub arrived: Time,
     /// When the caller stops waiting.
     pub deadline: Time,
     /// Runs of its tasks are numbered from here on: a worker refuses a run
     /// that is not above every run of the task that ended there.
-    pub base: u32,
+    pub run_base: u32,
     /// Whether another placer passed it on; it is not passed on again.
     pub forwarded: bool,
 }
@@ -70,11 +70,11 @@
     }
 
     /// Returns the longest chain of declared run times, in milliseconds.
-    pub fn chain(&self) -> u64 {
+    pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.after.iter().filter_map(|at| ends.get(usize::from(*at)));
-            ends.push(before.max().copied().unwrap_or(0) + u64::from(step.estimate));
+            ends.push(before.max().copied().unwrap_or(0) + u64::from(step.estimate_ms));
         }
         ends.into_iter().max().unwrap_or(0)
     }
--- a/endivestile_kernel/src/fleet/course.rs
+++ b/endivestile_kernel/src/fleet/job_log.rs
@@ -2,13 +2,13 @@
 
 use crate::fleet::admission::queue::Queue;
 use crate::fleet::job::{JobEnd, Reason};
-use crate::fleet::scheduler::{Scheduler, holds};
-use crate::fleet::state::JobState;
+use crate::fleet::job_state::JobState;
+use crate::fleet::scheduler::{Scheduler, has_capacity};
 use crate::{Level, Time};
 
 /// What delayed a job, counted while it is placed.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Course {
+pub(crate) struct RunStats {
     /// When a task was last ordered.
     pub(crate) last_order: Option<Time>,
     /// Speed of the worker of that order, 1 for the usual.
@@ -26,18 +26,18 @@
     ///
     /// A job that ends well is one of many and tells little: its line is short and for
     /// debugging only, and nothing else is worked out for it.
-    pub(crate) fn note_end(&mut self, now: Time, number: u64, end: JobEnd, started: bool) {
+    pub(crate) fn log_end(&mut self, now: Time, number: u64, end: JobEnd, started: bool) {
         let Some(state) = self.jobs.get(&number) else { return };
         let well = end == JobEnd::Done && now <= state.objective;
         // A task that found no room here goes on at the host that passed it on.
         let passed_back = state.job.forwarded && matches!(end, JobEnd::NotRun { .. });
         if well || passed_back {
-            let ms = now.since(state.came).as_millis().to_string();
+            let ms = now.since(state.received_at).as_millis().to_string();
             let more = [("end", end.label().to_owned()), ("ms", ms)];
-            return self.note_job(Level::Debug, "placed_job_ended", number, &more);
+            return self.log_job(Level::Debug, "placed_job_ended", number, &more);
         }
         let more = self.account(now, state, end, started);
-        self.note_job(Level::Info, "placed_job_ended", number, &more);
+        self.log_job(Level::Info, "placed_job_ended", number, &more);
     }
 
     /// Returns how many workers have room for a task of a job's first step, and how many
@@ -45,7 +45,7 @@
     fn room_for(&self, now: Time, state: &JobState) -> (usize, usize) {
         let Some(step) = state.job.steps.first() else { return (0, 0) };
         let fits = self.drivers.iter().filter(|(_, driver)| {
-            driver.entry.service == state.job.service && holds(&driver.free(), &step.need)
+            driver.entry.service == state.job.service && has_capacity(&driver.free(), &step.need)
         });
         let (free, shut): (Vec<_>, Vec<_>) =
             fits.partition(|(id, driver)| driver.usable(now) && self.sound(now, id));
@@ -59,11 +59,11 @@
         end: JobEnd,
         started: bool,
     ) -> Vec<(&'static str, String)> {
-        let course = &state.course;
-        let after = |at: Time| at.since(state.came).as_millis().to_string();
+        let course = &state.stats;
+        let after = |at: Time| at.since(state.received_at).as_millis().to_string();
         let (free, shut) = self.room_for(now, state);
         let waiting = self.queues.get(&state.job.service).map_or(0, Queue::len);
-        let usual_us = self.chain_us(&state.job);
+        let usual_us = self.critical_path_us(&state.job);
         vec![
             ("end", end.label().to_owned()),
             ("reason", end.reason().map_or("", Reason::label).to_owned()),
--- a/endivestile_kernel/src/fleet/state.rs
+++ b/endivestile_kernel/src/fleet/job_state.rs
@@ -5,8 +5,8 @@
 use endivestile_config::model::Name;
 
 use crate::fleet::admission::queue::Key;
-use crate::fleet::course::Course;
 use crate::fleet::job::{Job, JobEnd, Step};
+use crate::fleet::job_log::RunStats;
 use crate::fleet::workers::run::RunId;
 use crate::{Peer, Time};
 
@@ -16,7 +16,7 @@
     /// Earlier steps have not ended, or the job is being closed.
     Blocked,
     /// In the queue.
-    Waiting(Key),
+    Queued(Key),
     /// Ordered at a worker.
     Running {
         /// The worker.
@@ -40,9 +40,9 @@
     /// Where it stands.
     pub(crate) state: TaskState,
     /// Runs that failed by the task's own fault, as far as can be told.
-    pub(crate) fails: u32,
+    pub(crate) failures: u32,
     /// Number of the next run.
-    pub(crate) run: u32,
+    pub(crate) next_run: u32,
 }
 
 impl TaskSlot {
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(crate) struct JobState {
     /// The host that wants its end.
-    pub(crate) from: Peer,
+    pub(crate) sender: Peer,
     /// That host's number for it.
     pub(crate) serial: u64,
     /// The job.
@@ -64,7 +64,7 @@
     /// Its tasks, step by step.
     pub(crate) tasks: Vec<TaskSlot>,
     /// Tasks of each step that have not ended.
-    pub(crate) left: Vec<u16>,
+    pub(crate) remaining: Vec<u16>,
     /// When its caller is served well at the latest.
     pub(crate) objective: Time,
     /// When its first task was ordered.
@@ -74,51 +74,50 @@
     /// How it ended, while something of it may still run.
     pub(crate) ending: Option<JobEnd>,
     /// Whether its host has been told.
-    pub(crate) told: bool,
+    pub(crate) end_sent: bool,
     /// When it came here.
-    pub(crate) came: Time,
+    pub(crate) received_at: Time,
     /// Whether it waits until nothing of an earlier try can run.
-    pub(crate) parked: bool,
+    pub(crate) deferred: bool,
     /// Duration at speed 1 of the task that ended first, in microseconds:
     /// tasks of one job are much alike.
-    pub(crate) work: Option<f64>,
+    pub(crate) work_us: Option<f64>,
     /// What delayed it.
-    pub(crate) course: Course,
+    pub(crate) stats: RunStats,
 }
 
 impl JobState {
     /// Takes a job in, with the tasks of its first steps ready to be queued.
     pub(crate) fn new(now: Time, from: Peer, serial: u64, job: Arc<Job>, objective: Time) -> Self {
-        let slots = job
-            .steps
-            .iter()
-            .enumerate()
-            .flat_map(|(at, step)| (0..step.count).map(move |index| (at, step.first + index)));
+        let slots =
+            job.steps.iter().enumerate().flat_map(|(at, step)| {
+                (0..step.count).map(move |index| (at, step.first_task + index))
+            });
         let tasks = slots
             .map(|(step, index)| TaskSlot {
                 step,
                 index,
                 state: TaskState::Blocked,
-                fails: 0,
-                run: job.base + 1,
+                failures: 0,
+                next_run: job.run_base + 1,
             })
             .collect();
         let left = job.steps.iter().map(|step| step.count).collect();
         Self {
-            from,
+            sender: from,
             serial,
             job,
             tasks,
-            left,
+            remaining: left,
             objective,
             started: None,
             starts: 0,
             ending: None,
-            told: false,
-            came: now,
-            parked: false,
-            work: None,
-            course: Course::default(),
+            end_sent: false,
+            received_at: now,
+            deferred: false,
+            work_us: None,
+            stats: RunStats::default(),
         }
     }
 
@@ -135,12 +134,12 @@
 
     /// Returns whether all tasks of the steps before have ended.
     fn ready(&self, step: usize) -> bool {
-        self.job.steps[step].after.iter().all(|at| self.left[usize::from(*at)] == 0)
+        self.job.steps[step].after.iter().all(|at| self.remaining[usize::from(*at)] == 0)
     }
 
     /// Returns the blocked tasks that may be queued now.
     pub(crate) fn unblocked(&self) -> Vec<usize> {
-        if self.ending.is_some() || self.parked {
+        if self.ending.is_some() || self.deferred {
             return Vec::new();
         }
         let blocked = |task: &usize| {
@@ -152,7 +151,7 @@
 
     /// Returns whether a task of it may have run: one was ordered here, or is
     /// with another placer, which has not told yet.
-    pub(crate) fn touched(&self) -> bool {
+    pub(crate) fn may_have_run(&self) -> bool {
         let forwarded = |slot: &TaskSlot| matches!(slot.state, TaskState::Forwarded(_));
         self.started.is_some() || self.tasks.iter().any(forwarded)
     }
@@ -164,11 +163,11 @@
 
     /// Returns whether all tasks have ended well.
     pub(crate) fn done(&self) -> bool {
-        self.left.iter().all(|left| *left == 0)
+        self.remaining.iter().all(|left| *left == 0)
     }
 
     /// Returns how many tasks of a task's step run on a worker.
-    pub(crate) fn beside(&self, task: usize, worker: &str) -> usize {
+    pub(crate) fn running_on(&self, task: usize, worker: &str) -> usize {
         let step = self.tasks[task].step;
         let there = |slot: &&TaskSlot| {
             slot.step == step
--- a/endivestile_kernel/src/fleet/lag.rs
+++ b/endivestile_kernel/src/fleet/lag.rs
@@ -22,7 +22,7 @@
 
 impl Lag {
     /// Takes in how long the answer to an order took, in microseconds.
-    pub(crate) fn note(&mut self, took_us: u64) {
+    pub(crate) fn record(&mut self, took_us: u64) {
         self.quickest = Some(self.quickest.map_or(took_us, |least| least.min(took_us)));
     }
 
--- a/endivestile_kernel/src/fleet/mod.rs
+++ b/endivestile_kernel/src/fleet/mod.rs
@@ -2,32 +2,32 @@
 //! tokens, with hosts that find each other in the store.
 
 mod admission;
+mod assignment;
+mod completion;
 mod core;
-mod course;
 mod evacuation;
 mod front;
 mod hosts;
 mod job;
+mod job_log;
+mod job_state;
 mod lag;
-mod measure;
+mod metrics;
 mod msg;
-mod outcome;
 mod ownership;
 mod placement;
+mod route_table;
 mod scheduler;
-mod serve;
-mod state;
-mod table;
 mod workers;
 
-pub use core::{Fleet, FleetEffect, FleetEvent, FleetSetup, ListRole};
-pub use evacuation::ZoneState;
+pub use core::{Fleet, FleetEffect, FleetEvent, FleetSetup, PoolRole};
+pub use evacuation::EvacuationState;
 pub use hosts::members::HostEntry;
 pub use job::{Job, JobEnd, Reason, Step};
-pub use measure::{Count, Gauge, Span};
-pub use msg::{HandOver, JobMsg, Report, RoomFigure};
+pub use metrics::{Count, Gauge, Span};
+pub use msg::{HandOver, HostReport, JobMsg, ServiceCapacity};
 pub use ownership::pools::{HOST_KEYS, POOL_KEYS};
-pub use table::{Limits, Route, RouteTable, ServiceRule};
+pub use route_table::{Limits, Route, RouteTable, ServiceLimits};
 pub use workers::call::{Call as WorkerCall, due as worker_call_due};
 pub use workers::worker::{
     CallFault, EndRow, Held, HoldOrder, RunEnd, RunRow, StartEnd, StartOrder, StopOrder,
--- a/endivestile_kernel/src/fleet/msg.rs
+++ b/endivestile_kernel/src/fleet/msg.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Time;
-use crate::fleet::evacuation::ZoneState;
+use crate::fleet::evacuation::EvacuationState;
 use crate::fleet::job::{Job, JobEnd};
 
 /// A message about one job; `serial` is the asking host's number for it.
@@ -69,7 +69,7 @@
 
 /// Room of a host's workers for one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoomFigure {
+pub struct ServiceCapacity {
     /// Service.
     pub service: Name,
     /// Usual tasks for which there is room now.
@@ -80,7 +80,7 @@
 
 /// What a host tells its peers of itself with every frame.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Report {
+pub struct HostReport {
     /// Availability zone.
     pub zone: Name,
     /// Address of its links.
@@ -94,9 +94,9 @@
     /// Pools that it owns.
     pub pools: u32,
     /// Room for each service.
-    pub room: Vec<RoomFigure>,
+    pub capacity: Vec<ServiceCapacity>,
     /// Jobs that wait with no task started, by route.
     pub pending: Vec<(Name, u32)>,
     /// Zones of which it knows that they are or were evacuated.
-    pub evacuations: Vec<ZoneState>,
+    pub evacuations: Vec<EvacuationState>,
 }
--- a/endivestile_kernel/src/fleet/ownership/balance.rs
+++ b/endivestile_kernel/src/fleet/ownership/balance.rs
@@ -10,11 +10,11 @@
 use endivestile_config::Mechanism;
 use endivestile_config::model::Name;
 
+use crate::fleet::assignment::UNREACHABLE_MS;
 use crate::fleet::core::Fleet;
 use crate::fleet::hosts::members::Member;
 use crate::fleet::lag::overloaded;
 use crate::fleet::ownership::parts::{owners_wanted, zone_of};
-use crate::fleet::serve::LOST_MS;
 use crate::{Level, Peer, Time};
 
 /// Time between two looks at a zone's shares, in milliseconds.
@@ -100,7 +100,7 @@
         }
         if let Some((pool, to)) = self.planned(now) {
             let pairs = vec![("pool", pool.to_string()), ("to", to.to_string())];
-            self.note(Level::Info, "transfer_planned", pairs);
+            self.log(Level::Info, "transfer_planned", pairs);
             self.scheduler.close_pool(Some(&pool));
             self.transfer = Some(Transfer { pool, to, limit: now.after_ms(DRAIN_MS) });
         }
@@ -111,11 +111,12 @@
         let pool = &transfer.pool;
         let known = self.pools.by_name.get(pool);
         let mine = known.is_some_and(|pool| pool.owned_by(&self.setup.me));
-        let ready = self.members.answers(now, &transfer.to, LOST_MS) && self.store_since.is_some();
+        let ready =
+            self.members.answers(now, &transfer.to, UNREACHABLE_MS) && self.store_since.is_some();
         if !mine || self.leaving || !ready || transfer.limit <= now {
             if mine {
                 let pairs = vec![("pool", pool.to_string()), ("to", transfer.to.to_string())];
-                self.note(Level::Info, "transfer_given_up", pairs);
+                self.log(Level::Info, "transfer_given_up", pairs);
                 self.balance_due = now.after_ms(RETRY_MS);
             }
             self.scheduler.close_pool(None);
@@ -130,13 +131,13 @@
 
     /// Returns whether nothing else is going on in this zone: all pools have live owners.
     fn steady(&self, now: Time) -> bool {
-        let long = self.store_since.is_some_and(|since| since.after_ms(LOST_MS) <= now);
+        let long = self.store_since.is_some_and(|since| since.after_ms(UNREACHABLE_MS) <= now);
         let zone = &*self.setup.zone;
         let mut names = self.pool_names.iter().filter(|name| zone_of(name) == zone);
         long && !self.leaving
             && names.all(|name| {
                 let Some(pool) = self.pools.by_name.get(name) else { return false };
-                let live = |owner: &Peer| self.members.answers(now, owner, LOST_MS);
+                let live = |owner: &Peer| self.members.answers(now, owner, UNREACHABLE_MS);
                 let owned = pool.record.as_ref().is_some_and(|record| live(&record.owner));
                 let word = pool.owned_by_word();
                 owned && !word && !pool.challenged() && pool.changed.after_ms(SETTLED_MS) <= now
@@ -149,7 +150,7 @@
         let owners = self.pools.owners(zone);
         let pools = |peer: &Peer| owners.get(peer).copied().unwrap_or(0);
         let may = |member: &&Member| {
-            member.zone == *zone && !member.leaving && member.answers(now, LOST_MS)
+            member.zone == *zone && !member.leaving && member.answers(now, UNREACHABLE_MS)
         };
         let mut shares: Vec<Share> = self
             .members
--- a/endivestile_kernel/src/fleet/ownership/claim.rs
+++ b/endivestile_kernel/src/fleet/ownership/claim.rs
@@ -5,12 +5,12 @@
 use endivestile_config::Mechanism;
 use endivestile_config::model::Name;
 
+use crate::fleet::assignment::UNREACHABLE_MS;
 use crate::fleet::core::{Fleet, FleetEffect};
 use crate::fleet::hosts::members::HostEntry;
-use crate::fleet::measure::Count;
+use crate::fleet::metrics::Count;
 use crate::fleet::ownership::parts::{pool_of, zone_of};
 use crate::fleet::ownership::pools::{Change, POOL_KEYS, Pool};
-use crate::fleet::serve::LOST_MS;
 use crate::fleet::workers::worker::{CallFault, Held, WorkerEntry};
 use crate::{Level, Peer, StoreOp, Stored, Time};
 
@@ -43,7 +43,7 @@
     pub(crate) fn register(&mut self, now: Time, name: &Name, entry: Option<&HostEntry>) {
         if let Some(ended) = self.members.register(now, name, entry) {
             self.peer_ended(now, &ended);
-            self.settle(now);
+            self.apply_output(now);
         }
     }
 
@@ -54,7 +54,7 @@
             Ok(false) => {}
             Err(e) => {
                 let pairs = vec![("pool", name.to_string()), ("error", e.to_string())];
-                self.note(Level::Error, "record_unreadable", pairs);
+                self.log(Level::Error, "record_unreadable", pairs);
             }
         }
     }
@@ -63,7 +63,7 @@
     pub(crate) fn stored(&mut self, now: Time, token: u64, stored: &Stored) {
         let Some((name, done)) = self.pools.stored(now, token, stored) else { return };
         let pairs = vec![("pool", name.to_string()), ("outcome", format!("{stored:?}"))];
-        self.note(Level::Info, "owner_change_ended", pairs);
+        self.log(Level::Info, "owner_change_ended", pairs);
         if done {
             self.owners_changed(now, &name);
         } else if *stored == Stored::Lost {
@@ -77,7 +77,7 @@
         let token = pool.map_or(0, Pool::token);
         let pairs =
             vec![("pool", name.to_string()), ("owner", owner), ("token", token.to_string())];
-        self.note(Level::Info, "owner_known", pairs);
+        self.log(Level::Info, "owner_known", pairs);
         self.name_pools();
         self.take_workers(now);
     }
@@ -88,7 +88,7 @@
             (entry, pool)
         });
         self.workers = pooled.collect();
-        self.list_came(now);
+        self.worker_list_received(now);
         self.name_pools();
         self.take_workers(now);
     }
@@ -118,10 +118,10 @@
         let owned = self.scheduler.owns();
         self.scheduler.set_workers(now, &mine, &pools);
         if !owned && self.scheduler.owns() {
-            self.await_list(now);
+            self.await_worker_list(now);
         }
         self.report.0 = Time::ZERO;
-        self.settle(now);
+        self.apply_output(now);
     }
 
     /// Takes in the answer to a hold, or to a probe.
@@ -139,7 +139,7 @@
             }
             return;
         }
-        self.scheduler.held(now, worker, number, end);
+        self.scheduler.handle_renewal(now, worker, number, end);
         self.check_fenced(now);
     }
 
@@ -155,7 +155,7 @@
             pool.deposed = true;
             pool.vacant = None;
             self.out.push(FleetEffect::Count(Count::Deposed));
-            self.note(Level::Warn, "deposed", vec![("pool", name.to_string())]);
+            self.log(Level::Warn, "deposed", vec![("pool", name.to_string())]);
             self.take_workers(now);
         }
     }
@@ -164,7 +164,7 @@
     pub(crate) fn claim_pools(&mut self, now: Time) {
         // A host that was cut off itself sees everybody silent: it has to hear
         // of the others before it takes anything from them.
-        let connected = self.store_since.is_some_and(|since| since.after_ms(LOST_MS) <= now);
+        let connected = self.store_since.is_some_and(|since| since.after_ms(UNREACHABLE_MS) <= now);
         if self.leaving || self.claim_due > now {
             return;
         }
@@ -248,11 +248,11 @@
             ("revision", change.revision.to_string()),
             ("record", String::from_utf8_lossy(&change.value).into_owned()),
         ];
-        self.note(Level::Info, event, pairs);
+        self.log(Level::Info, event, pairs);
         self.out.push(FleetEffect::Count(Count::RecordChanges));
         let key = Name::from(format!("{POOL_KEYS}{}", change.pool));
         let op = StoreOp::Swap { key, revision: change.revision, value: change.value };
-        self.out.push(FleetEffect::Store { token: change.token, op });
+        self.out.push(FleetEffect::StoreCall { op_id: change.token, op });
     }
 
     /// Returns whether this host is to claim a pool now.
@@ -275,8 +275,8 @@
                 let member = self.members.named(&record.owner.host);
                 let alive = member.is_some_and(|member| {
                     let known = member.since.max(pool.changed);
-                    let fresh = member.heard.is_none() && known.after_ms(LOST_MS) > now;
-                    member.peer == record.owner && (fresh || member.answers(now, LOST_MS))
+                    let fresh = member.heard.is_none() && known.after_ms(UNREACHABLE_MS) > now;
+                    member.peer == record.owner && (fresh || member.answers(now, UNREACHABLE_MS))
                 });
                 if alive || pool.confirmed > now {
                     pool.vacant = None;
@@ -314,8 +314,8 @@
             return;
         }
         self.leaving = true;
-        self.note(Level::Info, "leaving", vec![("open", self.front.open.len().to_string())]);
-        self.out.push(FleetEffect::Leave);
+        self.log(Level::Info, "leaving", vec![("open", self.front.open.len().to_string())]);
+        self.out.push(FleetEffect::RegisterLeaving);
         let me = self.setup.me.clone();
         let owned = self.pools.owned(&me);
         let names: Vec<Name> = owned.map(|(name, _)| name.clone()).collect();
@@ -335,7 +335,7 @@
     pub(crate) fn check_drained(&mut self, now: Time) {
         let me = &self.setup.me;
         let owns = self.pools.owned(me).next().is_some();
-        let alone = self.members.all().all(|member| !member.answers(now, LOST_MS));
+        let alone = self.members.all().all(|member| !member.answers(now, UNREACHABLE_MS));
         let busy =
             !self.front.open.is_empty() || !self.scheduler.jobs.is_empty() || self.unheard(now);
         if self.leaving && !self.drained && !busy && (!owns || alone) {
--- a/endivestile_kernel/src/fleet/ownership/hand_over.rs
+++ b/endivestile_kernel/src/fleet/ownership/hand_over.rs
@@ -30,10 +30,10 @@
             ("to", next.to_string()),
             ("token", token.to_string()),
         ];
-        self.note(Level::Info, "owner_gave_word", pairs);
+        self.log(Level::Info, "owner_gave_word", pairs);
         let msg = HandOver { pool: name.clone(), epoch, token };
         self.send(next, Msg::HandOver(msg));
-        self.words.insert(next.clone(), now.after_ms(HEARD_MS));
+        self.grants.insert(next.clone(), now.after_ms(HEARD_MS));
         self.take_workers(now);
     }
 
@@ -55,7 +55,7 @@
         let waits = |(peer, until): (&Peer, &Time)| {
             *until > now && self.channels.get(peer).is_some_and(|channel| channel.backlog() > 0)
         };
-        self.words.iter().any(waits)
+        self.grants.iter().any(waits)
     }
 
     /// Takes a pool at its owner's word.
@@ -68,7 +68,7 @@
             ("token", msg.token.to_string()),
             ("taken", taken.to_string()),
         ];
-        self.note(Level::Info, "owner_took_word", pairs);
+        self.log(Level::Info, "owner_took_word", pairs);
         if !taken {
             return;
         }
--- a/endivestile_kernel/src/fleet/ownership/turns.rs
+++ b/endivestile_kernel/src/fleet/ownership/turns.rs
@@ -11,11 +11,11 @@
 use endivestile_config::Mechanism;
 use endivestile_config::model::Name;
 
+use crate::fleet::assignment::UNREACHABLE_MS;
 use crate::fleet::core::{Fleet, FleetEffect};
 use crate::fleet::hosts::members::{Member, rank};
 use crate::fleet::ownership::claim::Probe;
 use crate::fleet::ownership::parts::{owners_wanted, part_of, zone_of};
-use crate::fleet::serve::LOST_MS;
 use crate::fleet::workers::call::Call;
 use crate::fleet::workers::worker::{HoldOrder, WorkerEntry};
 use crate::{Peer, Time};
@@ -76,7 +76,7 @@
     /// Returns the hosts of this zone that may own pools, this one among them.
     fn order(&self, now: Time, seed: &str, lost: Option<&Peer>) -> Vec<Candidate> {
         let may = |member: &&Member| {
-            let lives = member.heard.is_none() || member.answers(now, LOST_MS);
+            let lives = member.heard.is_none() || member.answers(now, UNREACHABLE_MS);
             member.zone == self.setup.zone && !member.leaving && lives
         };
         let others = self.members.all().filter(may);
@@ -105,13 +105,15 @@
 
     /// Returns the host that takes a zone's pools from this one when it stops.
     pub(crate) fn successor(&self, now: Time, zone: &str) -> Option<Peer> {
-        self.next_owner(zone, |member| member.heard.is_none_or(|_| member.answers(now, LOST_MS)))
+        self.next_owner(zone, |member| {
+            member.heard.is_none_or(|_| member.answers(now, UNREACHABLE_MS))
+        })
     }
 
     /// Returns the host that takes a zone's pools at this one's word: it has to be heard,
     /// since nobody else learns of them.
     pub(crate) fn heard_successor(&self, now: Time, zone: &str) -> Option<Peer> {
-        self.next_owner(zone, |member| member.answers(now, LOST_MS))
+        self.next_owner(zone, |member| member.answers(now, UNREACHABLE_MS))
     }
 
     fn next_owner(&self, zone: &str, live: impl Fn(&Member) -> bool) -> Option<Peer> {
@@ -154,7 +156,7 @@
             observed: 0,
             wait: 0,
         };
-        self.out.push(FleetEffect::Worker(Call::Hold(0, order)));
+        self.out.push(FleetEffect::WorkerCall(Call::Hold(0, order)));
         false
     }
 }
--- a/endivestile_kernel/src/fleet/placement/dispatch.rs
+++ b/endivestile_kernel/src/fleet/placement/dispatch.rs
@@ -7,11 +7,11 @@
 
 use crate::fleet::admission::queue::Key;
 use crate::fleet::job::{Job, Step};
-use crate::fleet::measure::{Count, Span};
+use crate::fleet::job_state::{JobState, TaskState};
+use crate::fleet::metrics::{Count, Span};
 use crate::fleet::msg::JobMsg;
 use crate::fleet::placement::fit::{Goal, Wanted};
-use crate::fleet::scheduler::{Out, Scheduler, carries, holds};
-use crate::fleet::state::{JobState, TaskState};
+use crate::fleet::scheduler::{Output, Scheduler, has_capacity, has_label};
 use crate::fleet::workers::owned::SLOW;
 use crate::fleet::workers::run::{RunId, TaskRef};
 use crate::{Peer, Time};
@@ -77,9 +77,9 @@
             return true;
         };
         let step = state.step(task.task as usize);
-        let least = self.durations.least_us(&state.job, step.estimate);
+        let least = self.durations.least_us(&state.job, step.estimate_ms);
         if now.after_us(least as u64) > state.job.deadline {
-            self.give_up_job(now, task.job);
+            self.abandon_job(now, task.job);
             return true;
         }
         let late = self.rank(now, state, task.task as usize).0;
@@ -103,7 +103,7 @@
         let state = self.jobs.get(&task.job)?;
         let index = task.task as usize;
         let step = state.step(index);
-        let run_us = self.durations.task_us(&state.job, step.estimate);
+        let run_us = self.durations.task_us(&state.job, step.estimate_ms);
         let goal = self.goal(now, state, run_us);
         let mut best: Option<(f64, u32, &Name)> = None;
         for (id, driver) in &self.drivers {
@@ -111,13 +111,17 @@
                 continue;
             }
             let free = driver.free();
-            if !holds(&free, &step.need) || !carries(&driver.entry, step.label.as_ref()) {
+            if !has_capacity(&free, &step.need)
+                || !has_label(&driver.entry, step.required_label.as_ref())
+            {
                 continue;
             }
             if !self.health.allows(now, id, goal.late) {
                 continue;
             }
-            if step.spread > 0 && state.beside(index, id) >= usize::from(step.spread) {
+            if step.max_per_worker > 0
+                && state.running_on(index, id) >= usize::from(step.max_per_worker)
+            {
                 continue;
             }
             let believed = self.durations.speed(id);
@@ -139,8 +143,8 @@
 
     /// Returns how many times longer a task takes on a worker with these labels.
     fn cost(&self, step: &Step, labels: &[Name]) -> f64 {
-        let near = step.near.as_ref().is_none_or(|near| labels.contains(near));
-        if near { 1.0 } else { self.remote }
+        let near = step.near_label.as_ref().is_none_or(|near| labels.contains(near));
+        if near { 1.0 } else { self.remote_factor }
     }
 
     fn goal(&self, now: Time, state: &JobState, run_us: f64) -> Goal {
@@ -158,26 +162,26 @@
         let index = task.task as usize;
         let Some(state) = self.jobs.get_mut(&task.job) else { return false };
         let Some(driver) = self.drivers.get_mut(worker) else { return false };
-        let id = RunId { task: state.task_name(index), run: state.tasks[index].run };
+        let id = RunId { task: state.task_name(index), run: state.tasks[index].next_run };
         let need = state.step(index).need;
         let Some(call) = driver.start(now, id.clone(), task, need, &state.job.spec) else {
             return false;
         };
-        if let TaskState::Waiting(key) = &state.tasks[index].state
+        if let TaskState::Queued(key) = &state.tasks[index].state
             && let Some(queue) = self.queues.get_mut(&state.job.service)
         {
             queue.remove(key);
             self.flows.started(&state.job.service, key);
         }
         let slot = &mut state.tasks[index];
-        slot.run += 1;
+        slot.next_run += 1;
         slot.state = TaskState::Running { worker: worker.clone(), id };
         state.starts += 1;
-        state.course.last_order = Some(now);
-        state.course.speed = self.durations.speed(worker);
+        state.stats.last_order = Some(now);
+        state.stats.speed = self.durations.speed(worker);
         self.health.given(worker);
-        self.out.push(Out::Count(Count::Starts));
-        self.out.push(Out::Call(call));
+        self.out.push(Output::Count(Count::Starts));
+        self.out.push(Output::Call(call));
         self.begin(now, task.job);
         true
     }
@@ -188,11 +192,11 @@
             return;
         };
         state.started = Some(now);
-        let waited = now.since(state.came).as_micros() as u64;
-        self.out.push(Out::Time(Span::FirstStart, waited));
+        let waited = now.since(state.received_at).as_micros() as u64;
+        self.out.push(Output::Time(Span::FirstStart, waited));
         let mut late = Vec::new();
         for (task, slot) in state.tasks.iter().enumerate() {
-            if let TaskState::Waiting(key) = slot.state
+            if let TaskState::Queued(key) = slot.state
                 && key.late
             {
                 late.push((task as u32, key));
@@ -220,27 +224,29 @@
         let index = task.task as usize;
         let job =
             Arc::new(forwarded_job(state.job.as_ref(), state.step(index), &state.tasks[index]));
-        let serial = self.forward_number();
+        let serial = self.next_forward_serial();
         self.forwards.insert(serial, (peer.clone(), task));
-        if let Some(free) = self.others.get_mut(&peer).and_then(|room| room.get_mut(&service)) {
+        if let Some(free) =
+            self.peer_capacity.get_mut(&peer).and_then(|room| room.get_mut(&service))
+        {
             *free = free.saturating_sub(1);
         }
         let Some(state) = self.jobs.get_mut(&task.job) else { return false };
-        if let TaskState::Waiting(key) = &state.tasks[index].state
+        if let TaskState::Queued(key) = &state.tasks[index].state
             && let Some(queue) = self.queues.get_mut(&service)
         {
             queue.remove(key);
         }
         state.tasks[index].state = TaskState::Forwarded(serial);
         state.starts += 1;
-        self.out.push(Out::Count(Count::TasksForwarded));
-        self.out.push(Out::Tell(peer, JobMsg::Submit { serial, job, echo: Time::ZERO }));
+        self.out.push(Output::Count(Count::TasksForwarded));
+        self.out.push(Output::Message(peer, JobMsg::Submit { serial, job, echo: Time::ZERO }));
         true
     }
 
     /// Returns the other placer with the most room.
     fn target(&self, service: &Name) -> Option<Peer> {
-        let rooms = self.others.iter().filter_map(|(peer, room)| {
+        let rooms = self.peer_capacity.iter().filter_map(|(peer, room)| {
             let free = room.get(service).copied().unwrap_or(0);
             (free > 0).then_some((free, peer))
         });
@@ -249,16 +255,16 @@
 }
 
 /// Returns a job of one task, to be run elsewhere under the same name.
-fn forwarded_job(job: &Job, step: &Step, slot: &crate::fleet::state::TaskSlot) -> Job {
+fn forwarded_job(job: &Job, step: &Step, slot: &crate::fleet::job_state::TaskSlot) -> Job {
     let only = Step {
         count: 1,
-        first: slot.index,
+        first_task: slot.index,
         after: Vec::new(),
         // Its other tasks run elsewhere and cannot be counted there.
-        spread: step.spread,
+        max_per_worker: step.max_per_worker,
         ..step.clone()
     };
     // The other placer may start it several times before it gives it back.
-    let base = slot.run + slot.fails;
-    Job { steps: vec![only], base, forwarded: true, ..job.clone() }
+    let base = slot.next_run + slot.failures;
+    Job { steps: vec![only], run_base: base, forwarded: true, ..job.clone() }
 }
--- a/endivestile_kernel/src/fleet/placement/watchdog.rs
+++ b/endivestile_kernel/src/fleet/placement/watchdog.rs
@@ -3,10 +3,10 @@
 use endivestile_config::Mechanism;
 use endivestile_config::model::Name;
 
-use crate::fleet::measure::Count;
+use crate::fleet::job_state::TaskState;
+use crate::fleet::metrics::Count;
 use crate::fleet::placement::stalls::{Progress, stalled};
-use crate::fleet::scheduler::{Out, Scheduler};
-use crate::fleet::state::TaskState;
+use crate::fleet::scheduler::{Output, Scheduler};
 use crate::fleet::workers::call::Call;
 use crate::fleet::workers::run::{EndedRun, Run, RunId};
 use crate::{Level, Time};
@@ -51,12 +51,12 @@
                 gone.push(worker.clone());
             }
         }
-        self.out.extend(calls.into_iter().map(Out::Call));
+        self.out.extend(calls.into_iter().map(Output::Call));
         for worker in &gone {
             self.drivers.remove(worker);
         }
         for (worker, ended) in past {
-            self.take_ended(now, &worker, ended);
+            self.handle_ended(now, &worker, ended);
         }
         if !gone.is_empty() {
             let drivers = &self.drivers;
@@ -71,22 +71,21 @@
                 return;
             }
             self.deadlines.pop_first();
-            self.give_up_job(now, number);
+            self.abandon_job(now, number);
         }
     }
 
     /// Gives forwarded tasks back that found no room.
     fn return_forwarded(&mut self, now: Time) {
-        let waits = |(number, state): (&u64, &crate::fleet::state::JobState)| {
-            let long = state.came.after_ms(FORWARD_WAIT_MS) <= now;
-            let waiting =
-                state.tasks.iter().any(|slot| matches!(slot.state, TaskState::Waiting(_)));
+        let waits = |(number, state): (&u64, &crate::fleet::job_state::JobState)| {
+            let long = state.received_at.after_ms(FORWARD_WAIT_MS) <= now;
+            let waiting = state.tasks.iter().any(|slot| matches!(slot.state, TaskState::Queued(_)));
             let back = state.job.forwarded && long && waiting && state.ending.is_none();
             back.then_some(*number)
         };
         let back: Vec<u64> = self.jobs.iter().filter_map(waits).collect();
         for number in back {
-            self.give_back(now, number);
+            self.return_task(now, number);
         }
     }
 
@@ -101,15 +100,15 @@
             let (worker, task) = (run.worker.clone(), run.task);
             self.durations.slowed(&worker, factor);
             self.health.stalled(now, &worker);
-            self.out.push(Out::Count(Count::RunsStalled));
+            self.out.push(Output::Count(Count::RunsStalled));
             let more = [
                 ("worker", worker.to_string()),
                 ("task", task.task.to_string()),
                 ("slower", format!("{factor:.1}")),
             ];
-            self.note_job(Level::Info, "run_stalled", task.job, &more);
+            self.log_job(Level::Info, "run_stalled", task.job, &more);
             if let Some(state) = self.jobs.get_mut(&task.job) {
-                state.course.stalled += 1;
+                state.stats.stalled += 1;
             }
             if let Some(driver) = self.drivers.get_mut(&worker) {
                 driver.halt(now, &run.id);
@@ -134,7 +133,7 @@
         }
         let task = run.by?;
         let state = self.jobs.get(&task.job)?;
-        let estimate = state.step(task.task as usize).estimate;
+        let estimate = state.step(task.task as usize).estimate_ms;
         Some(Progress {
             worker: worker.clone(),
             id: id.clone(),
@@ -144,7 +143,7 @@
             // A worker that is known to be slow is still not waited for.
             speed: self.durations.speed(worker).clamp(SLOWEST, 1.0),
             guess_us: self.durations.task_us(&state.job, estimate),
-            shown_us: state.work,
+            shown_us: state.work_us,
         })
     }
 }
--- a/endivestile_kernel/src/fleet/table.rs
+++ b/endivestile_kernel/src/fleet/route_table.rs
@@ -16,41 +16,46 @@
     /// Service whose workers run its jobs.
     pub service: Name,
     /// How long a caller waits that names no deadline, in milliseconds.
-    pub timeout: u32,
+    pub timeout_ms: u32,
     /// 0 comes first.
     pub priority: u32,
     /// Runs of one task that may fail before its job does.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Objective: thousandths of the work's own duration.
-    pub stretch: u32,
+    pub stretch_milli: u32,
     /// Objective: milliseconds more.
-    pub allowance: u32,
+    pub allowance_ms: u32,
 }
 
 /// What a service's workers do by themselves.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServiceRule {
+pub struct ServiceLimits {
     /// Connections that one worker takes.
-    pub connections: u32,
+    pub max_connections: u32,
 }
 
 /// Limits on callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Longest head, in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Longest body, in bytes.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Longest time for a head, in milliseconds.
-    pub head_ms: u64,
+    pub head_timeout_ms: u64,
     /// Longest time between two requests of a connection, in milliseconds.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
     /// Limits until a configuration is known: those of the users' examples.
     fn default() -> Self {
-        Self { head: 16_384, body: 262_144, head_ms: 3_000, idle_ms: 15_000 }
+        Self {
+            head_bytes: 16_384,
+            body_bytes: 262_144,
+            head_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000,
+        }
     }
 }
 
@@ -62,7 +67,7 @@
     /// Routes.
     pub routes: Vec<Route>,
     /// Services by name.
-    pub services: BTreeMap<Name, ServiceRule>,
+    pub services: BTreeMap<Name, ServiceLimits>,
     /// Limits on callers' requests.
     pub limits: Limits,
 }
--- a/endivestile_kernel/src/fleet/scheduler.rs
+++ b/endivestile_kernel/src/fleet/scheduler.rs
@@ -11,12 +11,12 @@
 use crate::fleet::admission::queue::Queue;
 use crate::fleet::core::FleetSetup;
 use crate::fleet::job::{Job, JobEnd, Reason, Step};
+use crate::fleet::job_state::{JobState, TaskState};
 use crate::fleet::lag::Lag;
-use crate::fleet::measure::{Count, Span};
+use crate::fleet::metrics::{Count, Span};
 use crate::fleet::msg::JobMsg;
 use crate::fleet::placement::durations::Durations;
 use crate::fleet::placement::health::Health;
-use crate::fleet::state::{JobState, TaskState};
 use crate::fleet::workers::call::Call;
 use crate::fleet::workers::driver::Driver;
 use crate::fleet::workers::run::TaskRef;
@@ -27,17 +27,17 @@
 /// caller, in milliseconds.
 const ANSWER_MS: u64 = 20;
 /// When to come back after a refusal that no better time is known for, in milliseconds.
-pub(crate) const RETRY_MS: u64 = 1_000;
+pub(crate) const RETRY_AFTER_MS: u64 = 1_000;
 /// Weight of one task in the mean of what tasks take.
 const NEED_WEIGHT: f64 = 0.05;
 
 /// What a scheduler wants done.
 #[derive(Debug)]
-pub(crate) enum Out {
+pub(crate) enum Output {
     /// Call a worker.
     Call(Call),
     /// Tell a host about a job.
-    Tell(Peer, JobMsg),
+    Message(Peer, JobMsg),
     /// Write a log line.
     Log(Note),
     /// Count an event.
@@ -47,7 +47,7 @@
 }
 
 /// Room of another placer's workers, by its last word less what was forwarded since.
-pub(crate) type OtherRoom = BTreeMap<Name, u32>;
+pub(crate) type PeerCapacity = BTreeMap<Name, u32>;
 
 /// Places the tasks of jobs on the workers of the pools that this host owns.
 #[derive(Debug)]
@@ -55,29 +55,29 @@
     pub(crate) me: Peer,
     pub(crate) lease_ms: u64,
     /// How many times longer a task takes away from its data.
-    pub(crate) remote: f64,
+    pub(crate) remote_factor: f64,
     pub(crate) policy: Policy,
     pub(crate) drivers: BTreeMap<Name, Driver>,
     pub(crate) jobs: BTreeMap<u64, JobState>,
-    pub(crate) origins: HashMap<(Peer, u64), u64>,
-    pub(crate) names: HashMap<Name, u64>,
+    pub(crate) by_sender: HashMap<(Peer, u64), u64>,
+    pub(crate) by_name: HashMap<Name, u64>,
     pub(crate) deadlines: BTreeSet<(Time, u64)>,
     /// The pool that is about to go to another owner.
-    pub(crate) closing: Option<Name>,
+    pub(crate) transferring: Option<Name>,
     /// Zones in which nothing may be started.
-    pub(crate) evacuated: BTreeSet<Name>,
+    pub(crate) evacuated_zones: BTreeSet<Name>,
     /// Those of them in which runs of this host still go on.
-    pub(crate) emptying: BTreeSet<Name>,
+    pub(crate) draining_zones: BTreeSet<Name>,
     pub(crate) queues: BTreeMap<Name, Queue>,
-    pub(crate) others: BTreeMap<Peer, OtherRoom>,
+    pub(crate) peer_capacity: BTreeMap<Peer, PeerCapacity>,
     pub(crate) forwards: HashMap<u64, (Peer, TaskRef)>,
     pub(crate) durations: Durations,
     pub(crate) health: Health,
-    pub(crate) usual: HashMap<Name, f64>,
+    pub(crate) usual_cpu: HashMap<Name, f64>,
     pub(crate) flows: Flows,
     pub(crate) lag: Lag,
     pub(crate) dirty: bool,
-    pub(crate) out: Vec<Out>,
+    pub(crate) out: Vec<Output>,
     next_job: u64,
     next_forward: u64,
 }
@@ -88,23 +88,23 @@
         let policy = setup.policy;
         Self {
             me: setup.me.clone(),
-            lease_ms: setup.worker_lease,
-            remote: f64::from(setup.remote_milli) / 1_000.0,
+            lease_ms: setup.worker_lease_ms,
+            remote_factor: f64::from(setup.remote_factor_milli) / 1_000.0,
             policy,
             drivers: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            origins: HashMap::new(),
-            names: HashMap::new(),
+            by_sender: HashMap::new(),
+            by_name: HashMap::new(),
             deadlines: BTreeSet::new(),
-            closing: None,
-            evacuated: BTreeSet::new(),
-            emptying: BTreeSet::new(),
+            transferring: None,
+            evacuated_zones: BTreeSet::new(),
+            draining_zones: BTreeSet::new(),
             queues: BTreeMap::new(),
-            others: BTreeMap::new(),
+            peer_capacity: BTreeMap::new(),
             forwards: HashMap::new(),
             durations: Durations::new(policy),
             health: Health::new(policy),
-            usual: HashMap::new(),
+            usual_cpu: HashMap::new(),
             flows: Flows::default(),
             lag: Lag::default(),
             dirty: false,
@@ -118,12 +118,12 @@
     /// Takes a job in.
     pub(crate) fn submit(&mut self, now: Time, from: &Peer, serial: u64, job: Arc<Job>) {
         let origin = (from.clone(), serial);
-        if self.origins.contains_key(&origin) {
+        if self.by_sender.contains_key(&origin) {
             return;
         }
         if let Some(reason) = self.refusal(now, &job) {
-            let end = JobEnd::NotRun { reason, retry: now.after_ms(RETRY_MS) };
-            self.tell(from, serial, end);
+            let end = JobEnd::NotRun { reason, retry: now.after_ms(RETRY_AFTER_MS) };
+            self.send_end(from, serial, end);
             return;
         }
         let number = self.next_job;
@@ -134,15 +134,15 @@
         // A caller that lost its answer sends the job again, also to another
         // host. The earlier one is stopped first: two runs of one task at a
         // time would do its work twice at once.
-        let earlier = self.names.insert(name, number);
-        self.origins.insert(origin, number);
+        let earlier = self.by_name.insert(name, number);
+        self.by_sender.insert(origin, number);
         self.deadlines.insert((job.deadline, number));
         let mut state = JobState::new(now, from.clone(), serial, job, objective);
-        state.parked = state.job.base > 0 && !state.job.forwarded && !self.settled(now);
+        state.deferred = state.job.run_base > 0 && !state.job.forwarded && !self.settled(now);
         self.jobs.insert(number, state);
         match earlier.filter(|earlier| self.jobs.contains_key(earlier)) {
             Some(earlier) => {
-                self.note_job(Level::Info, "job_again", number, &[("before", earlier.to_string())]);
+                self.log_job(Level::Info, "job_again", number, &[("before", earlier.to_string())]);
                 self.close(now, earlier, JobEnd::Lost(Reason::Cancelled), false);
             }
             None => self.unblock(now, number),
@@ -159,8 +159,8 @@
         }
         let fits = |step: &Step, driver: &Driver| {
             driver.entry.service == job.service
-                && holds(&driver.entry.room, &step.need)
-                && carries(&driver.entry, step.label.as_ref())
+                && has_capacity(&driver.entry.room, &step.need)
+                && has_label(&driver.entry, step.required_label.as_ref())
         };
         let held = |open: bool| {
             let mut steps = job.steps.iter();
@@ -178,18 +178,18 @@
 
     /// Returns until when a job's caller is served well.
     fn objective(&self, job: &Job) -> Time {
-        let chain_us = self.chain_us(job);
-        let stretched = chain_us * f64::from(job.stretch) / 1_000.0;
-        job.arrived.after_ms(u64::from(job.allowance)).after_us(stretched as u64)
+        let chain_us = self.critical_path_us(job);
+        let stretched = chain_us * f64::from(job.stretch_milli) / 1_000.0;
+        job.arrived.after_ms(u64::from(job.allowance_ms)).after_us(stretched as u64)
     }
 
     /// Returns the expected duration of the longest chain of steps, in microseconds.
-    pub(crate) fn chain_us(&self, job: &Job) -> f64 {
+    pub(crate) fn critical_path_us(&self, job: &Job) -> f64 {
         let mut ends: Vec<f64> = Vec::with_capacity(job.steps.len());
         for step in &job.steps {
             let before = step.after.iter().filter_map(|at| ends.get(usize::from(*at)));
             let start = before.copied().fold(0.0, f64::max);
-            ends.push(start + self.durations.task_us(job, step.estimate));
+            ends.push(start + self.durations.task_us(job, step.estimate_ms));
         }
         ends.into_iter().fold(0.0, f64::max)
     }
@@ -197,24 +197,24 @@
     fn learn_need(&mut self, job: &Job) {
         let Some(step) = job.steps.first() else { return };
         let cpu = f64::from(step.need.cpu_milli.max(1));
-        let usual = self.usual.entry(job.service.clone()).or_insert(cpu);
+        let usual = self.usual_cpu.entry(job.service.clone()).or_insert(cpu);
         *usual += NEED_WEIGHT * (cpu - *usual);
     }
 
     /// Takes in that nobody waits for a job any more.
     pub(crate) fn cancel(&mut self, now: Time, from: &Peer, serial: u64) {
-        if let Some(&number) = self.origins.get(&(from.clone(), serial)) {
+        if let Some(&number) = self.by_sender.get(&(from.clone(), serial)) {
             self.close(now, number, JobEnd::Lost(Reason::Cancelled), false);
         } else {
             // Its end crossed the cancelling; the asking host may wait for this.
-            self.tell(from, serial, JobEnd::Lost(Reason::Cancelled));
+            self.send_end(from, serial, JobEnd::Lost(Reason::Cancelled));
         }
     }
 
     /// Stops all jobs of a host that cannot be heard any more: whoever waited
     /// there sends them again elsewhere, and they must not run twice at once.
-    pub(crate) fn lose_front(&mut self, now: Time, from: &Peer) {
-        let of = |(number, state): (&u64, &JobState)| (state.from == *from).then_some(*number);
+    pub(crate) fn cancel_front(&mut self, now: Time, from: &Peer) {
+        let of = |(number, state): (&u64, &JobState)| (state.sender == *from).then_some(*number);
         let numbers: Vec<u64> = self.jobs.iter().filter_map(of).collect();
         for number in numbers {
             self.close(now, number, JobEnd::Lost(Reason::PlacerLost), false);
@@ -223,7 +223,7 @@
 
     /// Ends all jobs because this host has lost its workers: their hosts place
     /// them anew as soon as nothing of them runs here.
-    pub(crate) fn give_up(&mut self, now: Time) {
+    pub(crate) fn abort_jobs(&mut self, now: Time) {
         let numbers: Vec<u64> = self.jobs.keys().copied().collect();
         for number in numbers {
             self.close(now, number, JobEnd::Lost(Reason::PlacerLost), false);
@@ -238,25 +238,25 @@
             let started = state.started.is_some();
             state.ending = Some(end);
             self.stop_tasks(now, number);
-            self.note_end(now, number, end, started);
+            self.log_end(now, number, end, started);
         }
         let Some(state) = self.jobs.get_mut(&number) else { return };
         // The host that forwarded a task starts it anew when it hears of its end: not
         // before nothing of it runs here.
         let at_once = at_once && !(state.job.forwarded && state.busy());
-        if at_once && !state.told {
-            state.told = true;
-            let (from, serial) = (state.from.clone(), state.serial);
-            self.tell(&from, serial, end);
+        if at_once && !state.end_sent {
+            state.end_sent = true;
+            let (from, serial) = (state.sender.clone(), state.serial);
+            self.send_end(&from, serial, end);
         }
         self.finish(now, number);
     }
 
     /// Gives up a job that cannot end before its deadline; its host is told at once.
-    pub(crate) fn give_up_job(&mut self, now: Time, number: u64) {
+    pub(crate) fn abandon_job(&mut self, now: Time, number: u64) {
         let Some(state) = self.jobs.get(&number) else { return };
-        let retry = now.after_ms(RETRY_MS);
-        let end = if state.touched() {
+        let retry = now.after_ms(RETRY_AFTER_MS);
+        let end = if state.may_have_run() {
             JobEnd::Lost(Reason::Deadline)
         } else {
             JobEnd::NotRun { reason: Reason::Overload, retry }
@@ -265,10 +265,10 @@
     }
 
     /// Gives a forwarded task back to its host, once nothing of it runs here.
-    pub(crate) fn give_back(&mut self, now: Time, number: u64) {
+    pub(crate) fn return_task(&mut self, now: Time, number: u64) {
         let Some(state) = self.jobs.get(&number) else { return };
         let reason = Reason::Overload;
-        let end = if state.touched() {
+        let end = if state.may_have_run() {
             JobEnd::Lost(reason)
         } else {
             JobEnd::NotRun { reason, retry: now }
@@ -281,7 +281,7 @@
         let mut cancels = Vec::new();
         for slot in &mut state.tasks {
             match &slot.state {
-                TaskState::Waiting(key) => {
+                TaskState::Queued(key) => {
                     if let Some(queue) = self.queues.get_mut(&state.job.service) {
                         queue.remove(key);
                     }
@@ -298,7 +298,7 @@
         }
         for serial in cancels {
             if let Some((peer, _)) = self.forwards.get(&serial) {
-                self.out.push(Out::Tell(peer.clone(), JobMsg::Cancel { serial }));
+                self.out.push(Output::Message(peer.clone(), JobMsg::Cancel { serial }));
             }
         }
     }
@@ -309,14 +309,14 @@
         let Some(end) = state.ending.filter(|_| !state.busy()) else { return };
         let Some(state) = self.jobs.remove(&number) else { return };
         self.deadlines.remove(&(state.job.deadline, number));
-        self.origins.remove(&(state.from.clone(), state.serial));
-        if !state.told {
-            self.tell(&state.from, state.serial, end);
+        self.by_sender.remove(&(state.sender.clone(), state.serial));
+        if !state.end_sent {
+            self.send_end(&state.sender, state.serial, end);
         }
         let name = job_name(&state.job);
-        match self.names.get(&name) {
+        match self.by_name.get(&name) {
             Some(latest) if *latest == number => {
-                self.names.remove(&name);
+                self.by_name.remove(&name);
             }
             // A later job of the same id waited for this one.
             Some(latest) => {
@@ -342,7 +342,7 @@
         let service = state.job.service.clone();
         let key = self.queues.entry(service).or_default().push(late, rank, task);
         if let Some(state) = self.jobs.get_mut(&task.job) {
-            state.tasks[task.task as usize].state = TaskState::Waiting(key);
+            state.tasks[task.task as usize].state = TaskState::Queued(key);
         }
         self.dirty = true;
     }
@@ -354,8 +354,8 @@
             priority: state.job.priority,
             arrived: state.job.arrived,
             objective: state.objective,
-            run_us: self.durations.task_us(&state.job, step.estimate) as u64,
-            left: state.left.iter().map(|left| u64::from(*left)).sum(),
+            run_us: self.durations.task_us(&state.job, step.estimate_ms) as u64,
+            left: state.remaining.iter().map(|left| u64::from(*left)).sum(),
             begun: state.started.is_some(),
         };
         waiting.rank(now, self.policy)
@@ -374,18 +374,18 @@
     }
 
     /// Returns the number of the next task that is forwarded.
-    pub(crate) fn forward_number(&mut self) -> u64 {
+    pub(crate) fn next_forward_serial(&mut self) -> u64 {
         self.next_forward += 1;
         self.next_forward
     }
 
     /// Tells a host how its job ended.
-    pub(crate) fn tell(&mut self, to: &Peer, serial: u64, end: JobEnd) {
-        self.out.push(Out::Tell(to.clone(), JobMsg::Ended { serial, end }));
+    pub(crate) fn send_end(&mut self, to: &Peer, serial: u64, end: JobEnd) {
+        self.out.push(Output::Message(to.clone(), JobMsg::Ended { serial, end }));
     }
 
     /// Writes a line about a job.
-    pub(crate) fn note_job(
+    pub(crate) fn log_job(
         &mut self,
         level: Level,
         event: &'static str,
@@ -393,29 +393,29 @@
         more: &[(&'static str, String)],
     ) {
         let Some(state) = self.jobs.get(&number) else { return };
-        let mut pairs = vec![("front", state.from.to_string())];
+        let mut pairs = vec![("front", state.sender.to_string())];
         pairs.extend(more.iter().cloned());
         let id = Some(state.job.id.clone());
-        self.out.push(Out::Log(Note { level, event, id, pairs }));
+        self.out.push(Output::Log(Note { level, event, id, pairs }));
     }
 }
 
 /// Returns whether `room` holds `need`.
-pub(crate) fn holds(room: &Need, need: &Need) -> bool {
+pub(crate) fn has_capacity(room: &Need, need: &Need) -> bool {
     room.cpu_milli >= need.cpu_milli
         && room.memory_mb >= need.memory_mb
         && room.accelerators >= need.accelerators
 }
 
 /// Returns whether a worker carries a label.
-pub(crate) fn carries(entry: &WorkerEntry, label: Option<&Name>) -> bool {
+pub(crate) fn has_label(entry: &WorkerEntry, label: Option<&Name>) -> bool {
     label.is_none_or(|label| entry.labels.contains(label))
 }
 
 /// Returns what tells a job, or a task passed on alone, from all others.
 fn job_name(job: &Job) -> Name {
     match job.steps.first().filter(|_| job.forwarded) {
-        Some(step) => Name::from(format!("{}.{}.{}", job.id, step.number, step.first)),
+        Some(step) => Name::from(format!("{}.{}.{}", job.id, step.number, step.first_task)),
         None => job.id.clone(),
     }
 }
--- a/endivestile_kernel/src/fleet/workers/evacuated.rs
+++ b/endivestile_kernel/src/fleet/workers/evacuated.rs
@@ -6,8 +6,8 @@
 
 use crate::Time;
 use crate::fleet::job::{JobEnd, Reason};
+use crate::fleet::job_state::JobState;
 use crate::fleet::scheduler::Scheduler;
-use crate::fleet::state::JobState;
 
 impl Scheduler {
     /// Starts nothing more in these zones, and again in all others.
@@ -16,10 +16,10 @@
             driver.evacuated = zones.contains(&driver.entry.zone);
         }
         let here: BTreeSet<&Name> = self.drivers.values().map(|it| &it.entry.zone).collect();
-        let new = zones.difference(&self.evacuated).filter(|zone| here.contains(zone));
-        self.emptying.extend(new.cloned());
-        self.emptying.retain(|zone| zones.contains(zone));
-        self.evacuated = zones;
+        let new = zones.difference(&self.evacuated_zones).filter(|zone| here.contains(zone));
+        self.draining_zones.extend(new.cloned());
+        self.draining_zones.retain(|zone| zones.contains(zone));
+        self.evacuated_zones = zones;
         self.dirty = true;
         self.return_unservable(now);
     }
@@ -37,10 +37,10 @@
 
     /// Returns the evacuated zones in which the last run has ended since the last call.
     pub(crate) fn take_emptied(&mut self) -> Vec<Name> {
-        let emptied = self.emptying.iter().filter(|zone| self.runs_in_zone(zone) == 0);
+        let emptied = self.draining_zones.iter().filter(|zone| self.runs_in_zone(zone) == 0);
         let emptied: Vec<Name> = emptied.cloned().collect();
         for zone in &emptied {
-            self.emptying.remove(zone);
+            self.draining_zones.remove(zone);
         }
         emptied
     }
@@ -51,7 +51,7 @@
         if !self.owns() || self.serves() {
             return;
         }
-        let waits = |state: &JobState| !state.touched() && state.ending.is_none();
+        let waits = |state: &JobState| !state.may_have_run() && state.ending.is_none();
         let untouched = self.jobs.iter().filter(|(_, state)| waits(state));
         let numbers: Vec<u64> = untouched.map(|(number, _)| *number).collect();
         let end = JobEnd::NotRun { reason: Reason::NoPlacer, retry: now };
--- a/endivestile_kernel/src/fleet/workers/owned.rs
+++ b/endivestile_kernel/src/fleet/workers/owned.rs
@@ -4,8 +4,8 @@
 
 use endivestile_config::model::Name;
 
+use crate::fleet::job_state::JobState;
 use crate::fleet::scheduler::Scheduler;
-use crate::fleet::state::JobState;
 use crate::fleet::workers::driver::Driver;
 use crate::fleet::workers::worker::WorkerEntry;
 use crate::{Peer, Time};
@@ -34,7 +34,7 @@
         }
         self.dirty = true;
         if self.drivers.values().all(|driver| driver.abandoned) && !self.jobs.is_empty() {
-            self.give_up(now);
+            self.abort_jobs(now);
         }
         self.return_unservable(now);
     }
@@ -55,14 +55,14 @@
 
     /// Lets jobs go on that waited for workers to be cleared.
     pub(crate) fn unpark(&mut self, now: Time) {
-        let parked = |(number, state): (&u64, &JobState)| state.parked.then_some(*number);
+        let parked = |(number, state): (&u64, &JobState)| state.deferred.then_some(*number);
         let numbers: Vec<u64> = self.jobs.iter().filter_map(parked).collect();
         if numbers.is_empty() || !self.settled(now) {
             return;
         }
         for number in numbers {
             if let Some(state) = self.jobs.get_mut(&number) {
-                state.parked = false;
+                state.deferred = false;
             }
             self.unblock(now, number);
         }
@@ -90,8 +90,8 @@
 
     /// Returns the other hosts for which jobs are held.
     pub(crate) fn fronts(&self) -> Vec<Peer> {
-        let others = self.jobs.values().filter(|state| state.from != self.me);
-        let peers: BTreeSet<&Peer> = others.map(|state| &state.from).collect();
+        let others = self.jobs.values().filter(|state| state.sender != self.me);
+        let peers: BTreeSet<&Peer> = others.map(|state| &state.sender).collect();
         peers.into_iter().cloned().collect()
     }
 
@@ -104,21 +104,21 @@
     fn set_worker(&mut self, now: Time, entry: &WorkerEntry, pool: &Name, token: u64) {
         if let Some(driver) = self.drivers.get_mut(&entry.id) {
             driver.entry = entry.clone();
-            driver.evacuated = self.evacuated.contains(&entry.zone);
+            driver.evacuated = self.evacuated_zones.contains(&entry.zone);
             if driver.token() != token {
                 driver.renew(now, token);
             }
             return;
         }
         let mut driver = Driver::new(now, entry.clone(), pool.clone(), token, self.lease_ms);
-        driver.closing = self.closing.as_ref() == Some(pool);
-        driver.evacuated = self.evacuated.contains(&entry.zone);
+        driver.closing = self.transferring.as_ref() == Some(pool);
+        driver.evacuated = self.evacuated_zones.contains(&entry.zone);
         self.drivers.insert(entry.id.clone(), driver);
     }
 
     /// Starts nothing more on the workers of a pool, and opens any other again.
     pub(crate) fn close_pool(&mut self, pool: Option<&Name>) {
-        self.closing = pool.cloned();
+        self.transferring = pool.cloned();
         for driver in self.drivers.values_mut() {
             driver.closing = pool == Some(&driver.pool);
         }
@@ -146,7 +146,7 @@
         let mut rooms: BTreeMap<Name, (u32, u32)> = BTreeMap::new();
         for driver in self.drivers.values().filter(|driver| driver.usable(now)) {
             let service = &driver.entry.service;
-            let usual = self.usual.get(service).copied().unwrap_or(1_000.0).max(1.0);
+            let usual = self.usual_cpu.get(service).copied().unwrap_or(1_000.0).max(1.0);
             let places = (f64::from(driver.free().cpu_milli) / usual) as u32;
             let room = rooms.entry(service.clone()).or_default();
             if self.sound(now, &driver.entry.id) {
--- a/endivestile_kernel/src/msg.rs
+++ b/endivestile_kernel/src/msg.rs
@@ -6,7 +6,7 @@
 use endivestile_config::model::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::{HandOver, JobMsg, Report};
+use crate::fleet::{HandOver, HostReport, JobMsg};
 use crate::{Answer, Figure, Order, Outcome, Peer, Submission, SubmissionId, TaskKey, Time};
 
 /// One id as a shard's home and witness keep it.
@@ -210,7 +210,7 @@
     /// sender has had; zero when it echoes none.
     pub echo: Time,
     /// What a sender that serves jobs tells of itself.
-    pub report: Option<Arc<Report>>,
+    pub report: Option<Arc<HostReport>>,
     /// The messages.
     pub msgs: Vec<Msg>,
 }
--- a/endivestile_testkit/src/fleet/calls.rs
+++ b/endivestile_testkit/src/fleet/calls.rs
@@ -36,7 +36,7 @@
         let (birth, time) = (host.birth, host.time(self.now));
         let number = self.calls.len() as u64;
         let need = job.steps.first().map_or_else(none, |step: &Step| step.need);
-        let near = job.steps.first().and_then(|step| step.near.clone());
+        let near = job.steps.first().and_then(|step| step.near_label.clone());
         self.works.insert(job.id.clone(), Work { us: (work_ms * 1_000) as f64, need, near });
         let log = CallLog {
             name: name.to_owned(),
@@ -68,7 +68,7 @@
         };
         let (host, birth) = call.at.clone();
         self.end_call(number, None);
-        self.deliver(&host, birth, FleetEvent::Hangup(CallId(number)));
+        self.deliver(&host, birth, FleetEvent::Cancel(CallId(number)));
     }
 
     pub(crate) fn answered(&mut self, number: u64, end: JobEnd) {
--- a/endivestile_testkit/src/fleet/host.rs
+++ b/endivestile_testkit/src/fleet/host.rs
@@ -4,8 +4,8 @@
 
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{
-    Fleet, FleetEffect, FleetEvent, FleetSetup, HOST_KEYS, HostEntry, POOL_KEYS, WorkerCall,
-    ZoneState, worker_call_due,
+    EvacuationState, Fleet, FleetEffect, FleetEvent, FleetSetup, HOST_KEYS, HostEntry, POOL_KEYS,
+    WorkerCall, worker_call_due,
 };
 use endivestile_kernel::{Peer, Time};
 
@@ -87,10 +87,10 @@
             zone: host.zone.clone(),
             cpu_milli: host.cpu_milli,
             link_kbps: host.link_kbps,
-            remote_milli: self.remote_milli,
+            remote_factor_milli: self.remote_milli,
             address: name.clone(),
-            worker_lease: WORKER_LEASE_MS,
-            host_lease: HOST_LEASE_MS,
+            worker_lease_ms: WORKER_LEASE_MS,
+            host_lease_ms: HOST_LEASE_MS,
             policy: self.policy,
         };
         host.fleet = Some(Fleet::new(setup));
@@ -233,14 +233,14 @@
                     self.at(self.now + 1_000, Happening::Event { host, birth, event });
                 }
             }
-            FleetEffect::Worker(call) => self.call(name, birth, call),
-            FleetEffect::Store { token, op } => {
+            FleetEffect::WorkerCall(call) => self.call(name, birth, call),
+            FleetEffect::StoreCall { op_id: token, op } => {
                 self.at(
                     self.now + self.store.delay_us / 2,
                     Happening::Store { host: name.clone(), birth, token, op },
                 );
             }
-            FleetEffect::Leave => {
+            FleetEffect::RegisterLeaving => {
                 let Some(host) = self.hosts.get(name) else { return };
                 let entry = host.entry(name, true);
                 self.at(self.now + 1_000, Happening::Register { entry });
@@ -259,7 +259,7 @@
                     ));
                 }
             }
-            FleetEffect::Redial(_)
+            FleetEffect::Reconnect(_)
             | FleetEffect::Count(_)
             | FleetEffect::Gauge(..)
             | FleetEffect::Time(..) => {}
@@ -329,7 +329,8 @@
             return;
         }
         let Some(&(revision, evacuated)) = self.store.evacuations.get(zone) else { return };
-        let event = FleetEvent::Evacuation(ZoneState { zone: zone.clone(), revision, evacuated });
+        let event =
+            FleetEvent::Evacuation(EvacuationState { zone: zone.clone(), revision, evacuated });
         let at = self.now + self.store.delay_us;
         self.at(at, Happening::Event { host: host.clone(), birth, event });
     }
@@ -365,7 +366,7 @@
             if let Some(host) = self.hosts.get_mut(name) {
                 host.reads = false;
             }
-            return self.deliver(name, birth, FleetEvent::Store(false));
+            return self.deliver(name, birth, FleetEvent::StoreAvailable(false));
         }
         self.tell_evacuations(name, birth);
         let keys: Vec<Name> = self.store.keys.keys().cloned().collect();
@@ -374,7 +375,7 @@
         }
         let at = self.now + self.store.delay_us;
         let table = self.table.clone();
-        for event in [FleetEvent::Store(true), FleetEvent::Table(table), self.list()] {
+        for event in [FleetEvent::StoreAvailable(true), FleetEvent::Routes(table), self.list()] {
             self.at(at, Happening::Event { host: name.clone(), birth, event });
         }
     }
--- a/endivestile_testkit/src/fleet/load.rs
+++ b/endivestile_testkit/src/fleet/load.rs
@@ -190,14 +190,14 @@
     let cpu_milli = rng.random_range(11_000..17_000);
     let step = Step {
         count: count.max(1),
-        first: 0,
+        first_task: 0,
         number: 0,
         need: Need { cpu_milli, memory_mb: 64, accelerators: 0 },
-        estimate: (scattered(work_ms, ESTIMATE_SCATTER, rng) as f64 * kind.told) as u32,
+        estimate_ms: (scattered(work_ms, ESTIMATE_SCATTER, rng) as f64 * kind.told) as u32,
         after: Vec::new(),
-        label: None,
-        near: None,
-        spread: 0,
+        required_label: None,
+        near_label: None,
+        max_per_worker: 0,
     };
     let job = Job {
         id: Name::from(name),
@@ -207,12 +207,12 @@
         service: Name::from("service"),
         route: Name::from(kind.name),
         priority: kind.priority,
-        attempts: 3,
-        stretch: OBJECTIVE.0,
-        allowance: OBJECTIVE.1,
+        max_attempts: 3,
+        stretch_milli: OBJECTIVE.0,
+        allowance_ms: OBJECTIVE.1,
         arrived: Time::ZERO,
         deadline: Time::ZERO.after_ms(kind.deadline_ms),
-        base: 0,
+        run_base: 0,
         forwarded: false,
     };
     (job, work_ms)
--- a/endivestile_testkit/src/fleet/story.rs
+++ b/endivestile_testkit/src/fleet/story.rs
@@ -179,14 +179,14 @@
             Need { cpu_milli: step.number("cpu", 14_000)? as u32, memory_mb: 64, accelerators: 0 };
         let steps = (0..step.number("steps", 1)?).map(|number| JobStep {
             count: step.pairs.get("tasks").map_or(1, |tasks| tasks.parse().unwrap_or(1)),
-            first: 0,
+            first_task: 0,
             number: number as u16,
             need,
-            estimate,
+            estimate_ms: estimate,
             after: (0..number as u16).collect(),
-            label: step.pairs.get("label").map(|label| Name::from(*label)),
-            near: step.pairs.get("near").map(|near| Name::from(*near)),
-            spread: step.pairs.get("spread").map_or(0, |most| most.parse().unwrap_or(0)),
+            required_label: step.pairs.get("label").map(|label| Name::from(*label)),
+            near_label: step.pairs.get("near").map(|near| Name::from(*near)),
+            max_per_worker: step.pairs.get("spread").map_or(0, |most| most.parse().unwrap_or(0)),
         });
         let job = Job {
             id: Name::from(id),
@@ -196,12 +196,12 @@
             service: Name::from("service"),
             route: Name::from("route"),
             priority: 0,
-            attempts: step.number("attempts", 3)? as u32,
-            stretch: 1_600,
-            allowance: 60,
+            max_attempts: step.number("attempts", 3)? as u32,
+            stretch_milli: 1_600,
+            allowance_ms: 60,
             arrived: Time::ZERO,
             deadline: Time::ZERO.after_ms(deadline),
-            base: 0,
+            run_base: 0,
             forwarded: false,
         };
         self.world.submit(&name, &at, job, work, step.number("again", 1)? == 1);
--- a/endivestile_testkit/src/fleet/visits.rs
+++ b/endivestile_testkit/src/fleet/visits.rs
@@ -62,14 +62,14 @@
                 if new && matches!(end, StartEnd::Started(_)) {
                     self.seen.started(order);
                 }
-                FleetEvent::Started {
+                FleetEvent::StartResult {
                     worker: order.worker.clone(),
                     task: order.task.clone(),
                     run: order.run,
                     end,
                 }
             }
-            WorkerCall::Stop(order) => FleetEvent::Stopped {
+            WorkerCall::Stop(order) => FleetEvent::StopResult {
                 worker: order.worker.clone(),
                 task: order.task.clone(),
                 run: order.run,
@@ -80,7 +80,7 @@
                     Ok(_) => Ok(state.held(now)),
                     Err(fault) => Err(fault),
                 };
-                FleetEvent::Held { worker: order.worker.clone(), number: *number, end }
+                FleetEvent::RenewalResult { worker: order.worker.clone(), number: *number, end }
             }
         };
         let worker = worker.clone();
@@ -114,7 +114,7 @@
         self.advance(worker);
         let Some(state) = self.workers.get(worker).filter(|state| !state.dark) else { return };
         let end = Ok(state.held(self.now));
-        let event = FleetEvent::Held { worker: worker.clone(), number, end };
+        let event = FleetEvent::RenewalResult { worker: worker.clone(), number, end };
         self.reply(visit, &host, worker, event);
     }
 
@@ -122,21 +122,23 @@
         let Some((host, birth, call)) = self.open_visits.remove(&visit) else { return };
         self.waiting.remove(&visit);
         let event = match call {
-            WorkerCall::Start(order) => FleetEvent::Started {
+            WorkerCall::Start(order) => FleetEvent::StartResult {
                 worker: order.worker,
                 task: order.task,
                 run: order.run,
                 end: StartEnd::Fault(CallFault::Lost),
             },
-            WorkerCall::Stop(order) => FleetEvent::Stopped {
+            WorkerCall::Stop(order) => FleetEvent::StopResult {
                 worker: order.worker,
                 task: order.task,
                 run: order.run,
                 end: Err(CallFault::Lost),
             },
-            WorkerCall::Hold(number, order) => {
-                FleetEvent::Held { worker: order.worker, number, end: Err(CallFault::Lost) }
-            }
+            WorkerCall::Hold(number, order) => FleetEvent::RenewalResult {
+                worker: order.worker,
+                number,
+                end: Err(CallFault::Lost),
+            },
         };
         self.deliver(&host, birth, event);
     }
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -259,7 +259,14 @@
             }
         }
         let at = if stored == Stored::Lost { at + 700_000 } else { at };
-        self.at(at, Happening::Event { host, birth, event: FleetEvent::Stored { token, stored } });
+        self.at(
+            at,
+            Happening::Event {
+                host,
+                birth,
+                event: FleetEvent::StoreResult { op_id: token, result: stored },
+            },
+        );
     }
 
     fn register(&mut self, entry: &HostEntry) {
