--- a/endivestile/src/fleet/workers.rs
+++ b/endivestile/src/fleet/workers.rs
@@ -44,7 +44,12 @@
                     Ok((status, body)) => (adapter.started)(status, &body),
                     Err(fault) => StartResult::Failed(fault.into()),
                 };
-                FleetEvent::Started { worker: order.worker, task: order.task, run: order.run, end }
+                FleetEvent::StartResult {
+                    worker: order.worker,
+                    task: order.task,
+                    run: order.run,
+                    end,
+                }
             }
             WorkerCall::Stop(order) => {
                 let answer = self.client.call(&order.address, (adapter.stop)(&order), due).await;
@@ -52,7 +57,12 @@
                     Ok((status, body)) => (adapter.stopped)(status, &body),
                     Err(fault) => Err(fault.into()),
                 };
-                FleetEvent::Stopped { worker: order.worker, task: order.task, run: order.run, end }
+                FleetEvent::StopResult {
+                    worker: order.worker,
+                    task: order.task,
+                    run: order.run,
+                    end,
+                }
             }
             WorkerCall::Renew(number, order) => {
                 let answer = self.client.call(&order.address, (adapter.hold)(&order), due).await;
@@ -60,7 +70,7 @@
                     Ok((status, body)) => (adapter.held)(status, &body),
                     Err(fault) => Err(fault.into()),
                 };
-                FleetEvent::Held { worker: order.worker, number, end }
+                FleetEvent::RenewalResult { worker: order.worker, number, end }
             }
         }
     }
