--- a/endivestile/src/http/head.rs
+++ b/endivestile/src/http/head.rs
@@ -1,7 +1,7 @@
 //! Headers of a submission.
 
 use endivestile_config::CallSettings;
-use endivestile_kernel::{Form, MARGIN_S, SubmissionId};
+use endivestile_kernel::{Form, MAX_CLOCK_SKEW_S, SubmissionId};
 use endivestile_wire::call::{DEADLINE_HEADER, ID_HEADER, TEAM_HEADER};
 use tiny_http::Request;
 
@@ -71,9 +71,9 @@
     let id = SubmissionId::parse(text).map_err(|e| Invalid::field(ID_HEADER, e.to_string()))?;
     if let Form::Dated(secs) = id.form() {
         // The table would forget an id dated further ahead while it is still valid.
-        let latest = since_epoch().as_secs() + MARGIN_S;
+        let latest = since_epoch().as_secs() + MAX_CLOCK_SKEW_S;
         if *secs > latest {
-            let reason = format!("dated {} s ahead of this host", secs - latest + MARGIN_S);
+            let reason = format!("dated {} s ahead of this host", secs - latest + MAX_CLOCK_SKEW_S);
             return Err(Invalid::field(ID_HEADER, reason));
         }
     }
--- a/endivestile_kernel/benches/shards.rs
+++ b/endivestile_kernel/benches/shards.rs
@@ -6,8 +6,8 @@
 use criterion::{BatchSize, Criterion};
 use endivestile_config::model::{Name, Rules};
 use endivestile_kernel::{
-    Admit, HostState, HostView, Known, Msg, Peer, ShardEffect, ShardSetup, Shards, StoreOp, Stored,
-    SubmissionId, Time, View,
+    Admission, HostState, HostView, Known, Msg, Peer, ShardEffect, ShardSetup, Shards, StoreOp,
+    Stored, SubmissionId, Time, View,
 };
 
 const WALL_S: u64 = 1_800_000_000;
@@ -49,12 +49,18 @@
             let (shards, view) = &mut self.hosts[to];
             match effect {
                 ShardEffect::Send { msg, .. } => {
-                    shards.message(self.now, view, &from, msg, &mut out);
+                    shards.handle_message(self.now, view, &from, msg, &mut out);
                 }
                 ShardEffect::Store { token, op: StoreOp::Swap { key, .. } } => {
                     let revision = self.values.entry(key).or_default();
                     *revision += 1;
-                    shards.stored(self.now, view, token, Stored::Swapped(*revision), &mut out);
+                    shards.handle_store_reply(
+                        self.now,
+                        view,
+                        token,
+                        Stored::Swapped(*revision),
+                        &mut out,
+                    );
                 }
                 ShardEffect::Granted { ticket } => drop(black_box(ticket)),
                 _ => {}
@@ -69,7 +75,7 @@
         for (ticket, id) in ids.iter().enumerate() {
             let (shards, view) = &mut self.hosts[0];
             let admit = shards.admit(self.now, view, id, 7, ticket as u64, &mut out);
-            debug_assert_eq!(admit, Admit::Wait);
+            debug_assert_eq!(admit, Admission::Wait);
         }
         self.apply(0, out);
     }
@@ -137,7 +143,7 @@
             let shard = id.shard(SHARDS);
             let known = Known { id, digest: 7, runner: home.clone(), forget: Time::NEVER };
             let msg = Msg::Record { shard, epoch: 1, batch: 1, ids: vec![known] };
-            witness.message(pair.now, view, &home, msg, &mut Vec::new());
+            witness.handle_message(pair.now, view, &home, msg, &mut Vec::new());
         }
     }
     let ids: usize = witness.status().iter().map(|shard| shard.ids).sum();
--- a/endivestile_kernel/src/kernel.rs
+++ b/endivestile_kernel/src/kernel.rs
@@ -178,12 +178,12 @@
             }
             Event::Stored { token, stored } => {
                 let view = self.hosts.view();
-                self.shards.stored(now, view, token, stored, &mut self.shard_effects);
+                self.shards.handle_store_reply(now, view, token, stored, &mut self.shard_effects);
             }
             Event::Record { shard, revision, value } => {
                 let view = self.hosts.view();
                 let out = &mut self.shard_effects;
-                self.shards.record(now, view, shard, revision, &value, out);
+                self.shards.handle_watch_event(now, view, shard, revision, &value, out);
             }
             Event::Host { host, registration } => {
                 let changed = self.hosts.register(now, &host, registration.as_ref());
--- a/endivestile_kernel/src/kernel/ask.rs
+++ b/endivestile_kernel/src/kernel/ask.rs
@@ -30,9 +30,9 @@
         }
         let owner = match id.form() {
             Form::Minted(issuer, _) => Some(issuer.clone()),
-            Form::Dated(_) => match self.shards.known(&id) {
+            Form::Dated(_) => match self.shards.lookup(&id) {
                 Some(known) => Some(known.runner.clone()),
-                None => self.shards.home(&id).cloned(),
+                None => self.shards.home_of(&id).cloned(),
             },
         };
         let Some(owner) = owner else {
@@ -76,7 +76,7 @@
             Ask::Fetch => self.reply(waiter, Arc::new(Answer::Running)),
             Ask::Cancel => {
                 run.waiters.push(waiter.clone());
-                self.shards.withdraw(number);
+                self.shards.cancel(number);
                 self.keep_cancelled(now, number);
                 self.finish(now, number, Answer::Failed(Failure::Cancelled));
             }
--- a/endivestile_kernel/src/kernel/grant.rs
+++ b/endivestile_kernel/src/kernel/grant.rs
@@ -2,7 +2,7 @@
 
 use crate::kernel::submit::{Arrival, PATIENCE_MS};
 use crate::run::RunState;
-use crate::{Answer, Cause, Class, Effect, Kernel, MARGIN_S, Metric, ShardEffect, Time};
+use crate::{Answer, Cause, Class, Effect, Kernel, MAX_CLOCK_SKEW_S, Metric, ShardEffect, Time};
 
 impl Kernel {
     pub(super) fn shard_effect(&mut self, now: Time, effect: ShardEffect) {
@@ -16,7 +16,7 @@
             ShardEffect::Refused { ticket, class, cause } => {
                 self.ungranted(now, ticket, class, cause);
             }
-            ShardEffect::Moved { ticket } => {
+            ShardEffect::Readmit { ticket } => {
                 self.ungranted(now, ticket, Class::Unknown, Cause::ShardMoving);
             }
             ShardEffect::Log(note) => self.out.push(Effect::Log(note)),
@@ -56,12 +56,12 @@
     /// the margins by which clocks may differ on both ends.
     pub(super) fn keep_ms(&self) -> u64 {
         let window_s = self.config.as_ref().map_or(0, |config| config.rules.window_s);
-        (window_s + 2 * MARGIN_S) * 1_000
+        (window_s + 2 * MAX_CLOCK_SKEW_S) * 1_000
     }
 
     /// Gives up on a run that the witness has not let start.
     pub(super) fn give_up_asking(&mut self, now: Time, ticket: u64) {
-        self.shards.withdraw(ticket);
+        self.shards.cancel(ticket);
         let refusal = self.refusal(now, Class::Unknown, Cause::WitnessAway);
         self.finish(now, ticket, Answer::Refused(refusal));
     }
--- a/endivestile_kernel/src/kernel/link.rs
+++ b/endivestile_kernel/src/kernel/link.rs
@@ -79,7 +79,7 @@
             | Msg::Synced { .. }
             | Msg::Yield { .. } => {
                 let view = self.hosts.view();
-                self.shards.message(now, view, from, msg, &mut self.shard_effects);
+                self.shards.handle_message(now, view, from, msg, &mut self.shard_effects);
             }
         }
         self.settle(now);
--- a/endivestile_kernel/src/kernel/stop.rs
+++ b/endivestile_kernel/src/kernel/stop.rs
@@ -69,7 +69,7 @@
         self.info("leaving", vec![("leaving", leaving.to_string())]);
         if leaving {
             let view = self.hosts.view();
-            self.shards.leave(now, view, &mut self.shard_effects);
+            self.shards.start_drain(now, view, &mut self.shard_effects);
         }
         // Told at once: the next heartbeat may be half a second away.
         for channel in self.channels.values_mut() {
@@ -105,6 +105,6 @@
             channel.backlog() > 0 && matches!(state, HostState::Live | HostState::Leaving)
         });
         let calls = self.runs.active() + self.passed.len();
-        calls > 0 || owed || !self.placer.idle() || !self.shards.idle()
+        calls > 0 || owed || !self.placer.idle() || !self.shards.is_drained()
     }
 }
--- a/endivestile_kernel/src/kernel/submit.rs
+++ b/endivestile_kernel/src/kernel/submit.rs
@@ -5,8 +5,8 @@
 use crate::mint::Standing;
 use crate::run::{Run, RunState, Waiter};
 use crate::{
-    Admit, Answer, CallId, Cause, Class, Failure, Form, HostState, Kernel, Known, Peer, Submission,
-    SubmissionId, Time,
+    Admission, Answer, CallId, Cause, Class, Failure, Form, HostState, Kernel, Known, Peer,
+    Submission, SubmissionId, Time,
 };
 
 /// Hosts that pass a call on at most.
@@ -144,7 +144,7 @@
         let state = verdict.map_or_else(RunState::Refusing, |()| RunState::Asking);
         // An id that was recorded before is met as such, however full the host is:
         // "not run" would be untrue of it.
-        let asking = state == RunState::Asking || self.shards.known(id).is_some();
+        let asking = state == RunState::Asking || self.shards.lookup(id).is_some();
         let mut run = Run::new(now, arrival.submission.clone(), state);
         run.due = arrival.until;
         run.waiters.push(arrival.waiter.clone());
@@ -153,7 +153,7 @@
         let admit = if asking {
             self.shards.admit(now, view, id, digest, ticket, out)
         } else {
-            self.shards.confirm(now, view, id, ticket, out)
+            self.shards.confirm_not_run(now, view, id, ticket, out)
         };
         self.admitted(now, id, arrival, ticket, admit);
     }
@@ -164,12 +164,12 @@
         id: &SubmissionId,
         arrival: Arrival,
         ticket: u64,
-        admit: Admit,
+        admit: Admission,
     ) {
-        if admit == Admit::Wait {
+        if admit == Admission::Wait {
             return;
         }
-        if let Admit::Known(known) = &admit
+        if let Admission::Known(known) = &admit
             && known.runner == self.setup.me
             && known.digest == arrival.submission.digest()
         {
@@ -178,10 +178,10 @@
         }
         self.runs.remove(ticket);
         match admit {
-            Admit::Wait => {}
-            Admit::Forward(peer) => self.forward_home(now, arrival, peer),
-            Admit::Known(known) => self.meet_known(now, arrival, &known),
-            Admit::Refused(class, cause) => self.park_or_refuse(now, arrival, class, cause),
+            Admission::Wait => {}
+            Admission::Forward(peer) => self.forward_home(now, arrival, peer),
+            Admission::Known(known) => self.meet_known(now, arrival, &known),
+            Admission::Refused(class, cause) => self.park_or_refuse(now, arrival, class, cause),
         }
     }
 
@@ -190,17 +190,17 @@
     /// The witness has to confirm that nobody took the shard over meanwhile.
     fn restart(&mut self, now: Time, id: &SubmissionId, arrival: Arrival, ticket: u64) {
         let (view, out) = (self.hosts.view(), &mut self.shard_effects);
-        match self.shards.confirm(now, view, id, ticket, out) {
-            Admit::Wait => {}
-            Admit::Forward(peer) => {
+        match self.shards.confirm_not_run(now, view, id, ticket, out) {
+            Admission::Wait => {}
+            Admission::Forward(peer) => {
                 self.runs.remove(ticket);
                 self.forward_home(now, arrival, peer);
             }
-            Admit::Known(_) => {
+            Admission::Known(_) => {
                 self.runs.remove(ticket);
                 self.refuse(now, &arrival.waiter, Class::Unknown, Cause::ShardMoving);
             }
-            Admit::Refused(class, cause) => {
+            Admission::Refused(class, cause) => {
                 self.runs.remove(ticket);
                 self.park_or_refuse(now, arrival, class, cause);
             }
--- a/endivestile_kernel/src/kernel/watch.rs
+++ b/endivestile_kernel/src/kernel/watch.rs
@@ -49,7 +49,7 @@
         let known = |peer: &Peer| peer.birth != 0 && view.state(peer) != HostState::Gone;
         let mates = view.hosts.values().filter(|host| host.zone == view.zone);
         let mut peers: BTreeSet<Peer> = mates.map(|host| host.peer.clone()).collect();
-        peers.extend(self.shards.partners().cloned());
+        peers.extend(self.shards.replica_peers().cloned());
         peers.remove(&self.setup.me);
         peers.retain(known);
         self.watched.retain(|peer, _| peers.contains(peer));
@@ -78,7 +78,7 @@
         self.set_leaving(now, leaving);
         self.bury_gone(now);
         let view = self.hosts.view();
-        self.shards.view_changed(now, view, &mut self.shard_effects);
+        self.shards.handle_view_change(now, view, &mut self.shard_effects);
         self.placer.view_changed(now, view, &mut self.place_effects);
         self.settle(now);
         self.reroute(now);
--- a/endivestile_kernel/src/lib.rs
+++ b/endivestile_kernel/src/lib.rs
@@ -36,8 +36,8 @@
     Choice, Condition, PlaceEffect, Placer, PlacerSetup, PolicyPlugin, ServerStatus, policy_names,
 };
 pub use shard::{
-    Admit, Backing, MARGIN_S, Role, Seat, ShardEffect, ShardRecord, ShardSetup, ShardStatus,
-    Shards, Standing, SyncVerdict, Verdict, too_early,
+    Admission, Assignment, BatchDecision, FencingState, MAX_CLOCK_SKEW_S, Replication, ShardEffect,
+    ShardRecord, ShardRole, ShardSetup, ShardStatus, Shards, SyncDecision, too_far_ahead,
 };
 pub use submission::{MAX_TASKS, Need, Submission, Target, Task};
 pub use time::Time;
--- /dev/null
+++ b/endivestile_kernel/src/shard/admission.rs
@@ -0,0 +1,127 @@
+//! Asking a shard for leave to start.
+
+use crate::shard::context::Context;
+use crate::shard::effect::Admission;
+use crate::shard::pending::PendingId;
+use crate::shard::record::expired;
+use crate::shard::replica::Replica;
+use crate::{Cause, Class, HostState, Known, SubmissionId};
+
+impl Replica {
+    /// Judges an id dated `secs`; without a digest it is only to be confirmed.
+    pub(crate) fn admit(
+        &mut self,
+        cx: &mut Context<'_>,
+        id: &SubmissionId,
+        secs: u64,
+        digest: Option<u64>,
+        ticket: u64,
+    ) -> Admission {
+        let early = if self.fencing.home_epoch != 0 {
+            self.check_at_home(cx, id, secs)
+        } else {
+            self.check_elsewhere(cx)
+        };
+        if let Some(admit) = early {
+            return admit;
+        }
+        match digest {
+            Some(digest) => self.enqueue(cx, id, digest, ticket),
+            None => self.enqueue_confirmation(cx, id, ticket),
+        }
+    }
+
+    /// Judges an id at its home; none when it has to be recorded.
+    fn check_at_home(&self, cx: &Context<'_>, id: &SubmissionId, secs: u64) -> Option<Admission> {
+        if let Some(known) = self.table.get(id) {
+            return Some(Admission::Known(known.clone()));
+        }
+        let floor = self.record().map_or(0, |record| record.floor);
+        if secs <= floor || expired(secs, cx.shared.wall_s(cx.now), cx.shared.window_s) {
+            return Some(refused(Cause::Expired));
+        }
+        self.blocked_cause(cx).map(refused)
+    }
+
+    /// Judges an id on a host that is not its home; none when the host is about to be.
+    fn check_elsewhere(&self, cx: &Context<'_>) -> Option<Admission> {
+        let Some(observed) = &self.observed else { return self.check_unowned(cx) };
+        let Some(record) = &observed.record else { return Some(refused(Cause::ShardMoving)) };
+        let home = cx.view.state(&record.home);
+        let answers = matches!(home, HostState::Live | HostState::Leaving);
+        // Our own fence is above the record: a take-over of ours is under way.
+        if answers && self.fencing.fence <= record.epoch {
+            return Some(Admission::Forward(record.home.clone()));
+        }
+        if let Some(cause) = self.blocked_cause(cx) {
+            return Some(refused(cause));
+        }
+        if self.fencing.synced_epoch == record.epoch || self.may_claim(cx) {
+            return None;
+        }
+        let away = home == HostState::Suspect;
+        Some(refused(if away { Cause::HomeAway } else { Cause::ShardMoving }))
+    }
+
+    fn check_unowned(&self, cx: &Context<'_>) -> Option<Admission> {
+        if let Some(cause) = self.blocked_cause(cx) {
+            return Some(refused(cause));
+        }
+        if self.is_first_ranked(cx) {
+            return None;
+        }
+        let first = cx.view.ranked(&self.rank_key()).first().map(|host| host.peer.clone());
+        match first {
+            Some(peer) if peer != cx.shared.me => Some(Admission::Forward(peer)),
+            _ => Some(refused(Cause::ShardMoving)),
+        }
+    }
+
+    /// Queues an id, or hands back what an earlier ticket of the same id waits for.
+    fn enqueue(
+        &mut self,
+        cx: &Context<'_>,
+        id: &SubmissionId,
+        digest: u64,
+        ticket: u64,
+    ) -> Admission {
+        if let Some(known) = self.find_waiting(cx, id) {
+            return Admission::Known(known);
+        }
+        let pending = PendingId { digest, ticket: Some(ticket), forget: cx.forget_at() };
+        let old = self.pending.insert(id.clone(), pending);
+        // A withdrawn id keeps its place; with another body it goes out anew.
+        if old.is_none_or(|old| old.digest != digest) {
+            self.queue.push(id.clone());
+        }
+        Admission::Wait
+    }
+
+    fn enqueue_confirmation(
+        &mut self,
+        cx: &Context<'_>,
+        id: &SubmissionId,
+        ticket: u64,
+    ) -> Admission {
+        if let Some(known) = self.find_waiting(cx, id) {
+            return Admission::Known(known);
+        }
+        self.confirmations.push(ticket);
+        Admission::Wait
+    }
+
+    /// Returns an id that waits on behalf of another ticket.
+    fn find_waiting(&self, cx: &Context<'_>, id: &SubmissionId) -> Option<Known> {
+        let pending = self.pending.get(id).filter(|pending| pending.ticket.is_some())?;
+        Some(Known {
+            id: id.clone(),
+            digest: pending.digest,
+            runner: cx.shared.me.clone(),
+            forget: pending.forget,
+        })
+    }
+}
+
+fn refused(cause: Cause) -> Admission {
+    Admission::Refused(Class::Unknown, cause)
+}
--- a/endivestile_kernel/src/shard/balance.rs
+++ b/endivestile_kernel/src/shard/balance.rs
@@ -2,87 +2,93 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::shard::core::{Cx, Event};
+use crate::shard::context::{Context, Env};
 use crate::shard::effect::ShardEffect;
-use crate::shard::slot::Slot;
+use crate::shard::replica::Replica;
 use crate::{HostState, HostView, Peer, Shards, Time, View};
 
 /// Period at which a host with too many shards hands one on, in milliseconds.
-const MOVE_MS: u64 = 2_000;
+const REBALANCE_INTERVAL_MS: u64 = 2_000;
 
 impl Shards {
     /// Hands one shard on, if this host has more than its share and it is time.
-    pub(crate) fn balance(&mut self, now: Time, view: &View, out: &mut Vec<ShardEffect>) {
-        if self.core.leaving {
-            return self.hand_on_all(now, view, out);
+    pub(crate) fn balance(&mut self, now: Time, view: &View, effects: &mut Vec<ShardEffect>) {
+        if self.shared.draining {
+            return self.transfer_all(now, view, effects);
         }
-        if now < self.core.move_at {
-            self.core.wake(self.core.move_at);
+        if now < self.shared.rebalance_at {
+            self.shared.wake_at(self.shared.rebalance_at);
             return;
         }
-        let mut cx = Event { now, view, out }.with(&mut self.core);
-        cx.core.move_at = cx.jittered(2 * MOVE_MS);
-        cx.core.wake(cx.core.move_at);
-        for slot in &mut self.slots {
-            slot.heir.take_if(|heir| view.state(heir) != HostState::Live);
+        let mut cx = Env { now, view, effects }.with(&mut self.shared);
+        cx.shared.rebalance_at = cx.jittered(2 * REBALANCE_INTERVAL_MS);
+        cx.shared.wake_at(cx.shared.rebalance_at);
+        for replica in &mut self.replicas {
+            replica.successor.take_if(|successor| view.state(successor) != HostState::Live);
         }
-        if !view.store || self.slots.iter().any(|slot| slot.heir.is_some()) {
+        if !view.store || self.replicas.iter().any(|replica| replica.successor.is_some()) {
             return;
         }
-        let needy = needy_hosts(view, &self.slots);
-        let found = self.slots.iter_mut().find_map(|slot| slot.find_heir(view, &needy));
-        if let Some((slot, peer)) = found {
-            slot.heir = Some(peer);
-            slot.settle(&mut cx);
+        let underloaded = underloaded_hosts(view, &self.replicas);
+        let found =
+            self.replicas.iter_mut().find_map(|replica| replica.find_successor(view, &underloaded));
+        if let Some((replica, peer)) = found {
+            replica.successor = Some(peer);
+            replica.reconcile(&mut cx);
         }
     }
 
-    /// Names the witness of every shard its heir.
-    fn hand_on_all(&mut self, now: Time, view: &View, out: &mut Vec<ShardEffect>) {
-        let mut cx = Event { now, view, out }.with(&mut self.core);
-        for slot in &mut self.slots {
-            slot.hand_on(&mut cx);
+    /// Names the witness of every shard its successor.
+    fn transfer_all(&mut self, now: Time, view: &View, effects: &mut Vec<ShardEffect>) {
+        let mut cx = Env { now, view, effects }.with(&mut self.shared);
+        for replica in &mut self.replicas {
+            replica.choose_successor(&mut cx);
         }
         let peers = view.live().any(|host| host.peer != view.me);
-        cx.core.stuck = !peers || now >= cx.core.leave_by;
-        if !cx.core.stuck {
-            cx.core.wake(cx.core.leave_by);
+        cx.shared.transfer_blocked = !peers || now >= cx.shared.drain_deadline;
+        if !cx.shared.transfer_blocked {
+            cx.shared.wake_at(cx.shared.drain_deadline);
         }
     }
 
     /// Returns whether a stopping host is home of no shard that a peer could take.
-    pub fn idle(&self) -> bool {
-        self.core.leaving
-            && (self.core.stuck || self.slots.iter().all(|slot| slot.standing.home == 0))
+    pub fn is_drained(&self) -> bool {
+        self.shared.draining
+            && (self.shared.transfer_blocked
+                || self.replicas.iter().all(|replica| replica.fencing.home_epoch == 0))
     }
 }
 
-impl Slot {
-    /// Names the witness that the shard has, or will have, its heir.
-    fn hand_on(&mut self, cx: &mut Cx<'_>) {
-        if self.standing.home == 0 {
+impl Replica {
+    /// Names the witness that the shard has, or will have, its successor.
+    fn choose_successor(&mut self, cx: &mut Context<'_>) {
+        if self.fencing.home_epoch == 0 {
             return;
         }
         let Some(record) = self.record() else { return };
-        let heir = self.wanted_witness(cx, record);
-        if self.heir != heir {
-            self.heir = heir;
-            self.settle(cx);
+        let successor = self.wanted_witness(cx, record);
+        if self.successor != successor {
+            self.successor = successor;
+            self.reconcile(cx);
         }
     }
 
-    /// Returns this shard and, if this host is its home, the first needy host in its rank.
-    fn find_heir(&mut self, view: &View, needy: &BTreeSet<Peer>) -> Option<(&mut Self, Peer)> {
-        if self.standing.home == 0 || needy.is_empty() {
+    /// Returns this shard and, if this host is its home, the first underloaded host in its rank.
+    fn find_successor(
+        &mut self,
+        view: &View,
+        underloaded: &BTreeSet<Peer>,
+    ) -> Option<(&mut Self, Peer)> {
+        if self.fencing.home_epoch == 0 || underloaded.is_empty() {
             return None;
         }
         let ranked = view.ranked(&self.rank_key());
-        let heir = ranked.into_iter().find(|host| needy.contains(&host.peer))?;
-        Some((self, heir.peer.clone()))
+        let successor = ranked.into_iter().find(|host| underloaded.contains(&host.peer))?;
+        Some((self, successor.peer.clone()))
     }
 
     /// Returns the other half of the shard, if this host has one half.
-    pub(crate) fn partner(&self, me: &Peer) -> Option<&Peer> {
+    pub(crate) fn replica_peer(&self, me: &Peer) -> Option<&Peer> {
         let record = self.record()?;
         if record.home == *me {
             return record.witness.as_ref();
@@ -97,21 +103,21 @@
 /// on three hosts it gave 7, 4 and 1. By the records every host sees the same
 /// numbers, and a shard only moves from above a share to below one, so that
 /// none moves to and fro.
-fn needy_hosts(view: &View, slots: &[Slot]) -> BTreeSet<Peer> {
+fn underloaded_hosts(view: &View, replicas: &[Replica]) -> BTreeSet<Peer> {
     let mut counts: BTreeMap<&Peer, usize> = BTreeMap::new();
-    for owner in slots.iter().filter_map(Slot::owner) {
-        *counts.entry(owner).or_default() += 1;
+    for home in replicas.iter().filter_map(Replica::home) {
+        *counts.entry(home).or_default() += 1;
     }
     let total: u64 = view.live().map(weight).sum();
-    let shards = slots.len() as u64;
+    let shards = replicas.len() as u64;
     let count = |host: &HostView| counts.get(&host.peer).map_or(0, |&count| count as u64);
     let me = view.live().find(|host| host.peer == view.me);
     let full = me.is_some_and(|me| count(me) > (shards * weight(me)).div_ceil(total));
     if !full {
         return BTreeSet::new();
     }
-    let needy = view.live().filter(|host| count(host) < shards * weight(host) / total);
-    needy.map(|host| host.peer.clone()).collect()
+    let underloaded = view.live().filter(|host| count(host) < shards * weight(host) / total);
+    underloaded.map(|host| host.peer.clone()).collect()
 }
 
 fn weight(host: &HostView) -> u64 {
--- a/endivestile_kernel/src/shard/effect.rs
+++ b/endivestile_kernel/src/shard/effect.rs
@@ -20,7 +20,7 @@
 
 /// What becomes of an id that asks for admission.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Admit {
+pub enum Admission {
     /// The ticket is answered by an effect, perhaps one of the same call.
     Wait,
     /// This peer is the home.
@@ -63,7 +63,7 @@
         cause: Cause,
     },
     /// The ticket's shard moved: admit again.
-    Moved {
+    Readmit {
         /// Ticket.
         ticket: u64,
     },
@@ -76,7 +76,7 @@
 /// What a host is to a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Role {
+pub enum ShardRole {
     /// Starts submissions.
     Home,
     /// Remembers ids for the home.
@@ -97,7 +97,7 @@
     /// Epoch of the last record seen, 0 when none.
     pub epoch: u64,
     /// This host's role.
-    pub role: Role,
+    pub role: ShardRole,
     /// Whether home and witness hold the same table, as far as this host knows.
     pub synced: bool,
     /// Ids that this host remembers.
--- a/endivestile_kernel/src/shard/table.rs
+++ b/endivestile_kernel/src/shard/id_table.rs
@@ -13,11 +13,11 @@
 /// The hash is fixed, so that a scenario repeats exactly; an entry holds its
 /// id once.
 #[derive(Debug, Default)]
-pub(crate) struct Table {
+pub(crate) struct IdTable {
     entries: HashSet<Entry, BuildHasherDefault<IdHasher>>,
 }
 
-impl Table {
+impl IdTable {
     /// Returns what is remembered of an id.
     pub(crate) fn get(&self, id: &SubmissionId) -> Option<&Known> {
         self.entries.get(id).map(|entry| &entry.0)
--- a/endivestile_kernel/src/shard/mod.rs
+++ b/endivestile_kernel/src/shard/mod.rs
@@ -4,22 +4,22 @@
 //! submissions, and a witness, which remembers every id before its first task
 //! starts; the platform's store holds who is which, under an epoch.
 
-mod admit;
+mod admission;
 mod balance;
-mod call;
-mod core;
+mod context;
 mod effect;
+mod fencing;
 mod home;
-mod plan;
+mod id_table;
+mod ownership;
+mod pending;
 mod record;
-mod rule;
+mod replica;
 mod shards;
-mod slot;
-mod table;
-mod wait;
+mod store_call;
 mod witness;
 
-pub use effect::{Admit, Role, ShardEffect, ShardSetup, ShardStatus};
-pub use record::{MARGIN_S, ShardRecord, too_early};
-pub use rule::{Backing, Seat, Standing, SyncVerdict, Verdict};
+pub use effect::{Admission, ShardEffect, ShardRole, ShardSetup, ShardStatus};
+pub use fencing::{Assignment, BatchDecision, FencingState, Replication, SyncDecision};
+pub use record::{MAX_CLOCK_SKEW_S, ShardRecord, too_far_ahead};
 pub use shards::Shards;
--- a/endivestile_kernel/src/shard/record.rs
+++ b/endivestile_kernel/src/shard/record.rs
@@ -14,7 +14,7 @@
 ///
 /// A host whose clock is off by more could take an expired id for a fresh one
 /// after its peers forgot it; operators notice by refusals of fresh ids.
-pub const MARGIN_S: u64 = 60;
+pub const MAX_CLOCK_SKEW_S: u64 = 60;
 
 /// Who owns a shard, agreed by compare-and-swap in the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,8 +52,8 @@
 /// `wall_s` (both in seconds since 1970) to be accepted.
 ///
 /// Accepting it would let the table forget the id while it is still valid.
-pub fn too_early(secs: u64, wall_s: u64) -> bool {
-    secs > wall_s.saturating_add(MARGIN_S)
+pub fn too_far_ahead(secs: u64, wall_s: u64) -> bool {
+    secs > wall_s.saturating_add(MAX_CLOCK_SKEW_S)
 }
 
 /// Returns whether an id dated `secs` is older than the resubmission window.
@@ -66,6 +66,6 @@
 /// The lost home accepted ids up to one margin ahead of its own clock, and its
 /// clock may have run one margin ahead of ours; an id above the floor was
 /// therefore never accepted by it.
-pub(crate) fn floor_at(wall_s: u64) -> u64 {
-    wall_s.saturating_add(2 * MARGIN_S)
+pub(crate) fn floor_after_loss(wall_s: u64) -> u64 {
+    wall_s.saturating_add(2 * MAX_CLOCK_SKEW_S)
 }
--- a/endivestile_kernel/src/shard/witness.rs
+++ b/endivestile_kernel/src/shard/witness.rs
@@ -1,66 +1,66 @@
 //! A witness: remembers ids for a home, and refuses a home of the past.
 
-use crate::shard::core::Cx;
-use crate::shard::rule::{SyncVerdict, Verdict};
-use crate::shard::slot::Slot;
+use crate::shard::context::Context;
+use crate::shard::fencing::{BatchDecision, SyncDecision};
+use crate::shard::replica::Replica;
 use crate::{Known, Msg, Peer};
 
-impl Slot {
+impl Replica {
     /// Takes in a batch of a home.
-    pub(crate) fn witness_batch(
+    pub(crate) fn handle_batch(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut Context<'_>,
         from: &Peer,
         epoch: u64,
         batch: u64,
         ids: Vec<Known>,
     ) {
         let shard = self.shard;
-        match self.standing.witness_record(epoch) {
-            Verdict::Recorded => {
+        match self.fencing.check_batch(epoch) {
+            BatchDecision::Accept => {
                 ids.into_iter().for_each(|known| self.table.insert(known));
                 cx.send(from.clone(), Msg::Recorded { shard, epoch, batch });
             }
-            Verdict::Fenced(epoch) => cx.send(from.clone(), Msg::Fenced { shard, epoch }),
-            Verdict::Unsynced => {}
+            BatchDecision::Fenced(epoch) => cx.send(from.clone(), Msg::Fenced { shard, epoch }),
+            BatchDecision::Unsynced => {}
         }
     }
 
     /// Takes in a part of a home's table.
-    pub(crate) fn witness_part(
+    pub(crate) fn handle_sync(
         &mut self,
-        cx: &mut Cx<'_>,
+        cx: &mut Context<'_>,
         from: &Peer,
         epoch: u64,
         ids: Vec<Known>,
         last: bool,
     ) {
         let shard = self.shard;
-        match self.standing.witness_sync(epoch, last) {
-            SyncVerdict::Fenced(epoch) => cx.send(from.clone(), Msg::Fenced { shard, epoch }),
-            SyncVerdict::Again => cx.send(from.clone(), Msg::Synced { shard, epoch }),
-            SyncVerdict::Part => self.take_part(epoch, ids),
-            SyncVerdict::Whole => {
-                self.take_part(epoch, ids);
-                self.syncing = 0;
+        match self.fencing.accept_sync(epoch, last) {
+            SyncDecision::Fenced(epoch) => cx.send(from.clone(), Msg::Fenced { shard, epoch }),
+            SyncDecision::Duplicate => cx.send(from.clone(), Msg::Synced { shard, epoch }),
+            SyncDecision::Partial => self.insert_part(epoch, ids),
+            SyncDecision::Complete => {
+                self.insert_part(epoch, ids);
+                self.syncing_epoch = 0;
                 cx.send(from.clone(), Msg::Synced { shard, epoch });
             }
         }
     }
 
     /// The home's table is the truth: what is left of an older one goes first.
-    fn take_part(&mut self, epoch: u64, ids: Vec<Known>) {
-        if self.syncing != epoch {
-            self.syncing = epoch;
+    fn insert_part(&mut self, epoch: u64, ids: Vec<Known>) {
+        if self.syncing_epoch != epoch {
+            self.syncing_epoch = epoch;
             self.table.clear();
         }
         ids.into_iter().for_each(|known| self.table.insert(known));
     }
 
     /// Takes in the home's offer of the shard.
-    pub(crate) fn take_yield(&mut self, epoch: u64) {
-        if self.standing.synced == epoch {
-            self.yielded = epoch;
+    pub(crate) fn handle_yield(&mut self, epoch: u64) {
+        if self.fencing.synced_epoch == epoch {
+            self.yielded_epoch = epoch;
         }
     }
 }
--- a/endivestile_kernel/tests/shard_model.rs
+++ b/endivestile_kernel/tests/shard_model.rs
@@ -5,7 +5,7 @@
 //! that is not scheduled is a paused one. Suspicion may be wrong at any time;
 //! only "gone" is true.
 
-use endivestile_kernel::{Backing, Seat, Standing, SyncVerdict, Verdict};
+use endivestile_kernel::{Assignment, BatchDecision, FencingState, Replication, SyncDecision};
 use pathfinding::directed::bfs::{bfs, bfs_reach};
 
 const HOSTS: usize = 3;
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 struct Host {
     dead: bool,
-    standing: Standing,
+    fencing: FencingState,
     seen: Option<Record>,
     /// Whether the table holds the id.
     known: bool,
@@ -84,11 +84,11 @@
         if host.seen.is_some_and(|seen| seen.epoch >= record.epoch) {
             return;
         }
-        host.standing.see(record.epoch, seat(record, at));
+        host.fencing.observe_record(record.epoch, seat(record, at));
         host.seen = Some(record);
-        if host.standing.home == 0 {
+        if host.fencing.home_epoch == 0 {
             host.pending = false;
-            host.known &= host.standing.synced != 0;
+            host.known &= host.fencing.synced_epoch != 0;
         } else if let Some(to) = record.witness {
             let (epoch, known) = (record.epoch, host.known);
             self.post(Mail::Sync { from: at, to, epoch, known });
@@ -104,16 +104,16 @@
     fn submit(&mut self, at: usize) -> Option<()> {
         let host = self.hosts[at];
         let seen = host.seen.filter(|seen| !seen.floor && !host.known)?;
-        if host.standing.home == 0 {
+        if host.fencing.home_epoch == 0 {
             return None;
         }
-        if host.standing.may_start(None) {
+        if host.fencing.may_start(None) {
             self.start(at);
             return Some(());
         }
         self.hosts[at].pending = true;
-        let to = seen.witness.filter(|_| host.standing.may_record())?;
-        let epoch = host.standing.home;
+        let to = seen.witness.filter(|_| host.fencing.may_send_batch())?;
+        let epoch = host.fencing.home_epoch;
         self.post(Mail::Record { from: at, to, epoch })
     }
 
@@ -128,13 +128,13 @@
 
     fn take_over(&mut self, at: usize, witness: Option<usize>) -> Option<()> {
         let seen = self.hosts[at].seen.filter(|seen| seen.witness == Some(at))?;
-        let epoch = self.hosts[at].standing.take_over(seen.epoch)?;
+        let epoch = self.hosts[at].fencing.begin_takeover(seen.epoch)?;
         self.swap(at, epoch, witness, seen.floor)
     }
 
     fn renew(&mut self, at: usize, witness: Option<usize>) -> Option<()> {
         let seen = self.hosts[at].seen?;
-        let epoch = self.hosts[at].standing.renew(seen.epoch)?;
+        let epoch = self.hosts[at].fencing.renewal_epoch(seen.epoch)?;
         self.swap(at, epoch, witness, seen.floor)
     }
 
@@ -144,7 +144,7 @@
         if !self.hosts[seen.home].dead || !seen.witness.is_none_or(spare) {
             return None;
         }
-        let epoch = self.hosts[at].standing.claim(seen.epoch);
+        let epoch = self.hosts[at].fencing.begin_claim(seen.epoch);
         self.swap(at, epoch, witness, true)
     }
 
@@ -153,13 +153,13 @@
             Mail::Record { from, to, epoch } => self.record(from, to, epoch),
             Mail::Recorded { to, epoch } => {
                 let host = self.hosts[to];
-                if host.pending && host.standing.may_start(Some(epoch)) {
+                if host.pending && host.fencing.may_start(Some(epoch)) {
                     self.start(to);
                 }
             }
-            Mail::Fenced { to, epoch } => self.hosts[to].standing.home_fenced(epoch),
+            Mail::Fenced { to, epoch } => self.hosts[to].fencing.raise_fence(epoch),
             Mail::Sync { from, to, epoch, known } => self.sync(from, to, epoch, known),
-            Mail::Synced { to, epoch } => self.hosts[to].standing.home_synced(epoch),
+            Mail::Synced { to, epoch } => self.hosts[to].fencing.witness_synced(epoch),
             Mail::Swap { expect, record } => {
                 if self.store.epoch == expect {
                     self.store = record;
@@ -171,26 +171,26 @@
     }
 
     fn record(&mut self, from: usize, to: usize, epoch: u64) {
-        match self.hosts[to].standing.witness_record(epoch) {
-            Verdict::Recorded => {
+        match self.hosts[to].fencing.check_batch(epoch) {
+            BatchDecision::Accept => {
                 self.hosts[to].known = true;
                 self.post(Mail::Recorded { to: from, epoch });
             }
-            Verdict::Fenced(epoch) => {
+            BatchDecision::Fenced(epoch) => {
                 self.post(Mail::Fenced { to: from, epoch });
             }
-            Verdict::Unsynced => {}
+            BatchDecision::Unsynced => {}
         }
     }
 
     fn sync(&mut self, from: usize, to: usize, epoch: u64, known: bool) {
-        match self.hosts[to].standing.witness_sync(epoch, true) {
-            SyncVerdict::Fenced(epoch) => {
+        match self.hosts[to].fencing.accept_sync(epoch, true) {
+            SyncDecision::Fenced(epoch) => {
                 self.post(Mail::Fenced { to: from, epoch });
                 return;
             }
-            SyncVerdict::Again => {}
-            SyncVerdict::Part | SyncVerdict::Whole => self.hosts[to].known = known,
+            SyncDecision::Duplicate => {}
+            SyncDecision::Partial | SyncDecision::Complete => self.hosts[to].known = known,
         }
         self.post(Mail::Synced { to: from, epoch });
     }
@@ -240,7 +240,7 @@
         if host.seen.is_none_or(|seen| seen.epoch < self.store.epoch) {
             steps.push(Step::Read(at));
         }
-        if host.standing.home != 0 && !host.known {
+        if host.fencing.home_epoch != 0 && !host.known {
             steps.push(Step::Submit(at));
         }
         let Some(seen) = host.seen.filter(|seen| seen.epoch < LAST_EPOCH) else { return };
@@ -249,7 +249,7 @@
             if seen.witness == Some(at) {
                 steps.push(Step::TakeOver(at, witness));
             }
-            if host.standing.home != 0 {
+            if host.fencing.home_epoch != 0 {
                 steps.push(Step::Renew(at, witness));
             }
             if self.hosts[seen.home].dead {
@@ -263,17 +263,17 @@
     }
 }
 
-fn seat(record: Record, at: usize) -> Seat {
+fn seat(record: Record, at: usize) -> Assignment {
     match record.witness {
-        Some(_) if record.home == at => Seat::Home,
-        None if record.home == at => Seat::Alone,
-        Some(witness) if witness == at => Seat::Witness,
-        _ => Seat::Other,
+        Some(_) if record.home == at => Assignment::Home,
+        None if record.home == at => Assignment::SoleHome,
+        Some(witness) if witness == at => Assignment::Witness,
+        _ => Assignment::Unassigned,
     }
 }
 
 fn matters(hosts: &[Host; HOSTS], store: Record, mail: Mail) -> bool {
-    let stands = |at: usize| hosts[at].standing;
+    let fencing = |at: usize| hosts[at].fencing;
     match mail {
         Mail::Swap { expect, .. } => store.epoch == expect,
         Mail::Swapped { record } => {
@@ -283,12 +283,14 @@
         // Whether a stale one matters is for the rules to say.
         Mail::Recorded { to, .. } => !hosts[to].dead,
         Mail::Synced { to, epoch } => {
-            !hosts[to].dead && stands(to).home == epoch && stands(to).backing == Backing::Missing
+            !hosts[to].dead
+                && fencing(to).home_epoch == epoch
+                && fencing(to).replication == Replication::Syncing
         }
-        Mail::Fenced { to, epoch } => !hosts[to].dead && stands(to).fence < epoch,
+        Mail::Fenced { to, epoch } => !hosts[to].dead && fencing(to).fence < epoch,
         Mail::Sync { from, to, epoch, .. } | Mail::Record { from, to, epoch } => {
-            let news = stands(to).fence <= epoch;
-            let fences = !hosts[from].dead && stands(from).fence < stands(to).fence;
+            let news = fencing(to).fence <= epoch;
+            let fences = !hosts[from].dead && fencing(from).fence < fencing(to).fence;
             !hosts[to].dead && (news || fences)
         }
     }
--- a/endivestile_kernel/tests/shards/scenarios.rs
+++ b/endivestile_kernel/tests/shards/scenarios.rs
@@ -1,6 +1,6 @@
 //! What must hold of shards under single faults.
 
-use endivestile_kernel::{MARGIN_S, Peer, Role, ShardRecord, too_early};
+use endivestile_kernel::{MAX_CLOCK_SKEW_S, Peer, ShardRecord, ShardRole, too_far_ahead};
 use test_case::test_case;
 
 use crate::world::{Fate, Run, WALL_S, World, id};
@@ -337,13 +337,13 @@
         world.advance(3);
     }
     world.advance(500);
-    assert!(world.shards(0).idle());
+    assert!(world.shards(0).is_drained());
     assert!(tickets.iter().all(|&ticket| fate(&world, ticket) == Some(&Fate::Started)));
     let longest = world.starts.iter().map(|start| start.waited).max();
     println!("longest wait for a start {longest:?} ms");
     assert!(longest < Some(30));
     let roles = world.shards(0).status();
-    assert!(roles.iter().all(|shard| shard.role == Role::Other), "{roles:?}");
+    assert!(roles.iter().all(|shard| shard.role == ShardRole::Other), "{roles:?}");
 }
 
 // A planned stop while the store is down: nothing can change hands yet. If the
@@ -358,9 +358,9 @@
     world.advance(10);
     world.leave(home);
     world.advance(9_000);
-    assert!(!world.shards(home).idle());
+    assert!(!world.shards(home).is_drained());
     world.advance(1_100);
-    assert!(world.shards(home).idle());
+    assert!(world.shards(home).is_drained());
     world.crash(home);
     world.store_up = true;
     world.advance(200);
@@ -385,7 +385,7 @@
 fn lose_host_costs_few_store_calls() {
     let mut world = World::new(&[0, 0, 1, 1, 2, 2], 64);
     world.advance(3_000);
-    let halves = world.shards(0).status().iter().filter(|s| s.role != Role::Other).count();
+    let halves = world.shards(0).status().iter().filter(|s| s.role != ShardRole::Other).count();
     let before = world.store_calls;
     world.crash(0);
     world.advance(200);
@@ -434,10 +434,10 @@
 }
 
 #[test_case(0, false; "now")]
-#[test_case(MARGIN_S, false; "one margin ahead")]
-#[test_case(MARGIN_S + 1, true; "beyond the margin")]
+#[test_case(MAX_CLOCK_SKEW_S, false; "one margin ahead")]
+#[test_case(MAX_CLOCK_SKEW_S + 1, true; "beyond the margin")]
 fn too_early_ahead(ahead: u64, refused: bool) {
-    assert_eq!(too_early(WALL_S + ahead, WALL_S), refused);
+    assert_eq!(too_far_ahead(WALL_S + ahead, WALL_S), refused);
 }
 
 #[test]
@@ -466,6 +466,6 @@
     world.advance(2_000);
     world.store_up = true;
     world.advance(3_000);
-    assert!(world.shards(home).idle());
+    assert!(world.shards(home).is_drained());
     assert_eq!(world.home(0), witness);
 }
--- a/endivestile_kernel/tests/shards/world.rs
+++ b/endivestile_kernel/tests/shards/world.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use endivestile_config::model::{Name, Rules};
 use endivestile_kernel::{
-    Admit, Class, HostState, HostView, Peer, ShardEffect, ShardRecord, ShardSetup, Shards,
+    Admission, Class, HostState, HostView, Peer, ShardEffect, ShardRecord, ShardSetup, Shards,
     SubmissionId, Time, View,
 };
 
@@ -213,7 +213,7 @@
 
     pub(crate) fn leave(&mut self, node: usize) {
         self.nodes[node].leaving = true;
-        self.event(node, |shards, now, view, out| shards.leave(now, view, out));
+        self.event(node, |shards, now, view, out| shards.start_drain(now, view, out));
     }
 
     /// Submits at a host; follows forwards. Returns the ticket.
@@ -227,7 +227,7 @@
     }
 
     pub(crate) fn withdraw(&mut self, node: usize, ticket: u64) {
-        self.nodes[node].shards.withdraw(ticket);
+        self.nodes[node].shards.cancel(ticket);
     }
 
     fn ask(&mut self, node: usize, id: &SubmissionId, digest: Option<u64>) -> u64 {
@@ -243,18 +243,18 @@
             return;
         }
         let (id, digest) = (self.asks[&ticket].id.clone(), self.asks[&ticket].digest);
-        let mut admit = Admit::Wait;
+        let mut admit = Admission::Wait;
         self.event(node, |shards, now, view, out| {
             admit = match digest {
                 Some(digest) => shards.admit(now, view, &id, digest, ticket, out),
-                None => shards.confirm(now, view, &id, ticket, out),
+                None => shards.confirm_not_run(now, view, &id, ticket, out),
             };
         });
         match admit {
-            Admit::Wait => {}
-            Admit::Known(_) => self.end(ticket, Fate::Known),
-            Admit::Refused(class, _) => self.end(ticket, fate(class)),
-            Admit::Forward(peer) => self.forward(node, &peer, ticket, hops),
+            Admission::Wait => {}
+            Admission::Known(_) => self.end(ticket, Fate::Known),
+            Admission::Refused(class, _) => self.end(ticket, fate(class)),
+            Admission::Forward(peer) => self.forward(node, &peer, ticket, hops),
         }
     }
 
@@ -313,7 +313,7 @@
             }
             ShardEffect::Granted { ticket } => self.granted(node, ticket),
             ShardEffect::Refused { ticket, class, .. } => self.end(ticket, fate(class)),
-            ShardEffect::Moved { ticket } => self.admit(node, ticket, 3),
+            ShardEffect::Readmit { ticket } => self.admit(node, ticket, 3),
             ShardEffect::Log(_) | ShardEffect::Count(..) => {}
         }
     }
@@ -386,7 +386,7 @@
         let hosts = (0..self.nodes.len()).map(|other| self.host_view(other, &states)).collect();
         self.nodes[node].view = View { hosts, store, ..self.nodes[node].view.clone() };
         self.nodes[node].states = states;
-        self.event(node, |shards, now, view, out| shards.view_changed(now, view, out));
+        self.event(node, |shards, now, view, out| shards.handle_view_change(now, view, out));
     }
 
     /// Returns the incarnation and state of a host as another one sees it.
--- a/endivestile_kernel/tests/shards/world/links.rs
+++ b/endivestile_kernel/tests/shards/world/links.rs
@@ -39,7 +39,9 @@
                 let Some(Letter { birth, sent, mut msg, .. }) = due.flatten() else { break };
                 msg.rebase(sent, self.clock(to));
                 let peer = Peer::new(self.nodes[from].peer.host.clone(), birth);
-                self.event(to, |shards, now, view, out| shards.message(now, view, &peer, msg, out));
+                self.event(to, |shards, now, view, out| {
+                    shards.handle_message(now, view, &peer, msg, out)
+                });
             }
         }
     }
--- a/endivestile_kernel/tests/shards/world/store.rs
+++ b/endivestile_kernel/tests/shards/world/store.rs
@@ -34,7 +34,7 @@
             let node = &self.nodes[call.node];
             if node.run == Run::Up && node.peer.birth == call.birth {
                 self.event(call.node, |shards, now, view, out| {
-                    shards.stored(now, view, call.token, stored, out);
+                    shards.handle_store_reply(now, view, call.token, stored, out);
                 });
             }
         }
@@ -56,7 +56,7 @@
         }
         let Watched { node, shard, revision, value, .. } = watched;
         self.event(node, |shards, now, view, out| {
-            shards.record(now, view, shard, revision, &value, out);
+            shards.handle_watch_event(now, view, shard, revision, &value, out);
         });
     }
 
