--- a/endivestile/src/backend/calls.rs
+++ b/endivestile/src/backend/calls.rs
@@ -11,9 +11,9 @@
 use super::run::Run;
 use super::stop::Stop;
 use crate::clock::Clock;
-use crate::counters::{Counters, Tally};
+use crate::counters::{Counters, IoMetric};
 use crate::inbox::Inbox;
-use crate::pool::Pool;
+use crate::thread_pool::Pool;
 
 /// Threads that tell workers to stop tasks.
 const STOPPERS: usize = 8;
@@ -56,11 +56,11 @@
             return;
         }
         match end {
-            End::Lost => self.counters.tally(Tally::EndsLost, 1),
-            End::Unreachable => self.counters.tally(Tally::EndsUnreachable, 1),
+            End::Lost => self.counters.count_io(IoMetric::BackendCallsLost, 1),
+            End::Unreachable => self.counters.count_io(IoMetric::BackendCallsUnreachable, 1),
             _ => {}
         }
-        self.inbox.event(Event::End { attempt, end });
+        self.inbox.post_event(Event::End { attempt, end });
     }
 
     fn open(&self) -> MutexGuard<'_, HashMap<AttemptId, Option<Name>>> {
@@ -119,7 +119,7 @@
         let worker = self.env.open().get(&attempt).cloned();
         self.env.end(attempt, End::Lost);
         if let Some(Some(address)) = worker
-            && self.stops.waiting() < MAX_STOPS
+            && self.stops.queued() < MAX_STOPS
         {
             self.stops.push(Stop { attempt, address });
         }
--- a/endivestile/src/backend/run.rs
+++ b/endivestile/src/backend/run.rs
@@ -12,7 +12,7 @@
 use ureq::{Body, Error};
 
 use super::calls::Env;
-use crate::pool::Work;
+use crate::thread_pool::Work;
 
 /// Path on which workers take tasks.
 const WORKER_PATH: &str = "/v1/run";
--- a/endivestile/src/backend/stop.rs
+++ b/endivestile/src/backend/stop.rs
@@ -7,7 +7,7 @@
 use endivestile_kernel::AttemptId;
 
 use super::calls::Env;
-use crate::pool::Work;
+use crate::thread_pool::Work;
 
 /// Longest time for the call, in milliseconds; the lease ends the task anyway.
 const STOP_MS: u64 = 2_000;
--- a/endivestile/src/clock.rs
+++ b/endivestile/src/clock.rs
@@ -19,16 +19,16 @@
 
     /// Returns the present instant.
     pub(crate) fn now(self) -> Time {
-        self.at(Instant::now())
+        self.to_time(Instant::now())
     }
 
     /// Returns the kernel's name of a machine's instant.
-    pub(crate) fn at(self, instant: Instant) -> Time {
+    pub(crate) fn to_time(self, instant: Instant) -> Time {
         Time::ZERO.after(instant.saturating_duration_since(self.start))
     }
 
     /// Returns the machine's name of a kernel's instant, none when it never comes.
-    pub(crate) fn instant(self, time: Time) -> Option<Instant> {
+    pub(crate) fn to_instant(self, time: Time) -> Option<Instant> {
         self.start.checked_add(Duration::from_micros(time.as_micros()))
     }
 }
--- a/endivestile/src/configs.rs
+++ b/endivestile/src/config_checker.rs
@@ -14,19 +14,19 @@
 
 /// The configuration in force, as all threads see it.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Adopted {
+pub(crate) struct CurrentConfig {
     /// None until one was adopted.
     config: Arc<RwLock<Option<Arc<Config>>>>,
 }
 
-impl Adopted {
+impl CurrentConfig {
     /// Returns the configuration in force.
     pub(crate) fn get(&self) -> Option<Arc<Config>> {
         self.config.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Puts a configuration in force unless a later one is.
-    pub(crate) fn offer(&self, config: &Arc<Config>) {
+    pub(crate) fn update_if_newer(&self, config: &Arc<Config>) {
         let mut held = self.config.write().unwrap_or_else(PoisonError::into_inner);
         if held.as_ref().is_none_or(|held| held.revision < config.revision) {
             *held = Some(Arc::clone(config));
@@ -46,14 +46,14 @@
 /// Checks configurations in a thread of its own: a text of a megabyte takes
 /// long enough to delay every call that waits behind it.
 #[derive(Debug, Clone)]
-pub(crate) struct Checker {
+pub(crate) struct ConfigChecker {
     /// Texts to check.
     offers: Sender<Offer>,
 }
 
-impl Checker {
+impl ConfigChecker {
     /// Starts the thread.
-    pub(crate) fn start(inbox: Inbox, adopted: Adopted) -> Result<Self, RunError> {
+    pub(crate) fn start(inbox: Inbox, adopted: CurrentConfig) -> Result<Self, RunError> {
         let (offers, texts) = channel();
         let thread = thread::Builder::new().name("configs".to_owned());
         let work = move || texts.iter().for_each(|offer| judge(&inbox, &adopted, &offer));
@@ -62,7 +62,7 @@
     }
 
     /// Hands in a text from `origin`.
-    pub(crate) fn offer(&self, origin: &'static str, text: Bytes) {
+    pub(crate) fn enqueue(&self, origin: &'static str, text: Bytes) {
         let _ = self.offers.send(Offer { origin, text });
     }
 }
@@ -72,12 +72,12 @@
 /// A value that was written past the operators' tools may be anything. Taken
 /// over unchecked it would stop every host at once; so the one in force stays,
 /// and the log says which key is at fault.
-fn judge(inbox: &Inbox, adopted: &Adopted, offer: &Offer) {
+fn judge(inbox: &Inbox, adopted: &CurrentConfig, offer: &Offer) {
     match read(adopted, offer) {
         Ok(None) => {}
         Ok(Some(config)) => {
             let text = Bytes::from(config.canonical());
-            inbox.event(Event::Config { config: Arc::new(config), text });
+            inbox.post_event(Event::Config { config: Arc::new(config), text });
         }
         Err(reason) => {
             log::error!("event=config_refused origin={} reason={reason:?}", offer.origin);
@@ -86,7 +86,7 @@
 }
 
 /// Reads a text; none when it is no later than what is in force.
-fn read(adopted: &Adopted, offer: &Offer) -> Result<Option<Config>, String> {
+fn read(adopted: &CurrentConfig, offer: &Offer) -> Result<Option<Config>, String> {
     let text = std::str::from_utf8(&offer.text).map_err(|e| e.to_string())?;
     let config = parse(text, offer.origin).map_err(|e| e.to_string())?;
     check(&config).map_err(|errors| joined(&errors))?;
--- a/endivestile/src/counters.rs
+++ b/endivestile/src/counters.rs
@@ -15,7 +15,7 @@
 /// Number of counts.
 const COUNT: usize = NAMES.len();
 
-/// Names of all counts, as in the metrics' page; the order is that of [`slot`] and [`Tally`].
+/// Names of all counts, as in the metrics' page; the order is that of [`slot`] and [`IoMetric`].
 const NAMES: [&str; 26] = [
     "accepted",
     "refused_not_run",
@@ -47,7 +47,7 @@
 
 /// What the edges count themselves.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Tally {
+pub(crate) enum IoMetric {
     /// Calls refused as invalid.
     Invalid = 16,
     /// Frames not sent: the link was down or its queue full.
@@ -57,9 +57,9 @@
     /// Links that broke or could not be made.
     LinksDown,
     /// Calls to back ends that ended as lost.
-    EndsLost,
+    BackendCallsLost,
     /// Calls to back ends without a connection.
-    EndsUnreachable,
+    BackendCallsUnreachable,
     /// Reads and watches of the store for the watch.
     WatchCalls,
     /// Grants, refreshes and registrations.
@@ -72,17 +72,17 @@
 
 impl Counters {
     /// Counts an event of the kernel.
-    pub(crate) fn metric(&self, metric: Metric, count: u64) {
+    pub(crate) fn count_kernel(&self, metric: Metric, count: u64) {
         self.counts[slot(metric)].fetch_add(count, Ordering::Relaxed);
     }
 
     /// Counts an event of an edge.
-    pub(crate) fn tally(&self, tally: Tally, count: u64) {
+    pub(crate) fn count_io(&self, tally: IoMetric, count: u64) {
         self.counts[tally as usize].fetch_add(count, Ordering::Relaxed);
     }
 
     /// Returns one count of an edge.
-    pub(crate) fn get(&self, tally: Tally) -> u64 {
+    pub(crate) fn io_count(&self, tally: IoMetric) -> u64 {
         self.counts[tally as usize].load(Ordering::Relaxed)
     }
 
--- a/endivestile/src/edges.rs
+++ b/endivestile/src/effects.rs
@@ -3,7 +3,7 @@
 use endivestile_kernel::Effect;
 
 use crate::backend::{Backends, Run};
-use crate::configs::Checker;
+use crate::config_checker::ConfigChecker;
 use crate::counters::Counters;
 use crate::http::Voice;
 use crate::logs;
@@ -12,7 +12,7 @@
 
 /// The ways out of the engine.
 #[derive(Debug)]
-pub(crate) struct Edges {
+pub(crate) struct EffectHandlers {
     /// Calls to back ends.
     pub(crate) backends: Backends,
     /// Links to peers.
@@ -20,16 +20,16 @@
     /// Calls to the platform's store.
     pub(crate) store: Store,
     /// Checks of configurations.
-    pub(crate) checker: Checker,
+    pub(crate) checker: ConfigChecker,
     /// Replies to callers.
-    pub(crate) voice: Voice,
+    pub(crate) replies: Voice,
     /// Counts.
     pub(crate) counters: Counters,
 }
 
-impl Edges {
+impl EffectHandlers {
     /// Carries out an effect; those that concern the engine itself come back.
-    pub(crate) fn carry(&self, effect: Effect) -> Option<Effect> {
+    pub(crate) fn execute(&self, effect: Effect) -> Option<Effect> {
         match effect {
             Effect::Send { address, frame } => self.links.send(address, frame),
             Effect::Start { attempt, address, path, order } => {
@@ -37,10 +37,10 @@
             }
             Effect::Abort(attempt) => self.backends.abort(attempt),
             Effect::Store { token, op } => self.store.call(token, op),
-            Effect::Offer(text) => self.checker.offer("peer", text),
+            Effect::Offer(text) => self.checker.enqueue("peer", text),
             Effect::Register { leaving } => self.store.register(leaving),
-            Effect::Log(note) => logs::note(&note),
-            Effect::Count(metric, count) => self.counters.metric(metric, count),
+            Effect::Log(note) => logs::log_note(&note),
+            Effect::Count(metric, count) => self.counters.count_kernel(metric, count),
             Effect::Answer { .. } | Effect::Drained => return Some(effect),
         }
         None
--- a/endivestile/src/engine.rs
+++ b/endivestile/src/engine.rs
@@ -10,8 +10,8 @@
 use tiny_http::Request;
 
 use crate::clock::Clock;
-use crate::configs::Adopted;
-use crate::edges::Edges;
+use crate::config_checker::CurrentConfig;
+use crate::effects::EffectHandlers;
 use crate::error::Exit;
 use crate::http::{Call, Demand, Reply, Say, Shape};
 use crate::inbox::Input;
@@ -41,17 +41,17 @@
 
 /// What an engine is made of.
 #[derive(Debug)]
-pub(crate) struct Parts {
+pub(crate) struct EngineParts {
     /// How the kernel starts.
     pub(crate) setup: Setup,
     /// The ways out.
-    pub(crate) edges: Edges,
+    pub(crate) handlers: EffectHandlers,
     /// The process's clock.
     pub(crate) clock: Clock,
     /// The configuration in force.
-    pub(crate) adopted: Adopted,
+    pub(crate) adopted: CurrentConfig,
     /// Longest graceful shutdown, in seconds.
-    pub(crate) limit_s: u64,
+    pub(crate) stop_limit_s: u64,
     /// Where the way the process ends is left.
     pub(crate) exit: Rc<Cell<Exit>>,
 }
@@ -62,11 +62,11 @@
     /// All decisions.
     kernel: Kernel,
     /// The ways out.
-    edges: Edges,
+    handlers: EffectHandlers,
     /// The process's clock.
     clock: Clock,
     /// The configuration in force.
-    adopted: Adopted,
+    adopted: CurrentConfig,
     /// Callers that wait.
     calls: HashMap<CallId, Open>,
     /// Number of the next call.
@@ -76,7 +76,7 @@
     /// The kernel's deadline, and the timer set for it.
     timer: Option<(Time, FixedTimerKey)>,
     /// Longest graceful shutdown, in seconds.
-    limit_s: u64,
+    stop_limit_s: u64,
     /// Whether the process was asked to stop.
     stopping: bool,
     /// When the process ends at the latest, once the kernel has drained.
@@ -89,17 +89,17 @@
 
 impl Engine {
     /// Starts the kernel.
-    pub(crate) fn init(_cx: CX![], parts: Parts) -> Option<Self> {
+    pub(crate) fn init(_cx: CX![], parts: EngineParts) -> Option<Self> {
         Some(Self {
             kernel: Kernel::new(parts.setup),
-            edges: parts.edges,
+            handlers: parts.handlers,
             clock: parts.clock,
             adopted: parts.adopted,
             calls: HashMap::new(),
             serial: 0,
             effects: Vec::new(),
             timer: None,
-            limit_s: parts.limit_s,
+            stop_limit_s: parts.stop_limit_s,
             stopping: false,
             drained: None,
             called: Time::ZERO,
@@ -108,18 +108,18 @@
     }
 
     /// Takes one input.
-    pub(crate) fn take(&mut self, cx: CX![], input: Input) {
+    pub(crate) fn handle_input(&mut self, cx: CX![], input: Input) {
         match input {
             Input::Event(event) => self.event(cx, event),
             Input::Call(call) => self.call(cx, *call),
-            Input::Signal => self.signal(cx),
+            Input::Stop => self.signal(cx),
         }
     }
 
     /// Ends a batch of inputs: lets the kernel do what is due, carries out the
     /// effects and sets the timer for the kernel's next deadline.
-    pub(crate) fn settle(&mut self, cx: CX![]) {
-        let now = self.clock.at(cx.now());
+    pub(crate) fn finish_batch(&mut self, cx: CX![]) {
+        let now = self.clock.to_time(cx.now());
         self.kernel.flush(now, &mut self.effects);
         for _ in 0..TICKS {
             if self.kernel.deadline().is_none_or(|deadline| deadline > now) {
@@ -134,10 +134,10 @@
 
     /// Hands an event to the kernel.
     fn event(&mut self, cx: CX![], event: Event) {
-        let now = self.clock.at(cx.now());
+        let now = self.clock.to_time(cx.now());
         if let Event::Config { config, .. } = &event {
             // The kernel adopts by the same rule: only a higher revision.
-            self.adopted.offer(config);
+            self.adopted.update_if_newer(config);
         }
         self.kernel.handle(now, event, &mut self.effects);
     }
@@ -157,7 +157,7 @@
                 self.event(cx, Event::Ask { call, id, ask });
             }
             Demand::Mint(count) => {
-                let minted = self.kernel.mint(self.clock.at(cx.now()), count);
+                let minted = self.kernel.mint(self.clock.to_time(cx.now()), count);
                 let texts: Vec<&str> = minted.iter().map(|id| id.text().as_ref()).collect();
                 let body = serde_json::json!({ "ids": texts }).to_string();
                 self.say(request, ids, Reply::json(200, body));
@@ -168,8 +168,9 @@
                 self.say(request, ids, Reply::probe(reply.0, reply.1));
             }
             Demand::Status => {
-                let counters = &self.edges.counters;
-                let page = status::page(&self.kernel, self.clock, counters, self.calls.len());
+                let counters = &self.handlers.counters;
+                let page =
+                    status::status_json(&self.kernel, self.clock, counters, self.calls.len());
                 self.say(request, ids, Reply::json(200, page));
             }
             Demand::Reply(reply) => self.say(request, ids, reply),
@@ -178,7 +179,7 @@
 
     /// Remembers a caller until its answer comes.
     fn open(&mut self, cx: CX![], open: Open) -> CallId {
-        self.called = self.clock.at(cx.now());
+        self.called = self.clock.to_time(cx.now());
         let call = CallId(self.serial);
         self.serial += 1;
         self.calls.insert(call, open);
@@ -189,14 +190,14 @@
     fn say(&mut self, request: Request, ids: usize, reply: Reply) {
         let now = self.clock.now();
         let reply = if ids == 0 { reply } else { reply.with_ids(&self.kernel.mint(now, ids)) };
-        self.edges.voice.push(Say { request, reply });
+        self.handlers.replies.push(Say { request, reply });
     }
 
     /// Carries out all effects.
     fn carry(&mut self, cx: CX![]) {
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
-            match self.edges.carry(effect) {
+            match self.handlers.execute(effect) {
                 Some(Effect::Answer { call, answer }) => self.answer(cx, call, &answer),
                 Some(Effect::Drained) => self.drained(cx),
                 _ => {}
@@ -208,7 +209,7 @@
     /// Answers the caller of a call; a second answer to one call finds nobody.
     fn answer(&mut self, cx: CX![], call: CallId, answer: &Answer) {
         let Some(open) = self.calls.remove(&call) else { return };
-        let reply = Reply::answer(answer, open.shape, self.clock.at(cx.now()));
+        let reply = Reply::answer(answer, open.shape, self.clock.to_time(cx.now()));
         self.say(open.request, open.ids, reply);
     }
 
@@ -221,7 +222,7 @@
         if let Some((_, key)) = self.timer.take() {
             cx.timer_del(key);
         }
-        let instant = deadline.and_then(|time| self.clock.instant(time));
+        let instant = deadline.and_then(|time| self.clock.to_instant(time));
         if let (Some(time), Some(instant)) = (deadline, instant) {
             self.timer = Some((time, at!(instant, [cx], tick())));
         }
@@ -230,7 +231,7 @@
     /// The timer ran out.
     fn tick(&mut self, cx: CX![]) {
         self.timer = None;
-        self.settle(cx);
+        self.finish_batch(cx);
     }
 
     /// Stops gracefully at the first signal, at once at the second.
@@ -241,7 +242,7 @@
         }
         self.stopping = true;
         log::info!("event=signal open_calls={}", self.calls.len());
-        after!(Duration::from_secs(self.limit_s), [cx], limit());
+        after!(Duration::from_secs(self.stop_limit_s), [cx], limit());
         self.event(cx, Event::Shutdown);
     }
 
@@ -258,25 +259,25 @@
     /// Ends with work left, and says how much.
     fn leave(&mut self, cx: CX![], cause: &str) {
         let open = self.calls.len();
-        let running = self.edges.backends.open();
+        let running = self.handlers.backends.open();
         log::warn!("event=left cause={cause} open_calls={open} backend_calls={running}");
-        self.end(cx, Exit::Left);
+        self.end(cx, Exit::WorkLeft);
     }
 
     /// The kernel has nothing left to do.
     fn drained(&mut self, cx: CX![]) {
         if self.drained.is_none() {
-            self.drained = Some(self.clock.at(cx.now()).after_ms(LINGER_MS));
+            self.drained = Some(self.clock.to_time(cx.now()).after_ms(LINGER_MS));
             self.linger(cx);
         }
     }
 
     /// Ends once no caller has called for a while.
     fn linger(&mut self, cx: CX![]) {
-        let now = self.clock.at(cx.now());
+        let now = self.clock.to_time(cx.now());
         let latest = self.drained.unwrap_or(now);
         let quiet = self.called.after_ms(QUIET_MS).min(latest);
-        if quiet <= now && self.calls.is_empty() && self.edges.voice.open() == 0 {
+        if quiet <= now && self.calls.is_empty() && self.handlers.replies.pending() == 0 {
             log::info!("event=drained");
             self.end(cx, Exit::Drained);
         } else {
--- a/endivestile/src/error.rs
+++ b/endivestile/src/error.rs
@@ -68,5 +68,5 @@
     /// Settings or command line refused.
     Refused = 2,
     /// Stopped by a second signal or the stop limit, with work left.
-    Left = 3,
+    WorkLeft = 3,
 }
--- a/endivestile/src/fleet/engine.rs
+++ b/endivestile/src/fleet/engine.rs
@@ -14,17 +14,17 @@
 use tokio::sync::watch;
 
 use super::inbox::{HttpCall, Inbox, Input};
-use super::listing::Need;
-use super::page::Measures;
-use super::reader::Reader;
-use super::store::{self, Wish};
-use super::waiting::Waiting;
-use super::workers::Workers;
+use super::metrics::Metrics;
+use super::open_calls::OpenCalls;
+use super::records::{self, Registration};
+use super::store_client::StoreClient;
+use super::worker_client::WorkerClient;
+use super::worker_list::SharedListRole;
 use crate::clock::Clock;
 use crate::error::Exit;
 use crate::logs;
 use crate::peers::Links;
-use crate::run::Reload;
+use crate::run::SettingsReloader;
 
 /// Time without a call that a stopping host waits for, in milliseconds: the
 /// balancer needs two probes to see that it takes nothing new.
@@ -40,7 +40,7 @@
 const CLOSE_MS: u64 = 40;
 
 /// What an engine is made of.
-pub(crate) struct Parts {
+pub(crate) struct EngineParts {
     /// How the fleet starts.
     pub(crate) setup: FleetSetup,
     /// The translation.
@@ -52,21 +52,21 @@
     /// Links to peers.
     pub(crate) links: Links,
     /// Calls to workers.
-    pub(crate) workers: Workers,
+    pub(crate) workers: WorkerClient,
     /// Calls to the store.
-    pub(crate) reader: Reader,
+    pub(crate) store: StoreClient,
     /// This host's registration.
-    pub(crate) wish: watch::Sender<Wish>,
+    pub(crate) registration: watch::Sender<Registration>,
     /// How often the list of workers is needed.
-    pub(crate) need: Need,
+    pub(crate) list_role: SharedListRole,
     /// Limits on callers.
     pub(crate) limits: Arc<RwLock<Limits>>,
     /// Set to close callers' connections.
     pub(crate) closing: watch::Sender<bool>,
     /// Counts and latencies.
-    pub(crate) measures: Measures,
+    pub(crate) metrics: Metrics,
     /// Reads the settings again.
-    pub(crate) reload: Reload,
+    pub(crate) reloader: SettingsReloader,
     /// Time from the signal to stop until the process is killed, in milliseconds.
     pub(crate) grace_ms: u64,
     /// Where the way the process ends is left.
@@ -76,8 +76,8 @@
 /// The fleet with its open calls and timer.
 pub(crate) struct Engine {
     fleet: Fleet,
-    waiting: Waiting,
-    parts: Parts,
+    waiting: OpenCalls,
+    parts: EngineParts,
     effects: Vec<FleetEffect>,
     timer: Option<(Time, FixedTimerKey)>,
     stopping: bool,
@@ -88,10 +88,10 @@
 
 impl Engine {
     /// Starts the fleet.
-    pub(crate) fn init(_cx: CX![], parts: Parts) -> Option<Self> {
+    pub(crate) fn init(_cx: CX![], parts: EngineParts) -> Option<Self> {
         Some(Self {
             fleet: Fleet::new(parts.setup.clone()),
-            waiting: Waiting::new(parts.adapter),
+            waiting: OpenCalls::new(parts.adapter),
             parts,
             effects: Vec::new(),
             timer: None,
@@ -103,12 +103,12 @@
     }
 
     /// Takes one input.
-    pub(crate) fn take(&mut self, cx: CX![], input: Input) {
-        let now = self.parts.clock.at(cx.now());
+    pub(crate) fn handle_input(&mut self, cx: CX![], input: Input) {
+        let now = self.parts.clock.to_time(cx.now());
         match input {
             Input::Event(event) => {
                 if let FleetEvent::Hangup(call) = &event {
-                    self.waiting.forget(*call);
+                    self.waiting.remove(*call);
                 }
                 self.event(now, event);
             }
@@ -119,8 +119,8 @@
     }
 
     /// Ends a batch of inputs.
-    pub(crate) fn settle(&mut self, cx: CX![]) {
-        let now = self.parts.clock.at(cx.now());
+    pub(crate) fn finish_batch(&mut self, cx: CX![]) {
+        let now = self.parts.clock.to_time(cx.now());
         self.fleet.flush(now, &mut self.effects);
         self.carry(cx, now);
         self.arm(cx);
@@ -137,7 +137,7 @@
     /// Reads the settings again. What binds sockets or names the host stays as
     /// it is until the next start; settings that are refused change nothing.
     fn reload(&mut self) {
-        match self.parts.reload.settings() {
+        match self.parts.reloader.reload() {
             Ok(settings) => {
                 self.parts.grace_ms = settings.platform.grace_ms;
                 let (worker, host) =
@@ -161,7 +161,7 @@
             }
             Demand::Submit(job) => {
                 self.called = now;
-                self.waiting.open(call.call, call.reply);
+                self.waiting.insert(call.call, call.reply);
                 self.fleet.handle(now, FleetEvent::Call { call: call.call, job: *job });
                 return;
             }
@@ -179,7 +179,7 @@
                 Say::Refused(refused)
             }
         };
-        self.waiting.say(call.reply, &say);
+        self.waiting.respond(call.reply, &say);
     }
 
     fn cancel(&mut self, now: Time, id: &str) -> bool {
@@ -205,16 +205,17 @@
                 FleetEffect::Redial(address) => self.parts.links.redial(address),
                 FleetEffect::Worker(call) => self.parts.workers.call(call),
                 FleetEffect::Store { token, op } => {
-                    store::call(&self.parts.reader, &self.parts.inbox, token, op);
+                    records::spawn_store_call(&self.parts.store, &self.parts.inbox, token, op);
                 }
-                FleetEffect::Leave => self.parts.wish.send_modify(|wish| {
-                    wish.entry.leaving = true;
-                    wish.stands = wish.stands.map(|(revision, _)| (revision, false));
+                FleetEffect::Leave => self.parts.registration.send_modify(|registration| {
+                    registration.entry.leaving = true;
+                    registration.stored =
+                        registration.stored.map(|(revision, _)| (revision, false));
                 }),
-                FleetEffect::Log(note) => logs::note(&note),
-                FleetEffect::Count(count) => self.parts.measures.count(count),
-                FleetEffect::Time(span, took) => self.parts.measures.time(span, took),
-                FleetEffect::Gauge(gauge, value) => self.parts.measures.gauge(gauge, value),
+                FleetEffect::Log(note) => logs::log_note(&note),
+                FleetEffect::Count(count) => self.parts.metrics.count(count),
+                FleetEffect::Time(span, took) => self.parts.metrics.record_span(span, took),
+                FleetEffect::Gauge(gauge, value) => self.parts.metrics.set_gauge(gauge, value),
                 FleetEffect::Drained => {
                     self.drained = true;
                     self.linger(cx);
@@ -222,7 +223,7 @@
             }
         }
         self.effects = effects;
-        self.parts.need.set(self.fleet.list_role());
+        self.parts.list_role.set(self.fleet.list_role());
     }
 
     /// Sets the timer for the fleet's next deadline.
@@ -234,24 +235,24 @@
         if let Some((_, key)) = self.timer.take() {
             cx.timer_del(key);
         }
-        if let Some(instant) = self.parts.clock.instant(deadline) {
+        if let Some(instant) = self.parts.clock.to_instant(deadline) {
             self.timer = Some((deadline, at!(instant, [cx], tick())));
         }
     }
 
     fn tick(&mut self, cx: CX![]) {
         self.timer = None;
-        self.settle(cx);
+        self.finish_batch(cx);
     }
 
     /// Stops gracefully at the first signal, at once at the second.
     fn stop(&mut self, cx: CX![], now: Time) {
         if self.stopping {
-            self.end(cx, Exit::Left, "second_signal");
+            self.end(cx, Exit::WorkLeft, "second_signal");
             return;
         }
         self.stopping = true;
-        self.waiting.close();
+        self.waiting.close_connections();
         let part = |percent: u64| Duration::from_millis(self.parts.grace_ms * percent / 100);
         after!(part(REFUSE_PART), [cx], refuse());
         after!(part(GRACE_PART), [cx], limit());
@@ -264,20 +265,20 @@
 
     /// The time to stop is nearly over: tells everybody who still waits.
     fn limit(&mut self, cx: CX![]) {
-        let now = self.parts.clock.at(cx.now());
+        let now = self.parts.clock.to_time(cx.now());
         let open = self.waiting.len();
-        for call in self.waiting.calls() {
+        for call in self.waiting.ids() {
             self.fleet.handle(now, FleetEvent::Hangup(call));
             self.waiting.answer(call, &Say::Ended(JobEnd::Lost(Reason::Deadline), now));
         }
-        self.settle(cx);
+        self.finish_batch(cx);
         log::info!("event=stop_limit open_calls={open}");
         self.close(cx);
     }
 
     /// Closes up once no caller has called for a while.
     fn linger(&mut self, cx: CX![]) {
-        let now = self.parts.clock.at(cx.now());
+        let now = self.parts.clock.to_time(cx.now());
         if self.drained && self.waiting.len() == 0 && self.called.after_ms(QUIET_MS) <= now {
             self.close(cx);
         } else {
@@ -293,7 +294,7 @@
     }
 
     fn finish(&mut self, cx: CX![]) {
-        let exit = if self.waiting.len() == 0 { Exit::Drained } else { Exit::Left };
+        let exit = if self.waiting.len() == 0 { Exit::Drained } else { Exit::WorkLeft };
         self.end(cx, exit, "drained");
     }
 
--- a/endivestile/src/fleet/watched.rs
+++ b/endivestile/src/fleet/head_timeout.rs
@@ -16,9 +16,9 @@
 
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Stage {
+pub(crate) enum ConnectionStage {
     /// Nothing of the next request has come.
-    Resting,
+    Idle,
     /// A head has begun, and has to be whole by then.
     Head(Instant),
     /// A request is being served.
@@ -27,29 +27,29 @@
 
 /// A socket, and the stage of its connection.
 #[derive(Debug)]
-pub(crate) struct Watched {
+pub(crate) struct HeadTimeoutStream {
     stream: TcpStream,
-    stage: Sender<Stage>,
+    stage: Sender<ConnectionStage>,
     head_ms: u64,
 }
 
-impl Watched {
+impl HeadTimeoutStream {
     /// Watches a socket whose heads may take `head_ms` milliseconds.
-    pub(crate) fn new(stream: TcpStream, stage: Sender<Stage>, head_ms: u64) -> Self {
+    pub(crate) fn new(stream: TcpStream, stage: Sender<ConnectionStage>, head_ms: u64) -> Self {
         Self { stream, stage, head_ms }
     }
 }
 
 /// Waits until a head is overdue.
-pub(crate) async fn overdue(mut stages: Receiver<Stage>) {
+pub(crate) async fn head_overdue(mut stages: Receiver<ConnectionStage>) {
     loop {
         let stage = *stages.borrow_and_update();
         let changed = match stage {
-            Stage::Head(due) => tokio::select! {
+            ConnectionStage::Head(due) => tokio::select! {
                 () = sleep_until(due) => return,
                 changed = stages.changed() => changed,
             },
-            Stage::Resting | Stage::Serving => stages.changed().await,
+            ConnectionStage::Idle | ConnectionStage::Serving => stages.changed().await,
         };
         if changed.is_err() {
             return std::future::pending().await;
@@ -57,7 +57,7 @@
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for HeadTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -68,9 +68,9 @@
         if buf.filled().len() > before {
             let due = Instant::now() + Duration::from_millis(self.head_ms);
             self.stage.send_if_modified(|stage| {
-                let begins = *stage == Stage::Resting;
+                let begins = *stage == ConnectionStage::Idle;
                 if begins {
-                    *stage = Stage::Head(due);
+                    *stage = ConnectionStage::Head(due);
                 }
                 begins
             });
@@ -79,7 +79,7 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for HeadTimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/endivestile/src/fleet/client.rs
+++ b/endivestile/src/fleet/http_client.rs
@@ -20,7 +20,7 @@
 
 /// Why a call brought no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fault {
+pub(crate) enum CallError {
     /// No connection was made: nothing was sent.
     Unreachable,
     /// Something was sent, and no whole answer came in time.
@@ -32,18 +32,18 @@
 /// Connections by address. A connection carries one call at a time; one on
 /// which an answer is missing is not used again.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Client {
+pub(crate) struct HttpClient {
     idle: Arc<Mutex<HashMap<Name, Vec<Sender>>>>,
 }
 
-impl Client {
+impl HttpClient {
     /// Makes a call that has to be answered by `due`.
     pub(crate) async fn call(
         &self,
         address: &Name,
         mut request: Request<Bytes>,
         due: Instant,
-    ) -> Result<(StatusCode, Bytes), Fault> {
+    ) -> Result<(StatusCode, Bytes), CallError> {
         if let Ok(host) = HeaderValue::from_str(address) {
             request.headers_mut().insert(HOST, host);
         }
@@ -54,18 +54,18 @@
                 // The peer had closed the idle connection and nothing was sent.
                 Ok(Err(mut e)) => match e.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(Fault::Lost),
+                    None => return Err(CallError::Lost),
                 },
-                Err(_) => return Err(Fault::Lost),
+                Err(_) => return Err(CallError::Lost),
             }
         }
         let mut sender = match timeout_at(due, dial(address)).await {
             Ok(Some(sender)) => sender,
-            _ => return Err(Fault::Unreachable),
+            _ => return Err(CallError::Unreachable),
         };
         match timeout_at(due, sender.send_request(request)).await {
             Ok(Ok(response)) => self.read(address, sender, response, due).await,
-            _ => Err(Fault::Lost),
+            _ => Err(CallError::Lost),
         }
     }
 
@@ -75,14 +75,14 @@
         sender: Sender,
         response: hyper::Response<hyper::body::Incoming>,
         due: Instant,
-    ) -> Result<(StatusCode, Bytes), Fault> {
+    ) -> Result<(StatusCode, Bytes), CallError> {
         let (head, body) = response.into_parts();
         match timeout_at(due, Limited::new(body, MAX_ANSWER).collect()).await {
             Ok(Ok(body)) => {
                 self.keep(address, sender);
                 Ok((head.status, body.to_bytes()))
             }
-            _ => Err(Fault::Lost),
+            _ => Err(CallError::Lost),
         }
     }
 
--- a/endivestile/src/fleet/callers.rs
+++ b/endivestile/src/fleet/http_server.rs
@@ -20,9 +20,9 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::timeout;
 
+use super::head_timeout::{ConnectionStage, HeadTimeoutStream, head_overdue};
 use super::inbox::{HttpCall, Inbox, Input};
-use super::page::Measures;
-use super::watched::{Stage, Watched, overdue};
+use super::metrics::Metrics;
 use crate::error::RunError;
 
 /// Connections that may wait to be accepted.
@@ -37,15 +37,15 @@
 const ACCEPT_MS: u64 = 20;
 
 /// Answers every request on a socket with the page of counts and latencies.
-pub(crate) async fn show(listener: TcpListener, measures: Measures) {
+pub(crate) async fn serve_metrics(listener: TcpListener, metrics: Metrics) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(ACCEPT_MS)).await;
             continue;
         };
-        let measures = measures.clone();
+        let metrics = metrics.clone();
         let service = service_fn(move |_: hyper::Request<Incoming>| {
-            let page = measures.page().map(Full::new);
+            let page = metrics.page().map(Full::new);
             async move { Ok::<_, Infallible>(page) }
         });
         tokio::spawn(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
@@ -54,7 +54,7 @@
 
 /// What all connections share.
 #[derive(Debug, Clone)]
-pub(crate) struct Desk {
+pub(crate) struct ServerContext {
     /// The engine.
     pub(crate) inbox: Inbox,
     /// Limits in force.
@@ -82,7 +82,7 @@
 }
 
 /// Accepts connections until the process ends.
-pub(crate) async fn accept(listener: TcpListener, desk: Desk) {
+pub(crate) async fn accept(listener: TcpListener, desk: ServerContext) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -98,12 +98,12 @@
 
 /// Serves one connection. The library drops the call that is being served when
 /// the caller closes the connection, and [`Open`] tells the engine.
-async fn connection(stream: TcpStream, desk: Desk) {
+async fn connection(stream: TcpStream, desk: ServerContext) {
     let _ = stream.set_nodelay(true);
     let limits = desk.limits();
     let mut closing = desk.closing.clone();
-    let (stage, stages) = watch::channel(Stage::Resting);
-    let stream = Watched::new(stream, stage.clone(), limits.head_ms);
+    let (stage, stages) = watch::channel(ConnectionStage::Idle);
+    let stream = HeadTimeoutStream::new(stream, stage.clone(), limits.head_ms);
     let service = service_fn(move |request| serve_one(request, desk.clone(), stage.clone()));
     let mut served = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -112,7 +112,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let ended = tokio::select! {
         ended = &mut served => ended,
-        () = overdue(stages) => {
+        () = head_overdue(stages) => {
             refuse_head(served.into_parts().io.into_inner()).await;
             return;
         }
@@ -127,7 +127,7 @@
 }
 
 /// Tells a caller that its head came too slowly, and closes its connection.
-async fn refuse_head(mut stream: Watched) {
+async fn refuse_head(mut stream: HeadTimeoutStream) {
     log::info!("event=call_refused step=read-head status=408");
     let told = stream.write_all(HEAD_LATE).await;
     if let Err(e) = told.and(stream.shutdown().await) {
@@ -137,18 +137,18 @@
 
 async fn serve_one(
     request: hyper::Request<Incoming>,
-    desk: Desk,
-    stage: watch::Sender<Stage>,
+    desk: ServerContext,
+    stage: watch::Sender<ConnectionStage>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    stage.send_replace(Stage::Serving);
+    stage.send_replace(ConnectionStage::Serving);
     let response = serve(request, desk).await;
-    stage.send_replace(Stage::Resting);
+    stage.send_replace(ConnectionStage::Idle);
     response
 }
 
 async fn serve(
     request: hyper::Request<Incoming>,
-    desk: Desk,
+    desk: ServerContext,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (head, body) = request.into_parts();
     let limits = desk.limits();
@@ -180,7 +180,7 @@
     response
 }
 
-impl Desk {
+impl ServerContext {
     fn limits(&self) -> Limits {
         *self.limits.read().unwrap_or_else(PoisonError::into_inner)
     }
@@ -196,7 +196,7 @@
 impl Drop for Open {
     fn drop(&mut self) {
         if !self.answered {
-            self.inbox.event(FleetEvent::Hangup(self.call));
+            self.inbox.post_event(FleetEvent::Hangup(self.call));
         }
     }
 }
--- a/endivestile/src/fleet/inbox.rs
+++ b/endivestile/src/fleet/inbox.rs
@@ -43,11 +43,11 @@
 }
 
 /// Receiving end of the channel.
-pub(crate) type Inlet = UnboundedReceiver<Input>;
+pub(crate) type InboxReceiver = UnboundedReceiver<Input>;
 
 impl Inbox {
     /// Makes the channel.
-    pub(crate) fn new() -> (Self, Inlet) {
+    pub(crate) fn new() -> (Self, InboxReceiver) {
         let (sender, inlet) = unbounded_channel();
         (Self { sender }, inlet)
     }
@@ -58,17 +58,17 @@
     }
 
     /// Posts an event for the fleet.
-    pub(crate) fn event(&self, event: FleetEvent) {
+    pub(crate) fn post_event(&self, event: FleetEvent) {
         self.post(Input::Event(event));
     }
 }
 
 impl Uplink for Inbox {
     fn frame(&self, frame: Frame) {
-        self.event(FleetEvent::Frame(Box::new(frame)));
+        self.post_event(FleetEvent::Frame(Box::new(frame)));
     }
 
     fn broken(&self, peer: Peer) {
-        self.event(FleetEvent::LinkDown(peer));
+        self.post_event(FleetEvent::LinkDown(peer));
     }
 }
--- a/endivestile/src/fleet/page.rs
+++ b/endivestile/src/fleet/metrics.rs
@@ -21,7 +21,7 @@
 
 /// Counts and latencies since the start of the process.
 #[derive(Debug, Clone)]
-pub(crate) struct Measures {
+pub(crate) struct Metrics {
     inner: Arc<Mutex<Inner>>,
     edges: Counters,
 }
@@ -33,7 +33,7 @@
     spans: Vec<Histogram<u64>>,
 }
 
-impl Measures {
+impl Metrics {
     /// Starts at zero; `edges` counts links and log lines.
     pub(crate) fn new(edges: Counters) -> Self {
         // The bounds are constants that the library accepts.
@@ -49,12 +49,12 @@
     }
 
     /// Sets a gauge.
-    pub(crate) fn gauge(&self, gauge: Gauge, value: u64) {
+    pub(crate) fn set_gauge(&self, gauge: Gauge, value: u64) {
         self.lock().gauges[gauge as usize] = value;
     }
 
     /// Notes a span.
-    pub(crate) fn time(&self, span: Span, took_us: u64) {
+    pub(crate) fn record_span(&self, span: Span, took_us: u64) {
         self.lock().spans[span as usize].saturating_record(took_us.max(1));
     }
 
--- a/endivestile/src/fleet/mod.rs
+++ b/endivestile/src/fleet/mod.rs
@@ -3,19 +3,19 @@
 //! Everything runs on one thread: a host has a quarter of a core, and handing
 //! each event from thread to thread would cost it more than the event.
 
-mod callers;
-mod client;
-mod config;
 mod engine;
-mod feed;
+mod head_timeout;
+mod http_client;
+mod http_server;
 mod inbox;
-mod listing;
-mod page;
-mod reader;
+mod metrics;
+mod open_calls;
+mod operator_keys;
+mod prefix_watch;
+mod records;
 mod run;
-mod store;
-mod waiting;
-mod watched;
-mod workers;
+mod store_client;
+mod worker_client;
+mod worker_list;
 
 pub(crate) use run::serve;
--- a/endivestile/src/fleet/waiting.rs
+++ b/endivestile/src/fleet/open_calls.rs
@@ -11,32 +11,32 @@
 
 /// Open calls with the ways back.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct OpenCalls {
     adapter: &'static Adapter,
     calls: HashMap<CallId, Sender<Response<Bytes>>>,
     closing: bool,
 }
 
-impl Waiting {
+impl OpenCalls {
     /// Starts with no call.
     pub(crate) fn new(adapter: &'static Adapter) -> Self {
         Self { adapter, calls: HashMap::new(), closing: false }
     }
 
     /// Remembers a caller until its answer comes.
-    pub(crate) fn open(&mut self, call: CallId, reply: Sender<Response<Bytes>>) {
+    pub(crate) fn insert(&mut self, call: CallId, reply: Sender<Response<Bytes>>) {
         self.calls.insert(call, reply);
     }
 
     /// Answers a caller; one that has left hears nothing.
     pub(crate) fn answer(&mut self, call: CallId, say: &Say) {
         if let Some(reply) = self.calls.remove(&call) {
-            self.say(reply, say);
+            self.respond(reply, say);
         }
     }
 
     /// Answers at once.
-    pub(crate) fn say(&self, reply: Sender<Response<Bytes>>, say: &Say) {
+    pub(crate) fn respond(&self, reply: Sender<Response<Bytes>>, say: &Say) {
         let mut response = (self.adapter.say)(say);
         if self.closing {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -45,17 +45,17 @@
     }
 
     /// Forgets a caller that has left.
-    pub(crate) fn forget(&mut self, call: CallId) {
+    pub(crate) fn remove(&mut self, call: CallId) {
         self.calls.remove(&call);
     }
 
     /// From now on every answer asks the caller to come back elsewhere.
-    pub(crate) fn close(&mut self) {
+    pub(crate) fn close_connections(&mut self) {
         self.closing = true;
     }
 
     /// Returns the calls of all callers that wait.
-    pub(crate) fn calls(&self) -> Vec<CallId> {
+    pub(crate) fn ids(&self) -> Vec<CallId> {
         self.calls.keys().copied().collect()
     }
 
--- a/endivestile/src/fleet/config.rs
+++ b/endivestile/src/fleet/operator_keys.rs
@@ -7,8 +7,8 @@
 use endivestile_kernel::fleet::{FleetEvent, ZoneState};
 use endivestile_wire::adapter::Adapter;
 
-use super::feed::Sink;
 use super::inbox::Inbox;
+use super::prefix_watch::KeyHandler;
 
 /// Reads configurations; one that cannot be read leaves the last in force. A zone is
 /// evacuated while its key stands, whatever its value is.
@@ -20,24 +20,24 @@
     pub(crate) inbox: Inbox,
 }
 
-impl Sink for OperatorKeys {
-    fn store(&mut self, up: bool) {
-        self.inbox.event(FleetEvent::Store(up));
+impl KeyHandler for OperatorKeys {
+    fn on_store_state(&mut self, up: bool) {
+        self.inbox.post_event(FleetEvent::Store(up));
     }
 
-    fn tell(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
+    fn on_key(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
         let keys = &self.adapter.keys;
         if let Some(zone) = key.strip_prefix(keys.evacuations) {
             let evacuated = value.is_some();
             let state = ZoneState { zone: Name::from(zone), revision, evacuated };
-            self.inbox.event(FleetEvent::Evacuation(state));
+            self.inbox.post_event(FleetEvent::Evacuation(state));
         } else if key == keys.config {
             self.config(key, revision, value);
         }
     }
 
-    fn loaded(&mut self, revision: u64) {
-        self.inbox.event(FleetEvent::EvacuationsRead(revision));
+    fn on_loaded(&mut self, revision: u64) {
+        self.inbox.post_event(FleetEvent::EvacuationsRead(revision));
     }
 }
 
@@ -48,7 +48,7 @@
             return;
         };
         match (self.adapter.table)(&value) {
-            Ok(table) => self.inbox.event(FleetEvent::Table(Arc::new(table))),
+            Ok(table) => self.inbox.post_event(FleetEvent::Table(Arc::new(table))),
             Err(e) => {
                 log::error!(
                     "event=config_refused step=read-config revision={revision} error={e:?}"
--- a/endivestile/src/fleet/feed.rs
+++ b/endivestile/src/fleet/prefix_watch.rs
@@ -7,7 +7,7 @@
 use endivestile_wire::adapter::{Item, Page, StoreFault};
 use tokio::time::sleep;
 
-use super::reader::Reader;
+use super::store_client::StoreClient;
 
 /// Longest wait of one watch, in milliseconds. A connection that has gone
 /// silent delays what it would have told by this and the time for one call, so
@@ -20,7 +20,7 @@
 
 /// How a feed goes on after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Next {
+pub(crate) enum NextStep {
     /// It watches for further changes.
     Watch,
     /// It reads everything anew.
@@ -37,31 +37,31 @@
 }
 
 /// What is done with the keys of a prefix.
-pub(crate) trait Sink: Send + 'static {
+pub(crate) trait KeyHandler: Send + 'static {
     /// A key has this value now; none once it was deleted.
-    fn tell(&mut self, key: &str, revision: u64, value: Option<Bytes>);
+    fn on_key(&mut self, key: &str, revision: u64, value: Option<Bytes>);
 
     /// All keys have been told as they stood at one time, at this revision of the store.
-    fn loaded(&mut self, revision: u64) {
+    fn on_loaded(&mut self, revision: u64) {
         let _ = revision;
     }
 
     /// The store answers, or does not; all that it had to say so far has been told.
-    fn store(&mut self, up: bool);
+    fn on_store_state(&mut self, up: bool);
 
     /// Returns the longest wait of the next watch, in milliseconds.
-    fn wait_ms(&self) -> u32 {
+    fn watch_wait_ms(&self) -> u32 {
         WAIT_MS
     }
 
     /// Waits until the feed may go on after an answer with so many changes.
-    fn next(&mut self, changes: usize) -> impl Future<Output = Next> + Send {
+    fn pause_after(&mut self, changes: usize) -> impl Future<Output = NextStep> + Send {
         let _ = changes;
-        async { Next::Watch }
+        async { NextStep::Watch }
     }
 
     /// Returns when a watch that is under way is to be given up and everything read anew.
-    fn hurry(&self) -> impl Future<Output = ()> + Send {
+    fn reload_requested(&self) -> impl Future<Output = ()> + Send {
         std::future::pending()
     }
 }
@@ -69,13 +69,13 @@
 /// Keys as they were last told.
 struct Feed<S> {
     prefix: String,
-    reader: Reader,
+    reader: StoreClient,
     sink: S,
     known: HashMap<String, u64>,
 }
 
 /// Keeps up with a prefix until the process ends.
-pub(crate) async fn run<S: Sink>(prefix: String, reader: Reader, sink: S) {
+pub(crate) async fn run<S: KeyHandler>(prefix: String, reader: StoreClient, sink: S) {
     let mut feed = Feed { prefix, reader, sink, known: HashMap::new() };
     let mut pause = RETRY_MS;
     loop {
@@ -84,13 +84,13 @@
             Stop::Failed { answered: true } => pause = RETRY_MS,
             Stop::Failed { answered: false } => {}
         }
-        feed.sink.store(false);
+        feed.sink.on_store_state(false);
         sleep(Duration::from_millis(pause)).await;
         pause = (pause * 2).min(RETRY_MAX_MS);
     }
 }
 
-impl<S: Sink> Feed<S> {
+impl<S: KeyHandler> Feed<S> {
     /// Reads everything and watches.
     async fn follow(&mut self) -> Stop {
         let page = match self.reader.range(&self.prefix).await {
@@ -104,14 +104,14 @@
         let mut changes = 0;
         self.load(page);
         loop {
-            self.sink.store(true);
-            if self.sink.next(changes).await == Next::Reload {
+            self.sink.on_store_state(true);
+            if self.sink.pause_after(changes).await == NextStep::Reload {
                 return Stop::Reload;
             }
-            let watch = self.reader.watch(&self.prefix, at, self.sink.wait_ms());
+            let watch = self.reader.watch(&self.prefix, at, self.sink.watch_wait_ms());
             let watched = tokio::select! {
                 watched = watch => watched,
-                () = self.sink.hurry() => return Stop::Reload,
+                () = self.sink.reload_requested() => return Stop::Reload,
             };
             match watched {
                 Ok(page) => {
@@ -140,7 +140,7 @@
         for key in gone.into_keys() {
             self.put(Item { key, value: None, revision: page.at });
         }
-        self.sink.loaded(page.at);
+        self.sink.on_loaded(page.at);
     }
 
     fn put(&mut self, item: Item) {
@@ -153,6 +153,6 @@
         } else {
             self.known.remove(&item.key);
         }
-        self.sink.tell(&item.key, item.revision, item.value);
+        self.sink.on_key(&item.key, item.revision, item.value);
     }
 }
--- a/endivestile/src/fleet/store.rs
+++ b/endivestile/src/fleet/records.rs
@@ -10,9 +10,9 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-use super::feed::Sink;
 use super::inbox::Inbox;
-use super::reader::Reader;
+use super::prefix_watch::KeyHandler;
+use super::store_client::StoreClient;
 
 /// Pause after a registration that failed, in milliseconds.
 const RETRY_MS: u64 = 300;
@@ -25,11 +25,11 @@
 /// What the registration task has to know: the entry that is to stand, and the
 /// key's revision as the store last told.
 #[derive(Debug, Clone)]
-pub(crate) struct Wish {
+pub(crate) struct Registration {
     /// The entry.
     pub(crate) entry: HostEntry,
     /// Revision of the key as it was last read, and whether it is our entry.
-    pub(crate) stands: Option<(u64, bool)>,
+    pub(crate) stored: Option<(u64, bool)>,
 }
 
 /// Hands the keys below our prefix to the engine.
@@ -38,32 +38,32 @@
     /// The engine.
     pub(crate) inbox: Inbox,
     /// The registration.
-    pub(crate) wish: watch::Sender<Wish>,
+    pub(crate) registration: watch::Sender<Registration>,
 }
 
-impl Sink for Records {
-    fn tell(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
+impl KeyHandler for Records {
+    fn on_key(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
         if let Some(pool) = key.strip_prefix(POOL_KEYS) {
             let value = value.unwrap_or_default();
             let pool = Name::from(pool);
-            self.inbox.event(FleetEvent::Record { pool, revision, value });
+            self.inbox.post_event(FleetEvent::Record { pool, revision, value });
         } else if let Some(name) = key.strip_prefix(HOST_KEYS) {
             self.host(name, revision, value);
         }
     }
 
-    fn wait_ms(&self) -> u32 {
+    fn watch_wait_ms(&self) -> u32 {
         RECORDS_WAIT_MS
     }
 
-    fn store(&mut self, up: bool) {
-        self.inbox.event(FleetEvent::Store(up));
+    fn on_store_state(&mut self, up: bool) {
+        self.inbox.post_event(FleetEvent::Store(up));
     }
 
     /// The registration waits until it is known what stands under its key.
-    fn loaded(&mut self, _revision: u64) {
-        if self.wish.borrow().stands.is_none() {
-            self.wish.send_modify(|wish| wish.stands = Some((0, false)));
+    fn on_loaded(&mut self, _revision: u64) {
+        if self.registration.borrow().stored.is_none() {
+            self.registration.send_modify(|wish| wish.stored = Some((0, false)));
         }
     }
 }
@@ -81,23 +81,23 @@
             Some(Ok(entry)) => Some(entry),
             None => None,
         };
-        let own = *self.wish.borrow().entry.peer.host == *name;
+        let own = *self.registration.borrow().entry.peer.host == *name;
         if own {
-            self.wish.send_modify(|wish| {
+            self.registration.send_modify(|wish| {
                 let stands = entry.as_ref() == Some(&wish.entry);
-                wish.stands = Some((if entry.is_some() { revision } else { 0 }, stands));
+                wish.stored = Some((if entry.is_some() { revision } else { 0 }, stands));
             });
         }
-        self.inbox.event(FleetEvent::Host { name: Name::from(name), entry });
+        self.inbox.post_event(FleetEvent::Host { name: Name::from(name), entry });
     }
 }
 
 /// Keeps this host registered. The key has no lease: the store may drop leases
 /// unseen, and an entry of a host that is gone harms nobody.
-pub(crate) async fn register(reader: Reader, mut wishes: watch::Receiver<Wish>) {
+pub(crate) async fn register(reader: StoreClient, mut wishes: watch::Receiver<Registration>) {
     loop {
         let wish = wishes.borrow_and_update().clone();
-        let revision = match wish.stands {
+        let revision = match wish.stored {
             Some((_, true)) => {
                 if wishes.changed().await.is_err() {
                     return;
@@ -124,7 +124,7 @@
     }
 }
 
-async fn put(reader: &Reader, entry: &HostEntry, revision: u64) -> Result<u64, StoreFault> {
+async fn put(reader: &StoreClient, entry: &HostEntry, revision: u64) -> Result<u64, StoreFault> {
     let key = Name::from(format!("{HOST_KEYS}{}", entry.peer.host));
     // A registration is plain data: it cannot fail to be written as JSON.
     let value = Bytes::from(serde_json::to_vec(entry).unwrap_or_default());
@@ -132,7 +132,7 @@
 }
 
 /// Carries out a call of the fleet.
-pub(crate) fn call(reader: &Reader, inbox: &Inbox, token: u64, op: StoreOp) {
+pub(crate) fn spawn_store_call(reader: &StoreClient, inbox: &Inbox, token: u64, op: StoreOp) {
     let StoreOp::Swap { key, revision, value } = op else { return };
     let (reader, inbox) = (reader.clone(), inbox.clone());
     tokio::spawn(async move {
@@ -142,6 +142,6 @@
             // A store that turns calls away is not asked again at once.
             Err(_) => Stored::Lost,
         };
-        inbox.event(FleetEvent::Stored { token, stored });
+        inbox.post_event(FleetEvent::Stored { token, stored });
     });
 }
--- a/endivestile/src/fleet/run.rs
+++ b/endivestile/src/fleet/run.rs
@@ -19,22 +19,22 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-use super::callers::{self, Desk};
-use super::client::Client;
-use super::config::OperatorKeys;
-use super::engine::{Engine, Parts};
-use super::feed;
-use super::inbox::{Inbox, Inlet, Input};
-use super::listing::{Listing, Need};
-use super::page::Measures;
-use super::reader::Reader;
-use super::store::{self, Records, Wish};
-use super::workers::Workers;
+use super::engine::{Engine, EngineParts};
+use super::http_client::HttpClient;
+use super::http_server::{self, ServerContext};
+use super::inbox::{Inbox, InboxReceiver, Input};
+use super::metrics::Metrics;
+use super::operator_keys::OperatorKeys;
+use super::prefix_watch;
+use super::records::{self, Records, Registration};
+use super::store_client::StoreClient;
+use super::worker_client::WorkerClient;
+use super::worker_list::{SharedListRole, WorkerList};
 use crate::clock::{Clock, since_epoch};
 use crate::counters::Counters;
 use crate::error::{Exit, RunError};
 use crate::peers::{self, Links};
-use crate::run::{Reload, advertised, local};
+use crate::run::{SettingsReloader, advertised_address, local_address};
 
 /// Inputs handled before their effects are carried out, and before silence is judged: a
 /// late host must not take frames that it has not read yet for frames that were not sent.
@@ -55,14 +55,14 @@
     settings: &Settings,
     adapter: &'static Adapter,
     counters: &Counters,
-    reload: Reload,
+    reloader: SettingsReloader,
 ) -> Result<Exit, RunError> {
     let failed = |source| RunError::Thread { step: "start-runtime", source };
     let runtime = Builder::new_current_thread().enable_all().build().map_err(failed)?;
     let (inbox, inlet) = Inbox::new();
     let exit = Rc::new(Cell::new(Exit::Failed));
     let edges = Edges { settings, adapter, counters, inbox: &inbox };
-    let parts = build(&runtime, &edges, Rc::clone(&exit), reload)?;
+    let parts = build(&runtime, &edges, Rc::clone(&exit), reloader)?;
     runtime.block_on(turn(inlet, parts));
     Ok(exit.get())
 }
@@ -80,33 +80,33 @@
     runtime: &Runtime,
     edges: &Edges<'_>,
     exit: Rc<Cell<Exit>>,
-    reload: Reload,
-) -> Result<Parts, RunError> {
+    reloader: SettingsReloader,
+) -> Result<EngineParts, RunError> {
     let &Edges { settings, adapter, counters, inbox } = edges;
     let _context = runtime.enter();
     let clock = Clock::new();
-    let measures = Measures::new(counters.clone());
+    let metrics = Metrics::new(counters.clone());
     if let Some(page) = settings.metrics.page {
-        let (listener, bound) = callers::bind(page)?;
+        let (listener, bound) = http_server::bind(page)?;
         log::info!("event=page_served address={bound}");
-        runtime.spawn(callers::show(listener, measures.clone()));
+        runtime.spawn(http_server::serve_metrics(listener, metrics.clone()));
     }
     let limits = Arc::new(RwLock::new(Limits::default()));
     let (closing, closed) = watch::channel(false);
-    let desk = Desk {
+    let desk = ServerContext {
         inbox: inbox.clone(),
         limits: Arc::clone(&limits),
         serial: Arc::new(AtomicU64::new(0)),
         closing: closed,
     };
-    let (listener, http) = callers::bind(settings.host.http)?;
-    runtime.spawn(callers::accept(listener, desk.clone()));
+    let (listener, http) = http_server::bind(settings.host.http)?;
+    runtime.spawn(http_server::accept(listener, desk.clone()));
     if let Some(ready) = settings.platform.ready {
-        let (listener, _) = callers::bind(ready)?;
-        runtime.spawn(callers::accept(listener, desk));
+        let (listener, _) = http_server::bind(ready)?;
+        runtime.spawn(http_server::accept(listener, desk));
     }
     let listener = peers::bind(settings.host.peers)?;
-    let (address, links_at) = (advertised(settings, &listener)?, local(&listener)?);
+    let (address, links_at) = (advertised_address(settings, &listener)?, local_address(&listener)?);
     peers::serve(runtime.handle(), listener, inbox.clone())?;
     let links = Links::start(runtime.handle(), inbox.clone(), counters.clone());
     let me = Peer::new(settings.host.name.clone(), since_epoch().as_micros() as u64);
@@ -116,9 +116,9 @@
         me.host,
         me.birth
     );
-    let client = Client::default();
-    let reader = reader(settings, adapter, client.clone());
-    let need = Need::default();
+    let client = HttpClient::default();
+    let store = store_client(settings, adapter, client.clone());
+    let list_role = SharedListRole::default();
     let entry = HostEntry {
         peer: me.clone(),
         zone: zone.clone(),
@@ -127,12 +127,12 @@
         cpu_milli: settings.platform.cpu_milli,
         link_kbps: settings.platform.link_kbps,
     };
-    let wish = follow(runtime, &reader, inbox, need.clone(), entry);
+    let registration = follow(runtime, &store, inbox, list_role.clone(), entry);
     signals(runtime, inbox)?;
-    if let Some(path) = reload.path() {
+    if let Some(path) = reloader.path() {
         runtime.spawn(watch_settings(path.to_owned(), inbox.clone()));
     }
-    let workers = Workers { client, adapter, inbox: inbox.clone(), clock };
+    let workers = WorkerClient { client, adapter, inbox: inbox.clone(), clock };
     let setup = FleetSetup {
         me,
         zone,
@@ -144,51 +144,51 @@
         host_lease: settings.platform.host_lease(),
         policy: settings.platform.policy,
     };
-    Ok(Parts {
+    Ok(EngineParts {
         setup,
         adapter,
         clock,
         inbox: inbox.clone(),
         links,
         workers,
-        reader,
-        wish,
-        need,
+        store,
+        registration,
+        list_role,
         limits,
         closing,
-        measures,
-        reload,
+        metrics,
+        reloader,
         grace_ms: settings.platform.grace_ms,
         exit,
     })
 }
 
-fn reader(settings: &Settings, adapter: &'static Adapter, client: Client) -> Reader {
+fn store_client(settings: &Settings, adapter: &'static Adapter, client: HttpClient) -> StoreClient {
     // The settings' check refuses an empty list of addresses.
     let address = settings.store.addresses.first();
     let address = address.map(ToString::to_string).unwrap_or_default();
     let timeout_ms = settings.store.timeout_ms.min(STORE_MS);
-    Reader { client, adapter, address: Name::from(address), timeout_ms }
+    StoreClient { client, adapter, address: Name::from(address), timeout_ms }
 }
 
 /// Starts what keeps up with the store.
 fn follow(
     runtime: &Runtime,
-    reader: &Reader,
+    store: &StoreClient,
     inbox: &Inbox,
-    need: Need,
+    list_role: SharedListRole,
     entry: HostEntry,
-) -> watch::Sender<Wish> {
-    let (wish, wishes) = watch::channel(Wish { entry, stands: None });
-    let operator = OperatorKeys { adapter: reader.adapter, inbox: inbox.clone() };
-    let prefix = reader.adapter.keys.operator.to_owned();
-    runtime.spawn(feed::run(prefix, reader.clone(), operator));
-    let records = Records { inbox: inbox.clone(), wish: wish.clone() };
-    runtime.spawn(feed::run(OWN_KEYS.to_owned(), reader.clone(), records));
-    let listing = Listing::new(reader.adapter, inbox.clone(), need);
-    runtime.spawn(feed::run(reader.adapter.keys.workers.to_owned(), reader.clone(), listing));
-    runtime.spawn(store::register(reader.clone(), wishes));
-    wish
+) -> watch::Sender<Registration> {
+    let (registration, wishes) = watch::channel(Registration { entry, stored: None });
+    let operator = OperatorKeys { adapter: store.adapter, inbox: inbox.clone() };
+    let prefix = store.adapter.keys.operator.to_owned();
+    runtime.spawn(prefix_watch::run(prefix, store.clone(), operator));
+    let records = Records { inbox: inbox.clone(), registration: registration.clone() };
+    runtime.spawn(prefix_watch::run(OWN_KEYS.to_owned(), store.clone(), records));
+    let listing = WorkerList::new(store.adapter, inbox.clone(), list_role);
+    runtime.spawn(prefix_watch::run(store.adapter.keys.workers.to_owned(), store.clone(), listing));
+    runtime.spawn(records::register(store.clone(), wishes));
+    registration
 }
 
 /// Posts signals to the engine.
@@ -226,10 +226,10 @@
 }
 
 /// Runs the loop until the engine ends it.
-async fn turn(mut inlet: Inlet, parts: Parts) {
+async fn turn(mut inlet: InboxReceiver, parts: EngineParts) {
     let mut stakker = Stakker::new(Instant::now());
     let engine = actor!(&mut stakker, Engine::init(parts), ret_nop!());
-    call!([engine], settle());
+    call!([engine], finish_batch());
     stakker.run(Instant::now(), false);
     while stakker.not_shutdown() {
         let wait = stakker.next_wait_max(Instant::now(), Duration::from_secs(WAIT_S), false);
@@ -244,12 +244,12 @@
 const LAST_MS: u64 = 20;
 
 /// Queues all waiting inputs for the engine, so that their frames share batches.
-async fn drain(inlet: &mut Inlet, engine: &Actor<Engine>, wait: Duration) {
+async fn drain(inlet: &mut InboxReceiver, engine: &Actor<Engine>, wait: Duration) {
     let Ok(Some(first)) = timeout(wait, inlet.recv()).await else { return };
-    call!([engine], take(first));
+    call!([engine], handle_input(first));
     for _ in 1..BATCH {
         let Ok(input) = inlet.try_recv() else { break };
-        call!([engine], take(input));
+        call!([engine], handle_input(input));
     }
-    call!([engine], settle());
+    call!([engine], finish_batch());
 }
--- a/endivestile/src/fleet/reader.rs
+++ b/endivestile/src/fleet/store_client.rs
@@ -8,16 +8,16 @@
 use http::{Request, StatusCode};
 use tokio::time::Instant;
 
-use super::client::Client;
+use super::http_client::HttpClient;
 
 /// Pages of one reading at most: five hundred keys each.
 const MAX_PAGES: usize = 64;
 
 /// The store, one call at a time.
 #[derive(Debug, Clone)]
-pub(crate) struct Reader {
+pub(crate) struct StoreClient {
     /// The client.
-    pub(crate) client: Client,
+    pub(crate) client: HttpClient,
     /// The translation.
     pub(crate) adapter: &'static Adapter,
     /// Address of the store.
@@ -26,7 +26,7 @@
     pub(crate) timeout_ms: u64,
 }
 
-impl Reader {
+impl StoreClient {
     /// Reads all keys with a prefix, and the revision from which to watch.
     pub(crate) async fn range(&self, prefix: &str) -> Result<Page, StoreFault> {
         let mut whole = Page::default();
--- a/endivestile/src/fleet/workers.rs
+++ b/endivestile/src/fleet/worker_client.rs
@@ -4,15 +4,15 @@
 use endivestile_wire::adapter::Adapter;
 use tokio::time::Instant;
 
-use super::client::{Client, Fault};
+use super::http_client::{CallError, HttpClient};
 use super::inbox::Inbox;
 use crate::clock::Clock;
 
 /// Makes calls to workers and tells the engine how they ended.
 #[derive(Debug, Clone)]
-pub(crate) struct Workers {
+pub(crate) struct WorkerClient {
     /// The client.
-    pub(crate) client: Client,
+    pub(crate) client: HttpClient,
     /// The translation.
     pub(crate) adapter: &'static Adapter,
     /// The engine.
@@ -21,15 +21,15 @@
     pub(crate) clock: Clock,
 }
 
-impl Workers {
+impl WorkerClient {
     /// Makes a call, on a task of its own.
     pub(crate) fn call(&self, call: WorkerCall) {
-        let due = self.clock.instant(worker_call_due(&call, self.clock.now()));
+        let due = self.clock.to_instant(worker_call_due(&call, self.clock.now()));
         let due = due.map_or_else(Instant::now, Instant::from_std);
         let workers = self.clone();
         tokio::spawn(async move {
             let event = workers.carry(call, due).await;
-            workers.inbox.event(event);
+            workers.inbox.post_event(event);
         });
     }
 
@@ -64,11 +64,11 @@
     }
 }
 
-impl From<Fault> for CallFault {
-    fn from(fault: Fault) -> Self {
+impl From<CallError> for CallFault {
+    fn from(fault: CallError) -> Self {
         match fault {
-            Fault::Unreachable => Self::Unreachable,
-            Fault::Lost => Self::Lost,
+            CallError::Unreachable => Self::Unreachable,
+            CallError::Lost => Self::Lost,
         }
     }
 }
--- a/endivestile/src/fleet/listing.rs
+++ b/endivestile/src/fleet/worker_list.rs
@@ -10,8 +10,8 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use super::feed::{Next, Sink};
 use super::inbox::Inbox;
+use super::prefix_watch::{KeyHandler, NextStep};
 
 /// Pause after a change for a host that owns workers, in milliseconds: while workers
 /// register, each changes its entry with every heartbeat.
@@ -41,19 +41,19 @@
 
 /// Tells how urgently this host needs the list, and when it needs it more than before.
 #[derive(Debug, Clone)]
-pub(crate) struct Need {
+pub(crate) struct SharedListRole {
     role: Arc<watch::Sender<ListRole>>,
     changed: Arc<Notify>,
 }
 
-impl Default for Need {
+impl Default for SharedListRole {
     fn default() -> Self {
         let role = Arc::new(watch::Sender::new(ListRole::Claimant));
         Self { role, changed: Arc::default() }
     }
 }
 
-impl Need {
+impl SharedListRole {
     /// Sets what this host needs the list for.
     pub(crate) fn set(&self, role: ListRole) {
         let before = self.role.send_replace(role);
@@ -72,10 +72,10 @@
 }
 
 /// The registrations as last told.
-pub(crate) struct Listing {
+pub(crate) struct WorkerList {
     adapter: &'static Adapter,
     inbox: Inbox,
-    need: Need,
+    need: SharedListRole,
     entries: BTreeMap<String, WorkerEntry>,
     /// Entries that were missing when the store returned, and until when they count.
     missing: BTreeMap<String, Instant>,
@@ -87,9 +87,9 @@
     repeat: Instant,
 }
 
-impl Listing {
+impl WorkerList {
     /// Starts with no worker known.
-    pub(crate) fn new(adapter: &'static Adapter, inbox: Inbox, need: Need) -> Self {
+    pub(crate) fn new(adapter: &'static Adapter, inbox: Inbox, need: SharedListRole) -> Self {
         let now = Instant::now();
         Self {
             adapter,
@@ -109,9 +109,9 @@
     }
 
     /// Waits until an instant, or until the list is needed more and is read anew.
-    async fn rest(&self, next: Next, end: Instant) -> Next {
+    async fn rest(&self, next: NextStep, end: Instant) -> NextStep {
         match timeout_at(end, self.need.changed.notified()).await {
-            Ok(()) => Next::Reload,
+            Ok(()) => NextStep::Reload,
             Err(_) => next,
         }
     }
@@ -126,10 +126,10 @@
     }
 }
 
-impl Sink for Listing {
+impl KeyHandler for WorkerList {
     /// Takes one registration over. Registrations may lapse while the store is away; the
     /// workers serve on, so that a missing entry is kept until they are back.
-    fn tell(&mut self, key: &str, _revision: u64, value: Option<Bytes>) {
+    fn on_key(&mut self, key: &str, _revision: u64, value: Option<Bytes>) {
         let Some(id) = key.strip_prefix(self.adapter.keys.workers) else { return };
         self.missing.remove(id);
         self.told = Instant::now();
@@ -153,7 +153,7 @@
         }
     }
 
-    fn store(&mut self, up: bool) {
+    fn on_store_state(&mut self, up: bool) {
         let now = Instant::now();
         if !up {
             self.returning = now + Duration::from_millis(RETURN_MS);
@@ -165,34 +165,34 @@
         }
         self.changed = false;
         self.repeat = now + Duration::from_millis(REPEAT_MS);
-        self.inbox.event(FleetEvent::Workers(self.entries.values().cloned().collect()));
+        self.inbox.post_event(FleetEvent::Workers(self.entries.values().cloned().collect()));
     }
 
-    fn wait_ms(&self) -> u32 {
+    fn watch_wait_ms(&self) -> u32 {
         if self.need.owner() { OWNER_WAIT_MS } else { OTHER_WAIT_MS }
     }
 
     /// What has been read is told at once: an owner waits for it before it starts tasks.
-    fn loaded(&mut self, _revision: u64) {
+    fn on_loaded(&mut self, _revision: u64) {
         self.changed = true;
     }
 
-    async fn next(&mut self, changes: usize) -> Next {
+    async fn pause_after(&mut self, changes: usize) -> NextStep {
         if self.need.owner() {
             if changes < BEHIND_ITEMS {
                 sleep_until(self.told + Duration::from_millis(OWNER_MS)).await;
             }
-            return Next::Watch;
+            return NextStep::Watch;
         }
         if changes >= BUSY_ITEMS && self.need.role() == ListRole::Bystander {
             let end = Instant::now() + Duration::from_millis(REST_MS);
-            return self.rest(Next::Reload, end).await;
+            return self.rest(NextStep::Reload, end).await;
         }
         let pause = if self.entries.is_empty() { OWNER_MS } else { OTHER_MS };
-        self.rest(Next::Watch, self.told + Duration::from_millis(pause)).await
+        self.rest(NextStep::Watch, self.told + Duration::from_millis(pause)).await
     }
 
-    async fn hurry(&self) {
+    async fn reload_requested(&self) {
         self.need.changed.notified().await;
     }
 }
--- a/endivestile/src/http/desk.rs
+++ b/endivestile/src/http/desk.rs
@@ -14,10 +14,10 @@
 use super::route::Route;
 use super::{Call, Demand, Reply, Say, Shape, Voice, body};
 use crate::clock::Clock;
-use crate::configs::Adopted;
-use crate::counters::{Counters, Tally};
+use crate::config_checker::CurrentConfig;
+use crate::counters::{Counters, IoMetric};
 use crate::inbox::{Inbox, Input};
-use crate::pool::{Pool, Work};
+use crate::thread_pool::{Pool, Work};
 
 /// Threads that read long bodies; each waits for one caller.
 const READERS: usize = 64;
@@ -32,7 +32,7 @@
     /// Limits.
     pub(crate) settings: CallSettings,
     /// The configuration in force.
-    pub(crate) adopted: Adopted,
+    pub(crate) adopted: CurrentConfig,
     /// Writes replies that need no engine.
     pub(crate) voice: Voice,
     /// Counts.
@@ -72,7 +72,7 @@
 
     /// Refuses a call; nothing of it is accepted.
     fn refuse(&self, request: Request, ids: usize, invalid: &Invalid) {
-        self.counters.tally(Tally::Invalid, 1);
+        self.counters.count_io(IoMetric::Invalid, 1);
         log::debug!("event=invalid field={:?} reason={:?}", invalid.field, invalid.reason);
         let reply = Reply::invalid(invalid);
         if ids == 0 {
--- a/endivestile/src/http/listen.rs
+++ b/endivestile/src/http/listen.rs
@@ -63,7 +63,7 @@
             // process out of descriptors. Nobody could connect any more while
             // the host still looked alive to its peers; so it drains and ends.
             log::error!("event=listener_lost step=accept");
-            desk.inbox.post(Input::Signal);
+            desk.inbox.post(Input::Stop);
         };
         let thread = thread::Builder::new().name("http".to_owned());
         thread.spawn(take).map_err(|source| RunError::Thread { step: "serve-http", source })?;
--- a/endivestile/src/http/say.rs
+++ b/endivestile/src/http/say.rs
@@ -5,7 +5,7 @@
 use tiny_http::Request;
 
 use super::Reply;
-use crate::pool::{Pool, Work};
+use crate::thread_pool::{Pool, Work};
 
 /// Longest body that is read to its end after a refusal.
 const DRAINED: usize = 256 << 20;
--- a/endivestile/src/inbox.rs
+++ b/endivestile/src/inbox.rs
@@ -17,7 +17,7 @@
     /// A caller's call.
     Call(Box<Call>),
     /// The process was asked to stop.
-    Signal,
+    Stop,
 }
 
 /// Sending end of the channel, one copy per thread.
@@ -31,10 +31,10 @@
 
 impl Inbox {
     /// Makes the channel.
-    pub(crate) fn new() -> (Self, Inlet) {
+    pub(crate) fn new() -> (Self, InboxReceiver) {
         let (sender, receiver) = channel();
         let depth = Arc::new(AtomicU64::new(0));
-        let inlet = Inlet { receiver, depth: Arc::clone(&depth) };
+        let inlet = InboxReceiver { receiver, depth: Arc::clone(&depth) };
         (Self { sender, depth }, inlet)
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Posts an event for the kernel.
-    pub(crate) fn event(&self, event: Event) {
+    pub(crate) fn post_event(&self, event: Event) {
         self.post(Input::Event(event));
     }
 
@@ -57,23 +57,23 @@
 
 /// Receiving end of the channel.
 #[derive(Debug)]
-pub(crate) struct Inlet {
+pub(crate) struct InboxReceiver {
     /// The channel.
     receiver: Receiver<Input>,
     /// Inputs posted and not yet taken.
     depth: Arc<AtomicU64>,
 }
 
-impl Inlet {
+impl InboxReceiver {
     /// Waits for an input, at most for `span`.
-    pub(crate) fn wait(&self, span: Duration) -> Option<Input> {
+    pub(crate) fn recv_timeout(&self, span: Duration) -> Option<Input> {
         let input = self.receiver.recv_timeout(span).ok()?;
         self.depth.fetch_sub(1, Ordering::Relaxed);
         Some(input)
     }
 
     /// Takes an input that already waits.
-    pub(crate) fn next(&self) -> Option<Input> {
+    pub(crate) fn try_recv(&self) -> Option<Input> {
         let input = self.receiver.try_recv().ok()?;
         self.depth.fetch_sub(1, Ordering::Relaxed);
         Some(input)
--- a/endivestile/src/lib.rs
+++ b/endivestile/src/lib.rs
@@ -7,23 +7,23 @@
 mod args;
 mod backend;
 mod clock;
-mod configs;
+mod config_checker;
 mod counters;
-mod edges;
+mod effects;
 mod engine;
 mod error;
 mod fleet;
 mod http;
 mod inbox;
 mod logs;
-mod metrics;
 mod net;
 mod peers;
-mod pool;
 mod run;
 mod signals;
+mod statsd;
 mod status;
 mod store;
+mod thread_pool;
 
 pub use args::Args;
 pub use error::{Exit, RunError};
--- a/endivestile/src/logs.rs
+++ b/endivestile/src/logs.rs
@@ -16,7 +16,7 @@
 use flexi_logger::{DeferredNow, FileSpec, FlexiLoggerError, Logger, LoggerHandle};
 use log::Record;
 
-use crate::counters::{Counters, Tally};
+use crate::counters::{Counters, IoMetric};
 use crate::error::RunError;
 
 /// Target of the daemon's own lines.
@@ -84,7 +84,7 @@
     while let Ok(first) = queue.recv() {
         out.extend_from_slice(&first);
         queue.try_iter().take(WAITING).for_each(|next| out.extend_from_slice(&next));
-        let dropped = counters.get(Tally::LinesDropped);
+        let dropped = counters.io_count(IoMetric::LinesDropped);
         if dropped > told {
             // This line is the only trace of those that are missing.
             let _ = writeln!(out, "WARN event=lines_dropped count={}", dropped - told);
@@ -102,7 +102,7 @@
         line(&mut text, now, record)?;
         text.push(b'\n');
         if self.lines.try_send(text).is_err() {
-            self.counters.tally(Tally::LinesDropped, 1);
+            self.counters.count_io(IoMetric::LinesDropped, 1);
         }
         Ok(())
     }
@@ -113,7 +113,7 @@
 }
 
 /// Writes a note of the kernel.
-pub(crate) fn note(note: &Note) {
+pub(crate) fn log_note(note: &Note) {
     if !log::log_enabled!(target: TARGET, level(note.level)) {
         return;
     }
--- a/endivestile/src/net.rs
+++ b/endivestile/src/net.rs
@@ -8,12 +8,12 @@
 
 /// One runtime on one thread; nothing on it may block.
 #[derive(Debug)]
-pub(crate) struct Net {
+pub(crate) struct NetRuntime {
     /// The runtime.
     handle: Handle,
 }
 
-impl Net {
+impl NetRuntime {
     /// Starts the thread.
     pub(crate) fn start() -> Result<Self, RunError> {
         let failed = |source| RunError::Thread { step: "start-net", source };
--- a/endivestile/src/peers/links.rs
+++ b/endivestile/src/peers/links.rs
@@ -13,7 +13,7 @@
 use super::out::carry;
 use super::queue::{Entry, queue};
 use super::uplink::Uplink;
-use crate::counters::{Counters, Tally};
+use crate::counters::{Counters, IoMetric};
 
 /// Pause before a broken link is dialled again, in milliseconds; frames that
 /// come earlier are dropped, and the kernel sends them again.
@@ -103,9 +103,9 @@
         let frame_out = wire::Frame { version: VERSION, body };
         let sent = self.link(address, &frame.to).is_some_and(|link| link.entry.push(frame_out));
         if sent {
-            self.counters.tally(Tally::FrameBytes, bytes);
+            self.counters.count_io(IoMetric::FrameBytes, bytes);
         } else {
-            self.counters.tally(Tally::FramesDropped, 1);
+            self.counters.count_io(IoMetric::FramesDropped, 1);
         }
     }
 
--- a/endivestile/src/peers/out.rs
+++ b/endivestile/src/peers/out.rs
@@ -10,7 +10,7 @@
 use super::queue::Frames;
 use super::uplink::Uplink;
 use super::{MAX_FRAME, PROBE_ANSWER_MS, PROBE_MS};
-use crate::counters::{Counters, Tally};
+use crate::counters::{Counters, IoMetric};
 
 /// Longest time for a connection, in milliseconds.
 const DIAL_MS: u64 = 1_000;
@@ -28,7 +28,7 @@
         Err(e) => format!("step=dial-peer error={:?}", describe(&e)),
     };
     log::info!("event=link_down peer={peer} address={address} {reason}");
-    counters.tally(Tally::LinksDown, 1);
+    counters.count_io(IoMetric::LinksDown, 1);
     inbox.broken(peer);
 }
 
--- a/endivestile/src/peers/uplink.rs
+++ b/endivestile/src/peers/uplink.rs
@@ -15,10 +15,10 @@
 
 impl Uplink for Inbox {
     fn frame(&self, frame: Frame) {
-        self.event(Event::Frame(frame));
+        self.post_event(Event::Frame(frame));
     }
 
     fn broken(&self, peer: Peer) {
-        self.event(Event::LinkDown(peer));
+        self.post_event(Event::LinkDown(peer));
     }
 }
--- a/endivestile/src/run.rs
+++ b/endivestile/src/run.rs
@@ -20,19 +20,19 @@
 use crate::args::Args;
 use crate::backend::Backends;
 use crate::clock::{Clock, since_epoch};
-use crate::configs::{Adopted, Checker};
+use crate::config_checker::{ConfigChecker, CurrentConfig};
 use crate::counters::Counters;
-use crate::edges::Edges;
-use crate::engine::{Engine, Parts};
+use crate::effects::EffectHandlers;
+use crate::engine::{Engine, EngineParts};
 use crate::error::{Exit, RunError};
 use crate::fleet;
 use crate::http::{self, Desk, Say};
-use crate::inbox::{Inbox, Inlet};
+use crate::inbox::{Inbox, InboxReceiver};
 use crate::logs;
-use crate::net::Net;
+use crate::net::NetRuntime;
 use crate::peers::{self, Links};
 use crate::store::{self, Store};
-use crate::{metrics, signals};
+use crate::{signals, statsd};
 
 /// Inputs handled before their effects are carried out.
 const BATCH: usize = 1_024;
@@ -73,24 +73,24 @@
         return serve(&settings, counters);
     };
     let adapter = Adapter::named(name).ok_or_else(|| RunError::Adapter { name: name.clone() })?;
-    let reload = Reload { args: args.clone(), log };
-    fleet::serve(&settings, adapter, &counters, reload)
+    let reloader = SettingsReloader { args: args.clone(), log };
+    fleet::serve(&settings, adapter, &counters, reloader)
 }
 
 /// Reads the settings again while the host runs.
-pub(crate) struct Reload {
+pub(crate) struct SettingsReloader {
     args: Args,
     log: LoggerHandle,
 }
 
-impl Reload {
+impl SettingsReloader {
     /// Returns the file that the settings are read from, if they are.
     pub(crate) fn path(&self) -> Option<&Path> {
         self.args.config.as_deref()
     }
 
     /// Reads the settings and puts the log's level in force.
-    pub(crate) fn settings(&self) -> Result<Settings, RunError> {
+    pub(crate) fn reload(&self) -> Result<Settings, RunError> {
         let settings = load(&self.args)?;
         logs::set_level(&self.log, &settings.log)?;
         Ok(settings)
@@ -106,24 +106,24 @@
     Ok(Settings::load(&text, &path.display().to_string(), &args.overrides)?)
 }
 
-/// Starts all edges, then the loop.
+/// Starts all handlers, then the loop.
 fn serve(settings: &Settings, counters: Counters) -> Result<Exit, RunError> {
     let clock = Clock::new();
-    let adopted = Adopted::default();
+    let adopted = CurrentConfig::default();
     let (inbox, inlet) = Inbox::new();
-    let net = Net::start()?;
+    let net = NetRuntime::start()?;
     let callers = http::bind(net.handle(), settings.host.http)?;
     let peers = peers::bind(settings.host.peers)?;
-    let address = advertised(settings, &peers)?;
+    let address = advertised_address(settings, &peers)?;
     let me = Peer::new(settings.host.name.clone(), since_epoch().as_micros() as u64);
-    let checker = Checker::start(inbox.clone(), adopted.clone())?;
-    let voice = Say::pool();
+    let checker = ConfigChecker::start(inbox.clone(), adopted.clone())?;
+    let replies = Say::pool();
     let desk = Desk {
         inbox: inbox.clone(),
         clock,
         settings: settings.calls.clone(),
         adopted: adopted.clone(),
-        voice: voice.clone(),
+        voice: replies.clone(),
         counters: counters.clone(),
     };
     log::info!(
@@ -131,7 +131,7 @@
         me.host,
         me.birth,
         settings.host.zone,
-        local(&callers)?,
+        local_address(&callers)?,
     );
     peers::serve(net.handle(), peers, inbox.clone())?;
     let desk_store = store::Desk {
@@ -146,34 +146,39 @@
     let store = Store::start(net.handle(), desk_store)?;
     let links = Links::start(net.handle(), inbox.clone(), counters.clone());
     let backends = Backends::start(&settings.backends, clock, &me, inbox.clone(), counters.clone());
-    metrics::start(&settings.metrics, &settings.host, counters.clone(), inbox.clone())?;
+    statsd::start(&settings.metrics, &settings.host, counters.clone(), inbox.clone())?;
     signals::watch(inbox.clone())?;
     http::serve(callers, &desk)?;
-    let edges = Edges { backends, links, store: store.clone(), checker, voice, counters };
+    let handlers =
+        EffectHandlers { backends, links, store: store.clone(), checker, replies, counters };
     let wall_s = since_epoch().as_secs();
     let seed = me.birth;
     let seeds = settings.host.seeds.iter();
     let seeds = seeds.map(|(host, at)| seed_of(host, *at)).collect();
     let setup = Setup { me, zone: settings.host.zone.clone(), address, wall_s, seed, seeds };
     let exit = Rc::new(Cell::new(Exit::Failed));
-    let limit_s = settings.stop.limit_s;
-    let parts = Parts { setup, edges, clock, adopted, limit_s, exit: Rc::clone(&exit) };
+    let stop_limit_s = settings.stop.limit_s;
+    let parts =
+        EngineParts { setup, handlers, clock, adopted, stop_limit_s, exit: Rc::clone(&exit) };
     turn(&inlet, parts);
     store.leave();
     Ok(exit.get())
 }
 
 /// Returns the address that peers dial; port 0 stands for the one that was bound.
-pub(crate) fn advertised(settings: &Settings, bound: &TcpListener) -> Result<Name, RunError> {
+pub(crate) fn advertised_address(
+    settings: &Settings,
+    bound: &TcpListener,
+) -> Result<Name, RunError> {
     let mut address = settings.host.advertised();
     if address.port() == 0 {
-        address.set_port(local(bound)?.port());
+        address.set_port(local_address(bound)?.port());
     }
     Ok(Name::from(address.to_string()))
 }
 
 /// Returns the address to which a socket is bound.
-pub(crate) fn local(socket: &TcpListener) -> Result<SocketAddr, RunError> {
+pub(crate) fn local_address(socket: &TcpListener) -> Result<SocketAddr, RunError> {
     socket.local_addr().map_err(|e| RunError::Bind {
         step: "read-address",
         address: String::new(),
@@ -187,10 +192,10 @@
 }
 
 /// Runs the loop until the engine ends it.
-fn turn(inlet: &Inlet, parts: Parts) {
+fn turn(inlet: &InboxReceiver, parts: EngineParts) {
     let mut stakker = Stakker::new(Instant::now());
     let engine = actor!(&mut stakker, Engine::init(parts), ret_nop!());
-    call!([engine], settle());
+    call!([engine], finish_batch());
     stakker.run(Instant::now(), false);
     while stakker.not_shutdown() {
         let wait = stakker.next_wait_max(Instant::now(), Duration::from_secs(WAIT_S), false);
@@ -200,12 +205,12 @@
 }
 
 /// Queues all waiting inputs for the engine, so that their frames share batches.
-fn drain(inlet: &Inlet, engine: &Actor<Engine>, wait: Duration) {
-    let Some(first) = inlet.wait(wait) else { return };
-    call!([engine], take(first));
+fn drain(inlet: &InboxReceiver, engine: &Actor<Engine>, wait: Duration) {
+    let Some(first) = inlet.recv_timeout(wait) else { return };
+    call!([engine], handle_input(first));
     for _ in 1..BATCH {
-        let Some(input) = inlet.next() else { break };
-        call!([engine], take(input));
+        let Some(input) = inlet.try_recv() else { break };
+        call!([engine], handle_input(input));
     }
-    call!([engine], settle());
+    call!([engine], finish_batch());
 }
--- a/endivestile/src/signals.rs
+++ b/endivestile/src/signals.rs
@@ -14,7 +14,7 @@
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(failed)?;
     let thread = thread::Builder::new().name("signals".to_owned());
     thread
-        .spawn(move || signals.forever().for_each(|_| inbox.post(Input::Signal)))
+        .spawn(move || signals.forever().for_each(|_| inbox.post(Input::Stop)))
         .map_err(failed)?;
     Ok(())
 }
--- a/endivestile/src/status.rs
+++ b/endivestile/src/status.rs
@@ -16,7 +16,12 @@
 }
 
 /// Returns the state of the host in JSON.
-pub(crate) fn page(kernel: &Kernel, clock: Clock, counters: &Counters, calls: usize) -> Vec<u8> {
+pub(crate) fn status_json(
+    kernel: &Kernel,
+    clock: Clock,
+    counters: &Counters,
+    calls: usize,
+) -> Vec<u8> {
     let mut page = match serde_json::to_value(kernel.status(clock.now())) {
         Ok(Value::Object(page)) => page,
         _ => Map::new(),
--- a/endivestile/src/store/access.rs
+++ b/endivestile/src/store/access.rs
@@ -15,7 +15,7 @@
 use tonic::transport::{Channel, Endpoint};
 
 use super::error::StoreError;
-use crate::counters::{Counters, Tally};
+use crate::counters::{Counters, IoMetric};
 use crate::error::RunError;
 
 /// Longest message, in bytes: many values of up to a megabyte.
@@ -82,11 +82,11 @@
     pub(crate) async fn call<T>(
         &self,
         step: &'static str,
-        tally: Option<Tally>,
+        tally: Option<IoMetric>,
         call: impl Future<Output = Result<T, Status>>,
     ) -> Result<T, StoreError> {
         if let Some(tally) = tally {
-            self.counters.tally(tally, 1);
+            self.counters.count_io(tally, 1);
         }
         let site = self.site();
         let error = match timeout(Duration::from_millis(self.timeout_ms), call).await {
@@ -97,7 +97,7 @@
             }
             Err(_) => StoreError::Timeout { step, peer: site.address.clone() },
         };
-        self.counters.tally(Tally::StoreErrors, 1);
+        self.counters.count_io(IoMetric::StoreErrors, 1);
         self.turn(site);
         Err(error)
     }
--- a/endivestile/src/store/feed.rs
+++ b/endivestile/src/store/feed.rs
@@ -8,7 +8,7 @@
 use endivestile_wire::key;
 use endivestile_wire::store::KeyValue;
 
-use crate::configs::Checker;
+use crate::config_checker::ConfigChecker;
 use crate::inbox::Inbox;
 
 /// Keys as they were last told to the kernel.
@@ -19,12 +19,12 @@
     /// The engine.
     inbox: Inbox,
     /// Checks of configurations.
-    checker: Checker,
+    checker: ConfigChecker,
 }
 
 impl Feed {
     /// Starts with no key known.
-    pub(crate) fn new(inbox: Inbox, checker: Checker) -> Self {
+    pub(crate) fn new(inbox: Inbox, checker: ConfigChecker) -> Self {
         Self { known: HashMap::new(), inbox, checker }
     }
 
@@ -79,7 +79,7 @@
             return;
         };
         match event {
-            Ok(event) => self.inbox.event(event),
+            Ok(event) => self.inbox.post_event(event),
             // A value written past the tools; what was told before stays.
             Err(reason) => log::error!("event=value_refused key={key} reason={reason:?}"),
         }
@@ -88,7 +88,7 @@
     /// Hands in a configuration; one that was deleted stays in force.
     fn config(&self, value: Option<Bytes>) {
         match value {
-            Some(text) => self.checker.offer("store", text),
+            Some(text) => self.checker.enqueue("store", text),
             None => log::error!("event=config_deleted key={}", key::CONFIG),
         }
     }
--- a/endivestile/src/store/lease.rs
+++ b/endivestile/src/store/lease.rs
@@ -6,7 +6,7 @@
 
 use super::access::Access;
 use super::error::StoreError;
-use crate::counters::Tally;
+use crate::counters::IoMetric;
 
 /// A lease in the store.
 #[derive(Debug, Clone, Copy)]
@@ -18,7 +18,7 @@
         let request = LeaseGrantRequest { ttl: ttl_s as i64, id: 0 };
         let mut client = access.leases();
         let call = client.lease_grant(request);
-        let answer = access.call("grant", Some(Tally::LeaseCalls), call).await?;
+        let answer = access.call("grant", Some(IoMetric::LeaseCalls), call).await?;
         let LeaseGrantResponse { id, .. } = answer.into_inner();
         Ok(Self(id))
     }
@@ -32,7 +32,7 @@
             let mut answers = client.lease_keep_alive(requests).await?.into_inner();
             answers.message().await
         };
-        let answer = access.call("refresh", Some(Tally::LeaseCalls), refresh).await?;
+        let answer = access.call("refresh", Some(IoMetric::LeaseCalls), refresh).await?;
         Ok(answer.is_some_and(|answer| answer.ttl > 0))
     }
 
@@ -40,6 +40,6 @@
     pub(crate) async fn revoke(self, access: &Access) -> Result<(), StoreError> {
         let mut client = access.leases();
         let call = client.lease_revoke(LeaseRevokeRequest { id: self.0 });
-        access.call("revoke", Some(Tally::LeaseCalls), call).await.map(|_| ())
+        access.call("revoke", Some(IoMetric::LeaseCalls), call).await.map(|_| ())
     }
 }
--- a/endivestile/src/store/mod.rs
+++ b/endivestile/src/store/mod.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::sync::watch as latest;
 
-use crate::configs::Checker;
+use crate::config_checker::ConfigChecker;
 use crate::counters::Counters;
 use crate::error::RunError;
 use crate::inbox::Inbox;
@@ -44,7 +44,7 @@
     /// The engine.
     pub(crate) inbox: Inbox,
     /// Checks of configurations.
-    pub(crate) checker: Checker,
+    pub(crate) checker: ConfigChecker,
     /// Counts.
     pub(crate) counters: Counters,
 }
--- a/endivestile/src/store/ops.rs
+++ b/endivestile/src/store/ops.rs
@@ -37,7 +37,7 @@
                 log::warn!("event=store_call_failed {e}");
                 Stored::Lost
             });
-            inbox.event(Event::Stored { token: ask.token, stored });
+            inbox.post_event(Event::Stored { token: ask.token, stored });
             drop(permit);
         });
     }
--- a/endivestile/src/store/watch.rs
+++ b/endivestile/src/store/watch.rs
@@ -16,7 +16,7 @@
 use super::backoff::Backoff;
 use super::error::StoreError;
 use super::feed::Feed;
-use crate::counters::Tally;
+use crate::counters::IoMetric;
 
 /// First keys of the watched ranges, and prefixes that end them. The audit
 /// trail sorts before the configuration and is left out: no host needs it.
@@ -36,7 +36,7 @@
         first = false;
         if session.up {
             session.up = false;
-            session.desk.inbox.event(Input::Store(false));
+            session.desk.inbox.post_event(Input::Store(false));
         }
         backoff.wait().await;
     }
@@ -66,7 +66,7 @@
         }
         let mut client = self.access.watches();
         let open = client.watch(ReceiverStream::new(queue));
-        let tally = Some(Tally::WatchCalls);
+        let tally = Some(IoMetric::WatchCalls);
         let mut answers = self.access.call("watch", tally, open).await?.into_inner();
         let mut created = 0;
         while created < RANGES.len() {
@@ -76,7 +76,7 @@
         self.up = true;
         backoff.reset();
         log::info!("event=store_up revision={revision}");
-        self.desk.inbox.event(Input::Store(true));
+        self.desk.inbox.post_event(Input::Store(true));
         self.follow(feed, &mut answers).await
     }
 
@@ -112,7 +112,7 @@
         for (first, last) in RANGES {
             let mut client = self.access.keys();
             let read = client.range(range(first, last));
-            let tally = Some(Tally::WatchCalls);
+            let tally = Some(IoMetric::WatchCalls);
             let answer = self.access.call("load", tally, read).await?.into_inner();
             revision = revision.min(answer.header.map_or(0, |header| header.revision));
             values.extend(answer.kvs);
--- a/endivestile/src/pool.rs
+++ b/endivestile/src/thread_pool.rs
@@ -65,12 +65,12 @@
     }
 
     /// Returns how much work waits for a thread.
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn queued(&self) -> usize {
         self.shared.lock().queue.len()
     }
 
     /// Returns how much work waits or runs.
-    pub(crate) fn open(&self) -> usize {
+    pub(crate) fn pending(&self) -> usize {
         let state = self.shared.lock();
         state.queue.len() + state.threads - state.idle
     }
--- a/endivestile/tests/explain_failure.rs
+++ b/endivestile/tests/explain_failure.rs
@@ -10,13 +10,13 @@
 
 use endivestile_testkit::{PlatformStandIn, WorkerFault};
 
-use platform::{Host, job, send, until, until_serving};
+use platform::{Host, job, send, wait_until, wait_until_serving};
 
 /// Returns the latest line of a host that tells an event of a job.
 fn line(host: &Host, event: &str, id: &str) -> String {
     let part = format!("event={event} id={id}");
     let found = || host.process.log().into_iter().rev().find(|line| line.contains(&part));
-    until(&part, || found().is_some());
+    wait_until(&part, || found().is_some());
     found().unwrap()
 }
 
@@ -39,9 +39,9 @@
     let platform = PlatformStandIn::start(&["a"], 1);
     platform.configure(1);
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     let _taken = send(&host.http, "POST", "/jobs/00000000000000b0", &job(2, 60_000));
-    until("the worker is full", || platform.running() == 2);
+    wait_until("the worker is full", || platform.running() == 2);
     let id = "00000000000000b1";
     let (status, _) = host.call("POST", &format!("/jobs/{id}"), &job(8, 500));
     assert_eq!(status, 429);
@@ -66,7 +66,7 @@
     let platform = PlatformStandIn::start(&["a"], 2);
     platform.configure(1);
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     platform.fault("a-w1", WorkerFault::Hangs);
     let id = "00000000000000b2";
     let (status, _) = host.call("POST", &format!("/jobs/{id}"), &job(4, 100));
@@ -80,15 +80,15 @@
 /// placer, then that the workers changed hands, and how the job came through.
 #[test]
 fn failure_placer_lost() {
-    let platform = platform::platform();
+    let platform = platform::start_platform();
     let mut hosts = vec![Host::start(&platform, "a1", "a"), Host::start(&platform, "a2", "a")];
-    hosts.iter().for_each(until_serving);
+    hosts.iter().for_each(wait_until_serving);
     let owner = |host: &Host| host.logged("event=owner_change_ended") > 0;
     let killed = hosts.remove(hosts.iter().position(owner).unwrap());
     let id = "00000000000000b3";
     let (http, path) = (hosts[0].http.clone(), format!("/jobs/{id}"));
     let caller = thread::spawn(move || platform::call(&http, "POST", &path, &job(2, 900)));
-    until("both tasks run", || platform.running() == 2);
+    wait_until("both tasks run", || platform.running() == 2);
     drop(killed);
     assert_eq!(caller.join().unwrap().0, 200);
     let lost = line(&hosts[0], "placer_lost", id);
--- a/endivestile/tests/platform/mod.rs
+++ b/endivestile/tests/platform/mod.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 
 /// Longest wait for a condition; reached only by a fault.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
 /// An entry host that listens.
 pub(crate) struct Host {
@@ -40,7 +40,7 @@
         let program = env!("CARGO_BIN_EXE_endivestile").into();
         let daemon = Daemon { program, args: args.to_vec() };
         let process = PlatformHost::start(&daemon, platform.store(), name, zone, &[]).unwrap();
-        until("the host listens", || process.http().is_some());
+        wait_until("the host listens", || process.http().is_some());
         let (http, page) = (process.http().unwrap(), process.page().unwrap());
         Self { process, http: http.to_string(), page: page.to_string() }
     }
@@ -55,8 +55,8 @@
     }
 }
 
-pub(crate) fn until(what: &str, condition: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let end = Instant::now() + WAIT_LIMIT;
     while !condition() {
         assert!(Instant::now() < end, "waited in vain until {what}");
         thread::sleep(Duration::from_millis(10));
@@ -95,11 +95,13 @@
 }
 
 /// Waits until a host runs jobs.
-pub(crate) fn until_serving(host: &Host) {
-    until("a job is served", || host.call("POST", "/jobs/00000000000000aa", &job(1, 1)).0 == 200);
+pub(crate) fn wait_until_serving(host: &Host) {
+    wait_until("a job is served", || {
+        host.call("POST", "/jobs/00000000000000aa", &job(1, 1)).0 == 200
+    });
 }
 
-pub(crate) fn platform() -> PlatformStandIn {
+pub(crate) fn start_platform() -> PlatformStandIn {
     let platform = PlatformStandIn::start(&["a"], 2);
     platform.configure(1);
     platform
--- a/endivestile/tests/platform_path.rs
+++ b/endivestile/tests/platform_path.rs
@@ -13,23 +13,23 @@
 use endivestile_testkit::{PlatformSignal, PlatformStandIn, WorkerFault};
 use test_case::test_case;
 
-use platform::{Host, job, platform, send, until, until_serving};
+use platform::{Host, job, send, start_platform, wait_until, wait_until_serving};
 
 #[test]
 fn job_completed() {
-    let platform = platform();
+    let platform = start_platform();
     // Entries of other writers name no worker to use.
     platform.write("servers/other", b"\xff\xfe");
     platform.write("servers/half", br#"{"Service":"service","State":"ready"}"#);
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     let (status, body) = host.call("POST", "/jobs/00000000000000ab", &job(4, 30));
     assert_eq!((status, body["State"].as_str()), (200, Some("completed")));
     assert_eq!(host.call("GET", "/jobs/", "").1["Pending"], 0);
     assert_eq!(host.call("GET", "/jobs/00000000000000ab", "").0, 410);
     assert_eq!(host.call("GET", "/readiness", "").0, 200);
     assert_eq!(platform.breaches(), Vec::<String>::new());
-    until("the page counts the job", || {
+    wait_until("the page counts the job", || {
         let text = page(&host);
         text.contains("endivestile_job_done_us_count") && !text.contains("endivestile_jobs_done 0")
     });
@@ -52,9 +52,9 @@
 #[test_case("POST", "/jobs/00000000000000ab", r#"{"BestEffort":true,"Steps":[{"Count":1,"Cpu":99000}]}"#, 422; "fits_no_worker")]
 #[test_case("POST", "/jobs/00000000000000ab", r#"{"Steps":[{"Count":1}]}"#, 503; "must_be_kept")]
 fn job_refused(method: &str, path: &str, body: &str, status: u16) {
-    let platform = platform();
+    let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     let before = platform.starts();
     assert_eq!(host.call(method, path, body).0, status);
     assert_eq!(platform.starts(), before);
@@ -62,9 +62,9 @@
 
 #[test]
 fn job_body_too_long() {
-    let platform = platform();
+    let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     let body = format!("{{\"Spec\":\"{}\"}}", "x".repeat(5_000));
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &body).0, 413);
 }
@@ -79,30 +79,30 @@
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &job(1, 1)).0, 503);
     assert_eq!(host.call("GET", "/readiness", "").0, 503);
     platform.configure(1);
-    until_serving(&host);
+    wait_until_serving(&host);
 }
 
 /// A caller closes its connection while its job runs. Nobody wants the work any
 /// more; without a stop it would take the room of others until it ends.
 #[test]
 fn hangup_stops_work() {
-    let platform = platform();
+    let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     let stream = send(&host.http, "POST", "/jobs/00000000000000ab", &job(2, 60_000));
-    until("both tasks run", || platform.running() == 2);
+    wait_until("both tasks run", || platform.running() == 2);
     drop(stream);
-    until("nothing runs", || platform.running() == 0);
-    until_serving(&host);
+    wait_until("nothing runs", || platform.running() == 0);
+    wait_until_serving(&host);
 }
 
 /// A worker stops answering while a job runs there. Its lease runs out, and
 /// the job is run elsewhere; the caller waits longer and gets its whole answer.
 #[test]
 fn worker_silent_job_completed() {
-    let platform = platform();
+    let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     platform.fault("a-w1", WorkerFault::Silent);
     for id in 0..4 {
         let (status, _) = host.call("POST", &format!("/jobs/00000000000001a{id}"), &job(2, 20));
@@ -118,13 +118,13 @@
     let platform = PlatformStandIn::start(&["a", "b"], 2);
     platform.configure(1);
     let hosts = [Host::start(&platform, "a1", "a"), Host::start(&platform, "b1", "b")];
-    hosts.iter().for_each(until_serving);
+    hosts.iter().for_each(wait_until_serving);
     let starts_in_a = || {
         let starts = platform.starts();
         starts.iter().filter(|(id, _)| id.starts_with("a-")).map(|(_, count)| count).sum::<u64>()
     };
     platform.write("op/evacuate/a", b"\xff");
-    until("the evacuation is known", || hosts[0].logged("event=evacuation_started") > 0);
+    wait_until("the evacuation is known", || hosts[0].logged("event=evacuation_started") > 0);
     let before = starts_in_a();
     assert!(before > 0);
     for id in 0..8 {
@@ -132,9 +132,9 @@
         assert_eq!(status, 200);
     }
     assert_eq!(starts_in_a(), before);
-    until("the page shows it", || page(&hosts[0]).contains("endivestile_zones_evacuated 1"));
+    wait_until("the page shows it", || page(&hosts[0]).contains("endivestile_zones_evacuated 1"));
     platform.evacuate("a", false);
-    until("its end is known", || hosts[0].logged("event=evacuation_ended") > 0);
+    wait_until("its end is known", || hosts[0].logged("event=evacuation_ended") > 0);
     let (status, _) = hosts[0].call("POST", "/jobs/00000000000001f0", &job(2, 5));
     assert_eq!(status, 200);
     assert!(starts_in_a() > before);
@@ -144,7 +144,7 @@
 /// Starts two hosts of a zone; returns the one that owns its workers, and the other.
 fn owner_and_other(platform: &PlatformStandIn) -> (Host, Host) {
     let hosts = ["a1", "a2"].map(|name| Host::start(platform, name, "a"));
-    hosts.iter().for_each(until_serving);
+    hosts.iter().for_each(wait_until_serving);
     let [first, second] = hosts;
     if first.logged("event=owner_change_ended") > 0 { (first, second) } else { (second, first) }
 }
@@ -154,12 +154,12 @@
 /// that send again wait for about a second, and no task runs twice at a time.
 #[test]
 fn owner_killed_other_serves() {
-    let platform = platform();
+    let platform = start_platform();
     let (killed, other) = owner_and_other(&platform);
     let _open = send(&killed.http, "POST", "/jobs/00000000000000ab", &job(2, 60_000));
-    until("both tasks run", || platform.running() == 2);
+    wait_until("both tasks run", || platform.running() == 2);
     drop(killed);
-    until_serving(&other);
+    wait_until_serving(&other);
     let (status, _) = other.call("POST", "/jobs/00000000000000ab", &job(2, 20));
     assert_eq!((status, platform.breaches()), (200, Vec::new()));
 }
@@ -168,7 +168,7 @@
 fn assert_none_started(killed: Host, other: &Host, starts: impl Fn() -> u64) {
     drop(killed);
     let before = starts();
-    until_serving(other);
+    wait_until_serving(other);
     for id in 0..4 {
         let path = format!("/jobs/00000000000001a{id}");
         assert_eq!(other.call("POST", &path, &job(2, 20)).0, 200);
@@ -180,12 +180,12 @@
 /// over had read the list before; it must not start anything there by that.
 #[test]
 fn owner_killed_leaving_worker_unused() {
-    let platform = platform();
+    let platform = start_platform();
     let (killed, other) = owner_and_other(&platform);
     // The other host has just been told of a change when the next one comes.
     platform.leaves("a-w1", true);
     platform.leaves("a-w1", false);
-    until("the change is told", || {
+    wait_until("the change is told", || {
         killed.call("POST", "/jobs/00000000000000ab", &job(1, 1)).0 == 200
     });
     platform.leaves("a-w1", true);
@@ -219,11 +219,11 @@
 /// answer before the process ends by itself.
 #[test]
 fn stop_answers_open_calls() {
-    let platform = platform();
+    let platform = start_platform();
     let mut host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     let mut open = send(&host.http, "POST", "/jobs/00000000000000ab", &job(2, 700));
-    until("both tasks run", || platform.running() == 2);
+    wait_until("both tasks run", || platform.running() == 2);
     host.process.signal(PlatformSignal::Stop);
     let mut text = String::new();
     open.read_to_string(&mut text).unwrap();
@@ -235,31 +235,31 @@
 /// on under its token, and callers notice nothing.
 #[test]
 fn store_busy_serves_on() {
-    let platform = platform();
+    let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     platform.refuse(true);
-    until("the host notices", || host.logged("event=store_down") > 0);
+    wait_until("the host notices", || host.logged("event=store_down") > 0);
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &job(4, 20)).0, 200);
     platform.refuse(false);
-    until("the host notices", || host.logged("event=store_up") > 1);
+    wait_until("the host notices", || host.logged("event=store_up") > 1);
 }
 
 /// The settings file changes and nobody says so. The host finds out by itself;
 /// without that it would go on under figures that the platform has taken back.
 #[test]
 fn reload_unasked() {
-    let platform = platform();
+    let platform = start_platform();
     let path = std::env::temp_dir().join(format!("endivestile-{}.ini", std::process::id()));
     let settings = |grace: u32| format!("[platform]\ngrace-s = {grace}\n");
     std::fs::write(&path, settings(6)).unwrap();
     let config = ["--config".into(), path.clone().into()];
     let host = Host::start_with(&platform, "a1", "a", &config);
-    until_serving(&host);
+    wait_until_serving(&host);
     std::fs::write(&path, settings(7)).unwrap();
-    until("the host reads its settings", || host.logged("event=reload outcome=applied") > 0);
+    wait_until("the host reads its settings", || host.logged("event=reload outcome=applied") > 0);
     std::fs::write(&path, "[platform]\ngrace-s = soon\n").unwrap();
-    until("the host refuses them", || host.logged("event=reload outcome=refused") > 0);
+    wait_until("the host refuses them", || host.logged("event=reload outcome=refused") > 0);
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &job(1, 1)).0, 200);
     std::fs::remove_file(&path).unwrap();
 }
@@ -267,11 +267,11 @@
 /// The settings file changes and the host is told so by a signal.
 #[test]
 fn reload_applied() {
-    let platform = platform();
+    let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     host.process.signal(PlatformSignal::Reload);
-    until("the host reads its settings", || host.logged("event=reload outcome=applied") > 0);
+    wait_until("the host reads its settings", || host.logged("event=reload outcome=applied") > 0);
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &job(1, 1)).0, 200);
 }
 
@@ -281,9 +281,9 @@
 #[test_case(""; "first_request")]
 #[test_case("GET /readiness HTTP/1.1\r\nHost: jobs.example\r\n\r\n"; "later_request")]
 fn head_slow(before: &str) {
-    let platform = platform();
+    let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     let mut stream = TcpStream::connect(&host.http).unwrap();
     stream.write_all(before.as_bytes()).unwrap();
     let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
@@ -300,9 +300,9 @@
 /// connection stays open; otherwise its next request would be lost on the way.
 #[test]
 fn connection_rests_between_requests() {
-    let platform = platform();
+    let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
-    until_serving(&host);
+    wait_until_serving(&host);
     let mut stream = TcpStream::connect(&host.http).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     for _ in 0..2 {
