--- a/endivestile/src/fleet/engine.rs
+++ b/endivestile/src/fleet/engine.rs
@@ -207,11 +207,13 @@
                 FleetEffect::StoreCall { op_id: token, op } => {
                     records::spawn_store_call(&self.parts.store, &self.parts.inbox, token, op);
                 }
-                FleetEffect::RegisterLeaving => self.parts.registration.send_modify(|registration| {
-                    registration.entry.leaving = true;
-                    registration.stored =
-                        registration.stored.map(|(revision, _)| (revision, false));
-                }),
+                FleetEffect::RegisterLeaving => {
+                    self.parts.registration.send_modify(|registration| {
+                        registration.entry.leaving = true;
+                        registration.stored =
+                            registration.stored.map(|(revision, _)| (revision, false));
+                    })
+                }
                 FleetEffect::Log(note) => logs::log_note(&note),
                 FleetEffect::Count(count) => self.parts.metrics.count(count),
                 FleetEffect::Time(span, took) => self.parts.metrics.record_span(span, took),
--- a/endivestile/src/fleet/http_client.rs
+++ b/endivestile/src/fleet/http_client.rs
@@ -20,7 +20,7 @@
 
 /// Why a call brought no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum CallError {
+pub(crate) enum HttpError {
     /// No connection was made: nothing was sent.
     Unreachable,
     /// Something was sent, and no whole answer came in time.
@@ -43,7 +43,7 @@
         address: &Name,
         mut request: Request<Bytes>,
         due: Instant,
-    ) -> Result<(StatusCode, Bytes), CallError> {
+    ) -> Result<(StatusCode, Bytes), HttpError> {
         if let Ok(host) = HeaderValue::from_str(address) {
             request.headers_mut().insert(HOST, host);
         }
@@ -54,18 +54,18 @@
                 // The peer had closed the idle connection and nothing was sent.
                 Ok(Err(mut e)) => match e.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(CallError::Lost),
+                    None => return Err(HttpError::Lost),
                 },
-                Err(_) => return Err(CallError::Lost),
+                Err(_) => return Err(HttpError::Lost),
             }
         }
         let mut sender = match timeout_at(due, dial(address)).await {
             Ok(Some(sender)) => sender,
-            _ => return Err(CallError::Unreachable),
+            _ => return Err(HttpError::Unreachable),
         };
         match timeout_at(due, sender.send_request(request)).await {
             Ok(Ok(response)) => self.read(address, sender, response, due).await,
-            _ => Err(CallError::Lost),
+            _ => Err(HttpError::Lost),
         }
     }
 
@@ -75,14 +75,14 @@
         sender: Sender,
         response: hyper::Response<hyper::body::Incoming>,
         due: Instant,
-    ) -> Result<(StatusCode, Bytes), CallError> {
+    ) -> Result<(StatusCode, Bytes), HttpError> {
         let (head, body) = response.into_parts();
         match timeout_at(due, Limited::new(body, MAX_ANSWER).collect()).await {
             Ok(Ok(body)) => {
                 self.keep(address, sender);
                 Ok((head.status, body.to_bytes()))
             }
-            _ => Err(CallError::Lost),
+            _ => Err(HttpError::Lost),
         }
     }
 
--- a/endivestile/src/fleet/worker_client.rs
+++ b/endivestile/src/fleet/worker_client.rs
@@ -6,7 +6,7 @@
 use endivestile_wire::adapter::Adapter;
 use tokio::time::Instant;
 
-use super::http_client::{CallError, HttpClient};
+use super::http_client::{HttpClient, HttpError};
 use super::inbox::Inbox;
 use crate::clock::Clock;
 
@@ -76,11 +76,11 @@
     }
 }
 
-impl From<CallError> for CallError {
-    fn from(fault: CallError) -> Self {
+impl From<HttpError> for CallError {
+    fn from(fault: HttpError) -> Self {
         match fault {
-            CallError::Unreachable => Self::Unreachable,
-            CallError::Lost => Self::Lost,
+            HttpError::Unreachable => Self::Unreachable,
+            HttpError::Lost => Self::Lost,
         }
     }
 }
--- a/endivestile_kernel/src/fleet/assignment.rs
+++ b/endivestile_kernel/src/fleet/assignment.rs
@@ -52,7 +52,7 @@
         }
         self.note_sent(&job, to, serial);
         self.out.push(FleetEffect::Count(Count::JobsSent));
-        self.send_job_msg(now, to, JobMsg::Submit { serial, job, echo: Time::ZERO });
+        self.deliver_job_msg(now, to, JobMsg::Submit { serial, job, echo: Time::ZERO });
     }
 
     /// Returns whether a peer can be sent jobs: it is in reach, owns workers and goes on.
@@ -133,7 +133,7 @@
             &[("zone", self.setup.zone.to_string()), ("ms", ms(now, open.job.arrived))],
         );
         if let Some(to) = open.assigned_to {
-            self.send_job_msg(now, &to, JobMsg::Cancel { serial });
+            self.deliver_job_msg(now, &to, JobMsg::Cancel { serial });
         }
         self.apply_output(now);
     }
@@ -146,7 +146,7 @@
                 if refused {
                     let reason = Reason::NoPlacer;
                     let end = JobEnd::NotRun { reason, retry: now.after_ms(RETRY_AFTER_MS) };
-                    self.send_job_msg(now, from, JobMsg::Ended { serial, end });
+                    self.deliver_job_msg(now, from, JobMsg::Ended { serial, end });
                 } else {
                     self.scheduler.submit(now, from, serial, job);
                 }
@@ -269,7 +269,7 @@
             };
             self.answer(now, serial, end);
             if let Some(to) = to {
-                self.send_job_msg(now, &to, JobMsg::Cancel { serial });
+                self.deliver_job_msg(now, &to, JobMsg::Cancel { serial });
             }
         }
         self.apply_output(now);
--- a/endivestile_kernel/src/fleet/core.rs
+++ b/endivestile_kernel/src/fleet/core.rs
@@ -419,7 +419,7 @@
             for out in std::mem::take(&mut self.scheduler.out) {
                 match out {
                     Output::Call(call) => self.out.push(FleetEffect::WorkerCall(call)),
-                    Output::Message(peer, msg) => self.send_job_msg(now, &peer, msg),
+                    Output::Message(peer, msg) => self.deliver_job_msg(now, &peer, msg),
                     Output::Log(note) => self.out.push(FleetEffect::Log(note)),
                     Output::Count(count) => self.out.push(FleetEffect::Count(count)),
                     Output::Time(span, took) => self.out.push(FleetEffect::Time(span, took)),
@@ -429,7 +429,7 @@
     }
 
     /// Sends a message about a job; to this host itself it goes at once.
-    pub(crate) fn send_job_msg(&mut self, now: Time, peer: &Peer, msg: JobMsg) {
+    pub(crate) fn deliver_job_msg(&mut self, now: Time, peer: &Peer, msg: JobMsg) {
         if *peer == self.setup.me {
             self.handle_job_msg(now, &peer.clone(), msg);
         } else {
--- a/endivestile_kernel/src/fleet/hosts/frames.rs
+++ b/endivestile_kernel/src/fleet/hosts/frames.rs
@@ -78,13 +78,14 @@
         self.log(Level::Info, "job_stale", pairs);
         self.out.push(FleetEffect::Count(Count::JobsStale));
         let end = JobEnd::NotRun { reason: Reason::NoPlacer, retry: now };
-        self.send_job_msg(now, from, JobMsg::Ended { serial, end });
+        self.deliver_job_msg(now, from, JobMsg::Ended { serial, end });
     }
 
     /// Remembers what room another placer has. It counts only if this host's frames
     /// reach it: after a cut, tasks would wait on a link that is not back yet.
     fn take_room(&mut self, now: Time, from: &Peer, report: &HostReport) {
-        let reachable = self.members.get(from).is_some_and(|it| it.is_reachable(now, UNREACHABLE_MS));
+        let reachable =
+            self.members.get(from).is_some_and(|it| it.is_reachable(now, UNREACHABLE_MS));
         if report.pools == 0 || !reachable || overloaded(report.lag_ms) {
             self.scheduler.peer_capacity.remove(from);
             return;
--- a/endivestile_kernel/src/fleet/job_log.rs
+++ b/endivestile_kernel/src/fleet/job_log.rs
@@ -45,7 +45,8 @@
     fn room_for(&self, now: Time, state: &JobState) -> (usize, usize) {
         let Some(step) = state.job.steps.first() else { return (0, 0) };
         let fits = self.drivers.iter().filter(|(_, driver)| {
-            driver.entry.service == state.job.service && has_capacity(&driver.free_capacity(), &step.need)
+            driver.entry.service == state.job.service
+                && has_capacity(&driver.free_capacity(), &step.need)
         });
         let (free, shut): (Vec<_>, Vec<_>) =
             fits.partition(|(id, driver)| driver.usable(now) && self.healthy(now, id));
--- a/endivestile_testkit/src/fleet/host.rs
+++ b/endivestile_testkit/src/fleet/host.rs
@@ -4,8 +4,8 @@
 
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{
-    EvacuationState, Fleet, FleetEffect, FleetEvent, FleetSetup, HOST_KEY_PREFIX, HostEntry, POOL_KEY_PREFIX,
-    WorkerCall, worker_call_deadline,
+    EvacuationState, Fleet, FleetEffect, FleetEvent, FleetSetup, HOST_KEY_PREFIX, HostEntry,
+    POOL_KEY_PREFIX, WorkerCall, worker_call_deadline,
 };
 use endivestile_kernel::{Peer, Time};
 
