--- a/endivestile_kernel/src/fleet/core.rs
+++ b/endivestile_kernel/src/fleet/core.rs
@@ -310,9 +310,9 @@
                 self.scheduler.handle_stop(now, &worker, &RunId { task, run }, end);
             }
             FleetEvent::RenewalResult { worker, number, end } => {
-                self.renewal_ended(now, &worker, number, end)
+                self.handle_renewal(now, &worker, number, end)
             }
-            FleetEvent::Frame(frame) => self.receive_frame(now, *frame),
+            FleetEvent::Frame(frame) => self.handle_frame(now, *frame),
             FleetEvent::LinkDown(peer) => {
                 if let Some(channel) = self.channels.get_mut(&peer) {
                     channel.broken(now);
--- a/endivestile_kernel/src/fleet/hosts/frames.rs
+++ b/endivestile_kernel/src/fleet/hosts/frames.rs
@@ -32,7 +32,7 @@
 const MAX_FRAMES: usize = 4;
 
 impl Fleet {
-    pub(crate) fn receive_frame(&mut self, now: Time, mut frame: Frame) {
+    pub(crate) fn handle_frame(&mut self, now: Time, mut frame: Frame) {
         if frame.to != self.setup.me {
             return;
         }
@@ -63,7 +63,7 @@
                     self.refuse_stale(now, &from, serial);
                 }
                 Msg::Job(msg) => self.handle_job_msg(now, &from, msg),
-                Msg::DirectTransfer(msg) => self.receive_grant(now, &from, &msg),
+                Msg::DirectTransfer(msg) => self.handle_grant(now, &from, &msg),
                 _ => {}
             }
         }
--- a/endivestile_kernel/src/fleet/ownership/claim.rs
+++ b/endivestile_kernel/src/fleet/ownership/claim.rs
@@ -125,7 +125,7 @@
     }
 
     /// Takes in the answer to a hold, or to a probe.
-    pub(crate) fn renewal_ended(
+    pub(crate) fn handle_renewal(
         &mut self,
         now: Time,
         worker: &Name,
@@ -252,7 +252,7 @@
         self.out.push(FleetEffect::Count(Count::RecordChanges));
         let key = Name::from(format!("{POOL_KEY_PREFIX}{}", change.pool));
         let op = StoreOp::Swap { key, revision: change.revision, value: change.value };
-        self.out.push(FleetEffect::StoreCall { op_id: change.call, op });
+        self.out.push(FleetEffect::StoreCall { op_id: change.op_id, op });
     }
 
     /// Returns whether this host is to claim a pool now.
--- a/endivestile_kernel/src/fleet/ownership/direct_transfer.rs
+++ b/endivestile_kernel/src/fleet/ownership/direct_transfer.rs
@@ -59,7 +59,7 @@
     }
 
     /// Takes a pool at its owner's word.
-    pub(crate) fn receive_grant(&mut self, now: Time, from: &Peer, msg: &DirectTransfer) {
+    pub(crate) fn handle_grant(&mut self, now: Time, from: &Peer, msg: &DirectTransfer) {
         let pool = self.pools.by_name.entry(msg.pool.clone()).or_default();
         let taken = pool.accept_grant(msg.epoch, msg.token);
         let pairs = vec![
--- a/endivestile_kernel/src/fleet/ownership/pools.rs
+++ b/endivestile_kernel/src/fleet/ownership/pools.rs
@@ -184,7 +184,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RecordSwap {
     /// Number of the call.
-    pub(crate) call: u64,
+    pub(crate) op_id: u64,
     /// The pool.
     pub(crate) pool: Name,
     /// Revision on which it depends.
@@ -249,7 +249,7 @@
         let due = now.after_ms(SWAP_RETRY_MS);
         pool.swap = Some(Swap { token: self.token, record, sent: now, due });
         let revision = pool.revision;
-        Some(RecordSwap { call: self.token, pool: name.clone(), revision, value: value.into() })
+        Some(RecordSwap { op_id: self.token, pool: name.clone(), revision, value: value.into() })
     }
 
     /// Takes in how a change ended; returns the pool and whether it took effect.
