--- a/endivestile_kernel/src/fleet/hosts/membership.rs
+++ b/endivestile_kernel/src/fleet/hosts/membership.rs
@@ -43,10 +43,10 @@
     pub address: Name,
     /// Whether it is stopping.
     pub leaving: bool,
-    /// Processor time that it may use, in thousandths of a core; 0 if it states none.
+    /// Processor time that it may use, in thousandths of a core; 0 if unspecified.
     #[serde(default)]
     pub cpu_milli: u32,
-    /// Bandwidth of its link, in kilobits a second; 0 if it states none.
+    /// Bandwidth of its link, in kilobits a second; 0 if unspecified.
     #[serde(default)]
     pub link_kbps: u32,
 }
@@ -213,7 +213,7 @@
     }
 }
 
-/// Sender of a frame and what the frame states about it.
+/// Sender of a frame and the fields that describe its state.
 pub(crate) struct FrameHeader<'a> {
     /// The incarnation.
     pub(crate) from: &'a Peer,
--- a/endivestile_kernel/src/fleet/ownership/candidates.rs
+++ b/endivestile_kernel/src/fleet/ownership/candidates.rs
@@ -119,7 +119,7 @@
     }
 
     /// Returns the host to which this one transfers a zone's pools directly: it has to be alive,
-    /// since no other host learns of the grant.
+    /// since no other host receives the grant.
     pub(crate) fn live_successor(&self, now: Time, zone: &str) -> Option<Peer> {
         self.best_successor(zone, |member| member.is_alive(now, UNREACHABLE_MS))
     }
--- a/endivestile_kernel/src/fleet/ownership/pools.rs
+++ b/endivestile_kernel/src/fleet/ownership/pools.rs
@@ -58,9 +58,9 @@
     pub(crate) revision: u64,
     /// The record.
     pub(crate) record: Option<OwnershipRecord>,
-    /// Former owners, and when this host learned that each was replaced.
+    /// Former owners, and when the record that replaced each of them was applied here.
     former_owners: Vec<(Peer, Time)>,
-    /// When this host last learned of a new owner or epoch.
+    /// When a record with a new owner or epoch was last applied here.
     pub(crate) changed_at: Time,
     /// Since when the pool has been without a live owner; none while it has one.
     pub(crate) vacant_since: Option<Time>,
