--- a/endivestile/src/fleet/records.rs
+++ b/endivestile/src/fleet/records.rs
@@ -142,6 +142,6 @@
             // A store that turns calls away is not asked again at once.
             Err(_) => Stored::Lost,
         };
-        inbox.post_event(FleetEvent::StoreResult { op_id: token, result: stored });
+        inbox.post_event(FleetEvent::StoreCallEnded { op_id: token, result: stored });
     });
 }
--- a/endivestile/src/fleet/worker_client.rs
+++ b/endivestile/src/fleet/worker_client.rs
@@ -44,7 +44,7 @@
                     Ok((status, body)) => (adapter.started)(status, &body),
                     Err(fault) => StartResult::Failed(fault.into()),
                 };
-                FleetEvent::StartResult {
+                FleetEvent::StartEnded {
                     worker: order.worker,
                     task: order.task,
                     run: order.run,
@@ -57,7 +57,7 @@
                     Ok((status, body)) => (adapter.stopped)(status, &body),
                     Err(fault) => Err(fault.into()),
                 };
-                FleetEvent::StopResult {
+                FleetEvent::StopEnded {
                     worker: order.worker,
                     task: order.task,
                     run: order.run,
@@ -70,7 +70,7 @@
                     Ok((status, body)) => (adapter.held)(status, &body),
                     Err(fault) => Err(fault.into()),
                 };
-                FleetEvent::RenewalResult { worker: order.worker, number, end }
+                FleetEvent::RenewalEnded { worker: order.worker, number, end }
             }
         }
     }
--- a/endivestile_kernel/src/fleet/admission/shedding.rs
+++ b/endivestile_kernel/src/fleet/admission/shedding.rs
@@ -92,7 +92,7 @@
 impl Scheduler {
     /// Refuses late jobs whose turn cannot come in time, from the end of the queue on.
     pub(crate) fn shed(&mut self, now: Time) {
-        if !self.flows.look(now) || !self.policy.has(Mechanism::Shedding) {
+        if !self.start_rates.look(now) || !self.policy.has(Mechanism::Shedding) {
             return;
         }
         let services: Vec<Name> = self.queues.keys().cloned().collect();
@@ -116,7 +116,7 @@
             let Some(state) = self.jobs.get(&task.job).filter(|state| !state.may_have_run()) else {
                 continue;
             };
-            let wait_s = WAITS * f64::from(ahead) / self.flows.late_rate(service, key.rank.0);
+            let wait_s = WAITS * f64::from(ahead) / self.start_rates.late_rate(service, key.rank.0);
             let step = state.step(task.task as usize);
             let run_us = self.durations.min_us(&state.job, step.estimate_ms);
             let end = now.after_us((wait_s * 1e6 + run_us) as u64);
--- a/endivestile_kernel/src/fleet/assignment.rs
+++ b/endivestile_kernel/src/fleet/assignment.rs
@@ -156,7 +156,7 @@
                 if self.front.open.contains_key(&serial) {
                     self.job_ended(now, serial, end);
                 } else {
-                    self.scheduler.forward_ended(now, from, serial, end);
+                    self.scheduler.handle_forward_end(now, from, serial, end);
                 }
             }
         }
--- a/endivestile_kernel/src/fleet/completion.rs
+++ b/endivestile_kernel/src/fleet/completion.rs
@@ -188,7 +188,7 @@
     }
 
     /// Takes in how a forwarded task ended.
-    pub(crate) fn forward_ended(&mut self, now: Time, from: &Peer, serial: u64, end: JobEnd) {
+    pub(crate) fn handle_forward_end(&mut self, now: Time, from: &Peer, serial: u64, end: JobEnd) {
         let Some((_, task)) = self.forwards.remove(&serial) else { return };
         let Some(state) = self.jobs.get_mut(&task.job) else { return };
         let slot = &mut state.tasks[task.task as usize];
@@ -223,7 +223,7 @@
         let of = |(serial, (at, _)): (&u64, &(Peer, TaskRef))| (at == peer).then_some(*serial);
         let serials: Vec<u64> = self.forwards.iter().filter_map(of).collect();
         for serial in serials {
-            self.forward_ended(now, peer, serial, JobEnd::Lost(Reason::PlacerLost));
+            self.handle_forward_end(now, peer, serial, JobEnd::Lost(Reason::PlacerLost));
         }
     }
 
--- a/endivestile_kernel/src/fleet/core.rs
+++ b/endivestile_kernel/src/fleet/core.rs
@@ -113,14 +113,14 @@
     /// The store answers again, or does not.
     StoreAvailable(bool),
     /// A change of a record ended.
-    StoreResult {
+    StoreCallEnded {
         /// Number of the call.
         op_id: u64,
         /// How.
         result: Stored,
     },
     /// An order to start ended.
-    StartResult {
+    StartEnded {
         /// Worker.
         worker: Name,
         /// Name of the task.
@@ -131,7 +131,7 @@
         end: StartResult,
     },
     /// An order to stop ended.
-    StopResult {
+    StopEnded {
         /// Worker.
         worker: Name,
         /// Name of the task.
@@ -142,7 +142,7 @@
         end: Result<u64, CallError>,
     },
     /// A hold ended.
-    RenewalResult {
+    RenewalEnded {
         /// Worker.
         worker: Name,
         /// Number of the hold.
@@ -293,23 +293,23 @@
             FleetEvent::Cancel(call) => self.cancel_call(now, call),
             FleetEvent::Routes(table) => self.adopt(table),
             FleetEvent::Evacuation(state) => self.set_evacuation(now, &state, Source::Store),
-            FleetEvent::EvacuationsRead(revision) => self.evacuations_read(now, revision),
+            FleetEvent::EvacuationsRead(revision) => self.handle_evacuations_read(now, revision),
             FleetEvent::Workers(workers) => self.apply_worker_list(now, workers),
             FleetEvent::Host { name, entry } => self.apply_registration(now, &name, entry.as_ref()),
             FleetEvent::Record { pool, revision, value } => {
                 self.apply_record(now, &pool, revision, &value);
             }
             FleetEvent::StoreAvailable(up) => self.store(now, up),
-            FleetEvent::StoreResult { op_id: token, result: stored } => {
+            FleetEvent::StoreCallEnded { op_id: token, result: stored } => {
                 self.apply_swap_result(now, token, &stored)
             }
-            FleetEvent::StartResult { worker, task, run, end } => {
+            FleetEvent::StartEnded { worker, task, run, end } => {
                 self.scheduler.handle_start(now, &worker, &RunId { task, run }, end);
             }
-            FleetEvent::StopResult { worker, task, run, end } => {
+            FleetEvent::StopEnded { worker, task, run, end } => {
                 self.scheduler.handle_stop(now, &worker, &RunId { task, run }, end);
             }
-            FleetEvent::RenewalResult { worker, number, end } => {
+            FleetEvent::RenewalEnded { worker, number, end } => {
                 self.renewal_ended(now, &worker, number, end)
             }
             FleetEvent::Frame(frame) => self.receive_frame(now, *frame),
--- a/endivestile_kernel/src/fleet/evacuation.rs
+++ b/endivestile_kernel/src/fleet/evacuation.rs
@@ -137,7 +137,7 @@
     }
 
     /// Takes in that the store has been read up to a revision.
-    pub(crate) fn evacuations_read(&mut self, now: Time, revision: u64) {
+    pub(crate) fn handle_evacuations_read(&mut self, now: Time, revision: u64) {
         for state in self.evacuations.read(revision) {
             self.set_evacuation(now, &state, Source::Store);
         }
--- a/endivestile_kernel/src/fleet/placement/dispatch.rs
+++ b/endivestile_kernel/src/fleet/placement/dispatch.rs
@@ -177,7 +177,7 @@
             && let Some(queue) = self.queues.get_mut(&state.job.service)
         {
             queue.remove(key);
-            self.flows.record_start(&state.job.service, key);
+            self.start_rates.record_start(&state.job.service, key);
         }
         let slot = &mut state.tasks[index];
         slot.next_run += 1;
--- a/endivestile_testkit/src/fleet/visits.rs
+++ b/endivestile_testkit/src/fleet/visits.rs
@@ -62,14 +62,14 @@
                 if new && matches!(end, StartResult::Started(_)) {
                     self.seen.started(order);
                 }
-                FleetEvent::StartResult {
+                FleetEvent::StartEnded {
                     worker: order.worker.clone(),
                     task: order.task.clone(),
                     run: order.run,
                     end,
                 }
             }
-            WorkerCall::Stop(order) => FleetEvent::StopResult {
+            WorkerCall::Stop(order) => FleetEvent::StopEnded {
                 worker: order.worker.clone(),
                 task: order.task.clone(),
                 run: order.run,
@@ -80,7 +80,7 @@
                     Ok(_) => Ok(state.held(now)),
                     Err(fault) => Err(fault),
                 };
-                FleetEvent::RenewalResult { worker: order.worker.clone(), number: *number, end }
+                FleetEvent::RenewalEnded { worker: order.worker.clone(), number: *number, end }
             }
         };
         let worker = worker.clone();
@@ -114,7 +114,7 @@
         self.advance(worker);
         let Some(state) = self.workers.get(worker).filter(|state| !state.dark) else { return };
         let end = Ok(state.held(self.now));
-        let event = FleetEvent::RenewalResult { worker: worker.clone(), number, end };
+        let event = FleetEvent::RenewalEnded { worker: worker.clone(), number, end };
         self.reply(visit, &host, worker, event);
     }
 
@@ -122,23 +122,21 @@
         let Some((host, birth, call)) = self.open_visits.remove(&visit) else { return };
         self.waiting.remove(&visit);
         let event = match call {
-            WorkerCall::Start(order) => FleetEvent::StartResult {
+            WorkerCall::Start(order) => FleetEvent::StartEnded {
                 worker: order.worker,
                 task: order.task,
                 run: order.run,
                 end: StartResult::Failed(CallError::Lost),
             },
-            WorkerCall::Stop(order) => FleetEvent::StopResult {
+            WorkerCall::Stop(order) => FleetEvent::StopEnded {
                 worker: order.worker,
                 task: order.task,
                 run: order.run,
                 end: Err(CallError::Lost),
             },
-            WorkerCall::Renew(number, order) => FleetEvent::RenewalResult {
-                worker: order.worker,
-                number,
-                end: Err(CallError::Lost),
-            },
+            WorkerCall::Renew(number, order) => {
+                FleetEvent::RenewalEnded { worker: order.worker, number, end: Err(CallError::Lost) }
+            }
         };
         self.deliver(&host, birth, event);
     }
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -264,7 +264,7 @@
             Happening::Event {
                 host,
                 birth,
-                event: FleetEvent::StoreResult { op_id: token, result: stored },
+                event: FleetEvent::StoreCallEnded { op_id: token, result: stored },
             },
         );
     }
