--- a/endivestile_kernel/src/fleet/assignment.rs
+++ b/endivestile_kernel/src/fleet/assignment.rs
@@ -1,4 +1,4 @@
-//! Callers' jobs on their way to a placer and back.
+//! Assignment of callers' jobs to owners, and the answers to callers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,23 +16,25 @@
 use crate::fleet::scheduler::RETRY_AFTER_MS;
 use crate::{CallId, Level, Note, Peer, Time};
 
-/// Silence after which a placer counts as lost, in milliseconds: five frames.
+/// Time without a frame after which a host counts as unreachable, in milliseconds: five
+/// heartbeats.
 pub(crate) const UNREACHABLE_MS: u64 = 600;
-/// Reserve over a host's lease before its tasks surely are stopped, in
-/// milliseconds: the way of the stops.
-const STOP_RESERVE_MS: u64 = 80;
-/// When to come back after a refusal because every zone is being evacuated, in
-/// milliseconds: operators take zones back by hand.
+/// Time after the expiry of a host lease until its tasks have been stopped, in
+/// milliseconds: the transit time of stop calls.
+const STOP_MARGIN_MS: u64 = 80;
+/// Retry delay for callers while every zone is evacuated, in milliseconds. Longer than the
+/// default because operators end evacuations by hand.
 const EVACUATED_RETRY_MS: u64 = 5_000;
 
 impl Fleet {
+    /// Accepts a job from a caller and assigns it to an owner.
     pub(crate) fn submit_call(&mut self, now: Time, call: CallId, job: Job) {
         let serial = self.front.add(now, call, job);
-        self.place(now, serial);
+        self.assign_job(now, serial);
     }
 
-    /// Sends a job to a placer if one is in reach; otherwise it waits.
-    fn place(&mut self, now: Time, serial: u64) {
+    /// Sends a job to an owner if one is reachable; otherwise the job waits for one.
+    fn assign_job(&mut self, now: Time, serial: u64) {
         let Some(open) = self.front.open.get(&serial) else { return };
         let service = open.job.service.clone();
         if self.all_evacuated() {
@@ -40,23 +42,24 @@
             let end = JobEnd::NotRun { reason: Reason::Evacuated, retry };
             return self.answer(now, serial, end);
         }
-        if let Some(to) = self.placer(now, &service, serial) {
-            self.place_at(now, serial, &to);
+        if let Some(owner) = self.choose_owner(now, &service, serial) {
+            self.assign_to(now, serial, &owner);
         }
     }
 
-    fn place_at(&mut self, now: Time, serial: u64, to: &Peer) {
-        let Some((serial, job)) = self.front.assign(now, serial, to) else { return };
-        if let Some(member) = self.members.get_mut(to) {
+    fn assign_to(&mut self, now: Time, serial: u64, owner: &Peer) {
+        let Some((serial, job)) = self.front.assign(now, serial, owner) else { return };
+        if let Some(member) = self.members.get_mut(owner) {
             member.sent_tasks += job.tasks() as u32;
         }
-        self.note_sent(&job, to, serial);
+        self.log_sent(&job, owner, serial);
         self.out.push(FleetEffect::Count(Count::JobsSent));
-        self.deliver_job_msg(now, to, JobMsg::Submit { serial, job, echo: Time::ZERO });
+        self.deliver_job_msg(now, owner, JobMsg::Submit { serial, job, echo: Time::ZERO });
     }
 
-    /// Returns whether a peer can be sent jobs: it is in reach, owns workers and goes on.
-    fn places(&self, now: Time, peer: &Peer) -> bool {
+    /// Returns whether jobs can be sent to a peer: it is reachable, owns workers and is not
+    /// leaving.
+    fn accepts_jobs(&self, now: Time, peer: &Peer) -> bool {
         if *peer == self.setup.me {
             return self.scheduler.has_open_workers() && !self.leaving;
         }
@@ -66,9 +69,9 @@
         })
     }
 
-    /// Returns the placer for a new job: an owner of this zone's workers unless the zone is
-    /// being evacuated, or else any other that answers; of two, the one with more room.
-    fn placer(&self, now: Time, service: &Name, serial: u64) -> Option<Peer> {
+    /// Returns the owner to assign a job to: one of this zone's owners or, if none is
+    /// reachable or the zone is evacuated, one of any zone that is not evacuated.
+    fn choose_owner(&self, now: Time, service: &Name, serial: u64) -> Option<Peer> {
         let own = &self.setup.zone;
         if !self.evacuations.contains(own) {
             let owners = self.reachable_owners(now, |zone| *zone == **own);
@@ -80,23 +83,25 @@
         self.better_of_two(&owners, service, serial)
     }
 
-    /// Returns the owners of some zones' workers that can be sent jobs, each with the number
-    /// of its pools.
+    /// Returns the owners of workers in matching zones to which jobs can be sent, each with
+    /// the number of its pools.
     fn reachable_owners(&self, now: Time, zone: impl Fn(&str) -> bool) -> BTreeMap<&Peer, u32> {
         let mut owners = self.pools.owners_in_zones(&zone);
-        owners.retain(|owner, _| self.places(now, owner));
-        // A host that has its pools by the word of one that stops stands in no record yet.
-        let told = self.members.all().filter(|member| zone(&member.zone));
-        for member in told.filter(|member| self.places(now, &member.peer)) {
+        owners.retain(|owner, _| self.accepts_jobs(now, owner));
+        // A host that got its pools by direct transfer is not in the ownership record yet.
+        let in_zones = self.members.all().filter(|member| zone(&member.zone));
+        for member in in_zones.filter(|member| self.accepts_jobs(now, &member.peer)) {
             owners.entry(&member.peer).or_insert(member.report.pools);
         }
-        if self.places(now, &self.setup.me) {
+        if self.accepts_jobs(now, &self.setup.me) {
             let pools = self.pools.owned(&self.setup.me).count() as u32;
             owners.entry(&self.setup.me).or_insert(pools);
         }
         owners
     }
 
+    /// Draws two owners and returns the one with more spare capacity per pool; without
+    /// [`Mechanism::TwoChoices`], the one drawn first.
     fn better_of_two(
         &self,
         owners: &BTreeMap<&Peer, u32>,
@@ -105,13 +110,13 @@
     ) -> Option<Peer> {
         let choice = TwoChoices::draw(owners, serial);
         let two = self.setup.policy.has(Mechanism::TwoChoices);
-        let spare = |peer: &Peer| if two { self.spare(peer, service) } else { 0 };
+        let spare = |peer: &Peer| if two { self.spare_capacity(peer, service) } else { 0 };
         choice.less_loaded(spare).cloned()
     }
 
-    /// Returns the room that a placer has beyond what waits there and what was
-    /// sent there since it told; the least of all for one that is late with its own work.
-    fn spare(&self, peer: &Peer, service: &Name) -> i64 {
+    /// Returns the free capacity of an owner less its queue and what was sent there since its
+    /// last report; the minimum for an overloaded owner.
+    fn spare_capacity(&self, peer: &Peer, service: &Name) -> i64 {
         let (report, sent) = match self.members.get(peer) {
             Some(member) => (&member.report, member.sent_tasks),
             None => (&self.report.1, 0),
@@ -120,25 +125,27 @@
             return i64::MIN;
         }
         let figure = report.capacity.iter().find(|figure| figure.service == *service);
-        figure.map_or(0, |room| i64::from(room.free) - i64::from(room.waiting) - i64::from(sent))
+        figure.map_or(0, |it| i64::from(it.free) - i64::from(it.waiting) - i64::from(sent))
     }
 
+    /// Drops the job of a caller that disconnected or cancelled it, and cancels it at its
+    /// owner.
     pub(crate) fn cancel_call(&mut self, now: Time, call: CallId) {
         let Some(serial) = self.front.serial_of(call) else { return };
         let Some(open) = self.front.end(serial) else { return };
         self.out.push(FleetEffect::Count(Count::CallersLeft));
-        self.note_job(
+        self.log_job(
             "caller_left",
             &open.job,
             &[("zone", self.setup.zone.to_string()), ("ms", ms(now, open.job.arrived))],
         );
-        if let Some(to) = open.assigned_to {
-            self.deliver_job_msg(now, &to, JobMsg::Cancel { serial });
+        if let Some(owner) = open.assigned_to {
+            self.deliver_job_msg(now, &owner, JobMsg::Cancel { serial });
         }
         self.apply_output(now);
     }
 
-    /// Takes in a message about a job.
+    /// Handles a message about a job.
     pub(crate) fn handle_job_msg(&mut self, now: Time, from: &Peer, msg: JobMsg) {
         match msg {
             JobMsg::Submit { serial, job, .. } => {
@@ -154,7 +161,7 @@
             JobMsg::Cancel { serial } => self.scheduler.cancel(now, from, serial),
             JobMsg::Ended { serial, end } => {
                 if self.front.open.contains_key(&serial) {
-                    self.job_ended(now, serial, end);
+                    self.handle_job_end(now, serial, end);
                 } else {
                     self.scheduler.handle_forward_end(now, from, serial, end);
                 }
@@ -162,15 +169,16 @@
         }
     }
 
-    fn job_ended(&mut self, now: Time, serial: u64, end: JobEnd) {
+    fn handle_job_end(&mut self, now: Time, serial: u64, end: JobEnd) {
         if retryable(&end) {
-            let touched = !matches!(end, JobEnd::NotRun { .. });
-            self.front.unassign(now, serial, touched);
+            let may_have_run = !matches!(end, JobEnd::NotRun { .. });
+            self.front.unassign(now, serial, may_have_run);
             return;
         }
         self.answer(now, serial, end);
     }
 
+    /// Answers the caller of a job.
     fn answer(&mut self, now: Time, serial: u64, end: JobEnd) {
         let Some(open) = self.front.end(serial) else { return };
         let end = match end {
@@ -186,12 +194,12 @@
             ("zone", self.setup.zone.to_string()),
             ("ms", ms(now, open.job.arrived)),
         ];
-        self.note_job("job_answered", &open.job, &more);
-        self.measure_end(now, &open.job, end);
+        self.log_job("job_answered", &open.job, &more);
+        self.record_end(now, &open.job, end);
         self.out.push(FleetEffect::Answer { call: open.call, end });
     }
 
-    fn measure_end(&mut self, now: Time, job: &Job, end: JobEnd) {
+    fn record_end(&mut self, now: Time, job: &Job, end: JobEnd) {
         let (count, span) = match end {
             JobEnd::Done => (Count::JobsDone, Span::JobDone),
             JobEnd::Failed(_) => (Count::JobsFailed, Span::JobOther),
@@ -202,93 +210,96 @@
         self.out.extend([FleetEffect::Count(count), FleetEffect::Time(span, took)]);
     }
 
-    /// Places jobs anew whose placer is lost, once nothing of them can run there.
+    /// Assigns jobs again that wait for an owner or whose owner was lost, the latter once no
+    /// run of them can be in progress there.
     pub(crate) fn reassign_lost(&mut self, now: Time) {
         let serials: Vec<u64> = self.front.open.keys().copied().collect();
         for serial in serials {
             let Some(open) = self.front.open.get_mut(&serial) else { continue };
-            let member = open.assigned_to.as_ref().and_then(|to| self.members.get(to));
-            if let Some(heard) = member.and_then(|member| member.last_frame) {
-                open.last_contact = open.last_contact.max(heard);
+            let member = open.assigned_to.as_ref().and_then(|owner| self.members.get(owner));
+            if let Some(last_frame) = member.and_then(|member| member.last_frame) {
+                open.last_contact = open.last_contact.max(last_frame);
             }
-            let (contact, patience) = (open.last_contact, open.assign_deadline);
+            let (last_contact, assign_deadline) = (open.last_contact, open.assign_deadline);
             match open.assigned_to.clone() {
-                None if patience <= now => {
+                None if assign_deadline <= now => {
                     let retry = now.after_ms(RETRY_AFTER_MS);
                     self.answer(now, serial, JobEnd::NotRun { reason: Reason::NoPlacer, retry });
                 }
-                None => self.place(now, serial),
-                Some(to) if to != self.setup.me => self.replace(now, serial, &to, contact),
+                None => self.assign_job(now, serial),
+                Some(owner) if owner != self.setup.me => {
+                    self.reassign(now, serial, &owner, last_contact)
+                }
                 Some(_) => {}
             }
         }
         self.apply_output(now);
     }
 
-    /// Places a job anew whose placer has been silent for so long that
-    /// everything it did for this host has ended.
+    /// Assigns a job again if its owner has been unreachable for so long that no run of the
+    /// job can be in progress there.
     ///
-    /// The peer stops what it runs for us when our frames stop reaching it; a
-    /// peer that is frozen stops nothing, but the leases of its workers run out.
-    /// A host that has taken over all workers of the peer need not wait for
-    /// those: it stops everything there before it starts a job that was sent before.
-    fn replace(&mut self, now: Time, serial: u64, lost: &Peer, last: Time) {
-        let lease = self.setup.host_lease_ms + STOP_RESERVE_MS;
-        if last.after_ms(lease) > now {
+    /// An owner stops what it runs for this host when this host's frames no longer reach it.
+    /// A frozen owner stops nothing, but the leases of its workers expire. A successor that
+    /// has taken over all workers of the owner need not wait for these leases: it stops
+    /// everything there before it starts a job that was assigned before.
+    fn reassign(&mut self, now: Time, serial: u64, lost: &Peer, last_contact: Time) {
+        let lease = self.setup.host_lease_ms + STOP_MARGIN_MS;
+        if last_contact.after_ms(lease) > now {
             return;
         }
-        let lapsed = last.after_ms(lease + self.setup.worker_lease_ms) <= now;
+        let expired = last_contact.after_ms(lease + self.setup.worker_lease_ms) <= now;
         let successor =
-            self.pools.sole_successor(lost).filter(|heir| self.places(now, heir)).cloned();
+            self.pools.sole_successor(lost).filter(|host| self.accepts_jobs(now, host)).cloned();
         let Some(open) = self.front.open.get(&serial) else { return };
-        if successor.is_none() && !lapsed {
+        if successor.is_none() && !expired {
             return;
         }
         let job = open.job.clone();
         self.out.push(FleetEffect::Count(Count::PlacersLost));
-        self.note_job("placer_lost", &job, &[("placer", lost.to_string())]);
+        self.log_job("placer_lost", &job, &[("placer", lost.to_string())]);
         self.front.unassign(now, serial, true);
         match successor {
-            Some(successor) => self.place_at(now, serial, &successor),
-            None => self.place(now, serial),
+            Some(successor) => self.assign_to(now, serial, &successor),
+            None => self.assign_job(now, serial),
         }
     }
 
-    /// Answers callers whose deadline passes though their placer has not told.
+    /// Answers callers whose deadline has passed without a result from the owner.
     pub(crate) fn expire_deadlines(&mut self, now: Time) {
-        let over = |(serial, open): (&u64, &crate::fleet::front::OpenJob)| {
+        let past_deadline = |(serial, open): (&u64, &crate::fleet::front::OpenJob)| {
             (open.job.deadline <= now).then_some(*serial)
         };
-        let serials: Vec<u64> = self.front.open.iter().filter_map(over).collect();
+        let serials: Vec<u64> = self.front.open.iter().filter_map(past_deadline).collect();
         for serial in serials {
-            let to = self.front.open.get(&serial).and_then(|open| open.assigned_to.clone());
+            let owner = self.front.open.get(&serial).and_then(|open| open.assigned_to.clone());
             let retry = now.after_ms(RETRY_AFTER_MS);
-            let end = match &to {
+            let end = match &owner {
                 None => JobEnd::NotRun { reason: Reason::NoPlacer, retry },
                 Some(_) => JobEnd::Lost(Reason::Deadline),
             };
             self.answer(now, serial, end);
-            if let Some(to) = to {
-                self.deliver_job_msg(now, &to, JobMsg::Cancel { serial });
+            if let Some(owner) = owner {
+                self.deliver_job_msg(now, &owner, JobMsg::Cancel { serial });
             }
         }
         self.apply_output(now);
     }
 
-    fn note_sent(&mut self, job: &Arc<Job>, to: &Peer, serial: u64) {
+    fn log_sent(&mut self, job: &Arc<Job>, owner: &Peer, serial: u64) {
         let version = self.route_table.as_ref().map_or(0, |table| table.version);
         let more = [
             ("request", job.request.to_string()),
             ("route", job.route.to_string()),
             ("version", version.to_string()),
-            ("placer", to.to_string()),
+            ("placer", owner.to_string()),
             ("tasks", job.tasks().to_string()),
             ("serial", serial.to_string()),
         ];
-        self.note_job("job_sent", job, &more);
+        self.log_job("job_sent", job, &more);
     }
 
-    fn note_job(&mut self, event: &'static str, job: &Job, more: &[(&'static str, String)]) {
+    fn log_job(&mut self, event: &'static str, job: &Job, more: &[(&'static str, String)]) {
         let id = Some(job.id.clone());
         let note = Note { level: Level::Info, event, id, pairs: more.to_vec() };
         self.out.push(FleetEffect::Log(note));
--- a/endivestile_kernel/src/fleet/core.rs
+++ b/endivestile_kernel/src/fleet/core.rs
@@ -1,4 +1,4 @@
-//! All decisions of one host that serves jobs: takes events in, gives effects out.
+//! The state machine of one host that serves jobs: consumes events, emits effects.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,101 +25,102 @@
 use crate::fleet::workers::run::RunId;
 use crate::{CallId, Frame, Level, Note, Peer, StoreOp, Stored, Time};
 
-/// Time between two looks at everything that is due, in milliseconds, while
-/// there is work.
+/// Time between two ticks while there are jobs, in milliseconds.
 const TICK_MS: u64 = 15;
-/// The same while there is none.
-const REST_MS: u64 = 60;
+/// Time between two ticks while there are no jobs, in milliseconds.
+const IDLE_TICK_MS: u64 = 60;
 
-/// Age up to which a peer's word on waiting jobs counts, in milliseconds.
-const PENDING_MS: u64 = 2_000;
+/// Age up to which a peer's report of pending jobs is counted, in milliseconds.
+const PENDING_MAX_AGE_MS: u64 = 2_000;
 
-/// Age up to which the list of workers is fresh enough to start tasks by, in milliseconds:
-/// a worker may have said since that it is leaving.
-const FRESH_LIST_MS: u64 = 300;
-/// Longest wait of a host that comes to own workers for a fresh list of them, in
-/// milliseconds: the store may be lost meanwhile.
+/// Age up to which the list of workers may be used to start tasks, in milliseconds: a
+/// worker may have announced since then that it is leaving.
+const LIST_MAX_AGE_MS: u64 = 300;
+/// Longest wait of a new owner for a fresh list of workers, in milliseconds; bounded
+/// because the store may become unreachable meanwhile.
 const LIST_WAIT_MS: u64 = 1_000;
 
-/// What a fleet is told once.
+/// Settings that a fleet is created with.
 #[derive(Debug, Clone)]
 pub struct FleetSetup {
-    /// This incarnation.
+    /// This incarnation of the host.
     pub me: Peer,
     /// Availability zone of this host.
     pub zone: Name,
-    /// Processor time that it may use, in thousandths of a core; 0 when that is
-    /// not known. Hosts with more of it own workers first.
+    /// Processor time that the host may use, in thousandths of a core; 0 if unknown.
+    /// Hosts with more of it own workers first.
     pub cpu_milli: u32,
-    /// Bandwidth of its link, in kilobits a second; 0 when that is not known.
+    /// Bandwidth of the host's network link, in kilobits per second; 0 if unknown.
     pub link_kbps: u32,
-    /// How many times longer a task takes away from its data, in thousandths.
+    /// Factor by which a task's run time grows on a worker without its data, in
+    /// thousandths.
     pub remote_factor_milli: u32,
-    /// Address of this host's links, `IP:port`.
+    /// Address at which this host accepts links from its peers, `IP:port`.
     pub address: Name,
-    /// Lease of a worker's runs, in milliseconds.
+    /// Duration of a worker's lease, in milliseconds; its runs stop when it expires.
     pub worker_lease_ms: u64,
-    /// Lease of another host's tasks, in milliseconds. Together with that of
-    /// the workers it has to stay below the time after which a caller without
-    /// an answer sends its job again.
+    /// Lease of another host's jobs, in milliseconds: they are cancelled here if that host
+    /// has echoed no frame that was sent within this time. Together with the workers' lease
+    /// it has to stay below the time after which a caller without an answer resubmits its
+    /// job.
     pub host_lease_ms: u64,
-    /// Policies in force.
+    /// Active scheduling mechanisms.
     pub policy: Policy,
 }
 
 impl FleetSetup {
-    /// Returns how many workers this host can drive.
+    /// Returns how many workers this host has the capacity to own.
     pub(crate) fn capacity(&self) -> u32 {
         host_capacity(self.cpu_milli, self.link_kbps)
     }
 }
 
-/// Everything that the edges tell the fleet.
+/// An input to the fleet from the network, the store, the workers or the operator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetEvent {
-    /// A caller hands in a job.
+    /// A caller submits a job.
     Call {
         /// The open call.
         call: CallId,
         /// The job.
         job: Job,
     },
-    /// A caller went away, or cancelled its job.
+    /// The caller of a job disconnected or cancelled it.
     Cancel(CallId),
-    /// The operator's routes changed.
+    /// The operator's configuration was read or changed.
     Routes(Arc<RouteTable>),
-    /// Operators ask for a zone to be evacuated, or no longer do.
+    /// The evacuation of a zone was requested or cancelled by an operator.
     Evacuation(EvacuationState),
-    /// Everything that operators had written at this revision of the store has been told.
+    /// All evacuations that the store held at this revision have been delivered.
     EvacuationsRead(u64),
-    /// All workers as the store lists them.
+    /// All workers that are registered.
     Workers(Vec<WorkerEntry>),
-    /// A host's registration, none when it ended.
+    /// A host's registration changed or ended.
     Host {
         /// Name of the host.
         name: Name,
-        /// The registration.
+        /// The registration; `None` if it ended.
         entry: Option<HostEntry>,
     },
-    /// A pool's record.
+    /// The ownership record of a pool was read or changed.
     Record {
-        /// The pool, as its key names it.
+        /// Name of the pool, from the record's key.
         pool: Name,
-        /// Revision of the record.
+        /// Revision of the store at which the record changed.
         revision: u64,
-        /// Value; empty when it was deleted.
+        /// Encoded record; empty if it was deleted.
         value: Bytes,
     },
-    /// The store answers again, or does not.
+    /// The store became reachable or unreachable.
     StoreAvailable(bool),
-    /// A change of a record ended.
+    /// A [`FleetEffect::StoreCall`] ended.
     StoreCallEnded {
         /// Number of the call.
         op_id: u64,
-        /// How.
+        /// Its outcome.
         result: Stored,
     },
-    /// An order to start ended.
+    /// A start call to a worker ended.
     StartEnded {
         /// Worker.
         worker: Name,
@@ -127,10 +128,10 @@
         task: Name,
         /// Number of the run.
         run: u32,
-        /// How.
+        /// Its outcome.
         end: StartResult,
     },
-    /// An order to stop ended.
+    /// A stop call to a worker ended.
     StopEnded {
         /// Worker.
         worker: Name,
@@ -138,27 +139,27 @@
         task: Name,
         /// Number of the run.
         run: u32,
-        /// The worker's clock in milliseconds, or the fault.
+        /// The worker's clock when the run had stopped, in milliseconds, or the error.
         end: Result<u64, CallError>,
     },
-    /// A hold ended.
+    /// A lease renewal ended.
     RenewalEnded {
         /// Worker.
         worker: Name,
-        /// Number of the hold.
+        /// Number of the renewal.
         number: u64,
-        /// What the worker said.
+        /// The worker's answer, or the error.
         end: Result<RenewReply, CallError>,
     },
-    /// A frame arrived.
+    /// A frame from a peer arrived.
     Frame(Box<Frame>),
-    /// The link to a peer broke or could not be made.
+    /// The link to a peer broke or could not be established.
     LinkDown(Peer),
-    /// The process was told to stop gracefully.
+    /// A graceful stop was requested.
     Shutdown,
 }
 
-/// Everything that the fleet tells the edges.
+/// An output of the fleet, carried out by its surroundings.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetEffect {
     /// Answer a caller.
@@ -175,86 +176,95 @@
         /// The frame.
         frame: Frame,
     },
-    /// Make the link to an address anew: it seems to carry nothing.
+    /// Replace the link to an address, which no longer delivers frames.
     Reconnect(Name),
     /// Call a worker.
     WorkerCall(WorkerCall),
-    /// Call the store.
+    /// Call the store; answered with [`FleetEvent::StoreCallEnded`].
     StoreCall {
         /// Number of the call.
         op_id: u64,
-        /// The call.
+        /// The operation.
         op: StoreOp,
     },
-    /// Register this host anew, as leaving.
+    /// Update this host's registration to say that it is leaving.
     RegisterLeaving,
     /// Write a log line.
     Log(Note),
-    /// Count an event.
+    /// Increment a counter.
     Count(Count),
-    /// Note how long something took, in microseconds.
+    /// Record a duration in microseconds.
     Time(Span, u64),
-    /// Show another value of a gauge.
+    /// Set a gauge.
     Gauge(Gauge, u64),
-    /// Everything is drained: the process may end.
+    /// Nothing is left to do: the process may exit.
     Drained,
 }
 
-/// What a host needs the list of workers for, the least urgent need first.
+/// A host's part in the ownership of its zone's workers; a greater one needs a fresh list
+/// of workers more urgently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PoolRole {
-    /// Others own the workers of its zone.
+    /// Other hosts own the workers of its zone.
     Observer,
-    /// Nobody owns workers of its zone: it may claim them.
+    /// The workers of its zone have no owner: it may claim them.
     Candidate,
-    /// It owns workers, and starts nothing on those that are leaving.
+    /// It owns workers, and must not start tasks on those that are leaving.
     Owner,
 }
 
-/// All decisions of one host.
+/// The state of one host that serves jobs.
 #[derive(Debug)]
 pub struct Fleet {
     pub(crate) setup: FleetSetup,
     pub(crate) route_table: Option<Arc<RouteTable>>,
     pub(crate) evacuations: Evacuations,
     pub(crate) members: Membership,
+    /// Message queues to and from each peer.
     pub(crate) channels: BTreeMap<Peer, Channel>,
     pub(crate) pools: Pools,
-    /// All workers, each with its pool.
+    /// All registered workers, each with its pool.
     pub(crate) workers: Vec<(WorkerEntry, Name)>,
-    /// When the list of them came.
+    /// When the list of workers was received.
     pub(crate) listed_at: Time,
-    /// Until when nothing is started for want of a fresh list.
-    list_due: Option<Time>,
-    /// Pools that have a worker, in order.
+    /// Until when no task is started because the list of workers is out of date.
+    list_wait_end: Option<Time>,
+    /// Pools that have a worker, sorted.
     pub(crate) pool_names: Arc<[Name]>,
-    /// When the pools' owners are looked at again.
+    /// Next check for pools without a live owner.
     pub(crate) claim_due: Time,
-    /// When the hosts of other zones that are kept in touch are chosen again.
+    /// Next choice of the hosts in other zones to which heartbeats are kept up.
     pub(crate) standby_due: Time,
-    /// When the zone's pools are looked at for a transfer again.
+    /// Next check whether a pool of the zone should be transferred.
     pub(crate) balance_due: Time,
-    /// The planned transfer that is under way.
+    /// The ownership transfer in progress.
     pub(crate) transfer: Option<Transfer>,
     pub(crate) front: Front,
     pub(crate) scheduler: Scheduler,
+    /// Latest probe of each worker, by worker id.
     pub(crate) probes: BTreeMap<Name, Probe>,
+    /// Fronts whose jobs were cancelled because frames no longer reach them.
     pub(crate) lost_fronts: BTreeSet<Peer>,
-    /// Incarnations that have ended, and when that was noticed.
+    /// Incarnations that have ended, each with the time at which that was detected.
     pub(crate) ended: BTreeMap<Peer, Time>,
+    /// The report sent to peers, and when it has to be recomputed.
     pub(crate) report: (Time, Arc<HostReport>),
-    /// Since when the store answers.
+    /// Since when the store has been reachable; `None` while it is not.
     pub(crate) store_since: Option<Time>,
-    /// Hosts that were given pools by word, and until when it matters that they hear.
+    /// Hosts that received pools by direct transfer, each with the time until which this
+    /// host waits for the grant to be delivered.
     pub(crate) grants: BTreeMap<Peer, Time>,
+    /// Whether a graceful stop was requested.
     pub(crate) leaving: bool,
+    /// Whether [`FleetEffect::Drained`] was emitted.
     pub(crate) drained: bool,
-    pub(crate) due: Time,
+    /// When the next tick is due.
+    pub(crate) next_tick: Time,
     pub(crate) out: Vec<FleetEffect>,
 }
 
 impl Fleet {
-    /// Starts without a configuration and without workers.
+    /// Creates a fleet without configuration and workers.
     pub fn new(setup: FleetSetup) -> Self {
         Self {
             route_table: None,
@@ -264,7 +274,7 @@
             pools: Pools::default(),
             workers: Vec::new(),
             listed_at: Time::ZERO,
-            list_due: None,
+            list_wait_end: None,
             pool_names: Arc::from([]),
             claim_due: Time::ZERO,
             standby_due: Time::ZERO,
@@ -280,18 +290,18 @@
             grants: BTreeMap::new(),
             leaving: false,
             drained: false,
-            due: Time::ZERO,
+            next_tick: Time::ZERO,
             out: Vec::new(),
             setup,
         }
     }
 
-    /// Takes one event in. Frames wait for [`Self::flush`].
+    /// Processes one event. Frames are not sent before [`Self::flush`].
     pub fn handle(&mut self, now: Time, event: FleetEvent) {
         match event {
             FleetEvent::Call { call, job } => self.submit_call(now, call, job),
             FleetEvent::Cancel(call) => self.cancel_call(now, call),
-            FleetEvent::Routes(table) => self.adopt(table),
+            FleetEvent::Routes(table) => self.adopt_config(table),
             FleetEvent::Evacuation(state) => self.set_evacuation(now, &state, Source::Store),
             FleetEvent::EvacuationsRead(revision) => self.handle_evacuations_read(now, revision),
             FleetEvent::Workers(workers) => self.apply_worker_list(now, workers),
@@ -299,9 +309,9 @@
             FleetEvent::Record { pool, revision, value } => {
                 self.apply_record(now, &pool, revision, &value);
             }
-            FleetEvent::StoreAvailable(up) => self.store(now, up),
-            FleetEvent::StoreCallEnded { op_id: token, result: stored } => {
-                self.apply_swap_result(now, token, &stored)
+            FleetEvent::StoreAvailable(up) => self.set_store_available(now, up),
+            FleetEvent::StoreCallEnded { op_id, result } => {
+                self.apply_swap_result(now, op_id, &result)
             }
             FleetEvent::StartEnded { worker, task, run, end } => {
                 self.scheduler.handle_start(now, &worker, &RunId { task, run }, end);
@@ -322,10 +332,10 @@
         }
     }
 
-    /// Ends a batch of events, or is called when the deadline has passed: does
-    /// what is due, places what can be placed, and sends frames.
+    /// Ends a batch of events: runs a tick if one is due, starts tasks, sends frames and
+    /// moves all effects to `out`. Also called when [`Self::deadline`] has passed.
     pub fn flush(&mut self, now: Time, out: &mut Vec<FleetEffect>) {
-        if self.due <= now {
+        if self.next_tick <= now {
             self.tick(now);
         }
         if self.may_start(now) {
@@ -336,38 +346,38 @@
         out.append(&mut self.out);
     }
 
-    /// Returns whether enough is known to start tasks: the operators' configuration and
-    /// evacuations, which are read together, and which workers are leaving.
+    /// Returns whether tasks may be started: the operators' configuration and evacuations,
+    /// which are read together, are loaded and the list of workers is up to date.
     fn may_start(&mut self, now: Time) -> bool {
-        self.list_due = self.list_due.filter(|due| *due > now);
-        self.route_table.is_some() && self.list_due.is_none()
+        self.list_wait_end = self.list_wait_end.filter(|until| *until > now);
+        self.route_table.is_some() && self.list_wait_end.is_none()
     }
 
-    /// Notes that this host has come to own workers: it reads their list anew, unless the
-    /// store is away.
+    /// Holds back new tasks until the list of workers has been read again, unless it is
+    /// fresh or the store is unreachable. Called when this host has become an owner.
     pub(crate) fn await_worker_list(&mut self, now: Time) {
-        if self.store_since.is_some() && self.listed_at.after_ms(FRESH_LIST_MS) <= now {
-            self.list_due = Some(now.after_ms(LIST_WAIT_MS));
+        if self.store_since.is_some() && self.listed_at.after_ms(LIST_MAX_AGE_MS) <= now {
+            self.list_wait_end = Some(now.after_ms(LIST_WAIT_MS));
         }
     }
 
-    /// Notes that the list of workers has come.
+    /// Records that an up-to-date list of workers was received.
     pub(crate) fn worker_list_received(&mut self, now: Time) {
         self.listed_at = now;
-        self.list_due = None;
+        self.list_wait_end = None;
     }
 
-    /// Returns when the fleet wants [`Self::flush`] without an event.
+    /// Returns when [`Self::flush`] has to be called if no event arrives before.
     pub fn deadline(&self) -> Time {
         let channels = self.channels.values().filter_map(Channel::deadline).min();
-        channels.map_or(self.due, |due| due.min(self.due))
+        channels.map_or(self.next_tick, |at| at.min(self.next_tick))
     }
 
-    /// Puts other leases in force, in milliseconds, for orders from now on.
-    pub fn set_leases(&mut self, worker: u64, host: u64) {
-        self.setup.worker_lease_ms = worker;
-        self.setup.host_lease_ms = host;
-        self.scheduler.set_worker_lease(worker);
+    /// Changes the duration of leases, in milliseconds, for calls made from now on.
+    pub fn set_leases(&mut self, worker_ms: u64, host_ms: u64) {
+        self.setup.worker_lease_ms = worker_ms;
+        self.setup.host_lease_ms = host_ms;
+        self.scheduler.set_worker_lease(worker_ms);
     }
 
     /// Returns whether this host owns workers.
@@ -375,7 +385,7 @@
         self.scheduler.owns_workers()
     }
 
-    /// Returns what this host needs the list of workers for.
+    /// Returns this host's part in the ownership of its zone's workers.
     pub fn pool_role(&self) -> PoolRole {
         if self.scheduler.owns_workers() {
             PoolRole::Owner
@@ -386,34 +396,34 @@
         }
     }
 
-    /// Returns the routes in force.
+    /// Returns the current configuration.
     pub fn route_table(&self) -> Option<&Arc<RouteTable>> {
         self.route_table.as_ref()
     }
 
-    /// Returns the open call that an id's job was handed in by.
+    /// Returns the open call whose job has this id.
     pub fn find(&self, id: &str) -> Option<CallId> {
         self.front.find(id)
     }
 
-    /// Returns how many jobs this host has open for callers.
+    /// Returns how many jobs callers of this host wait for.
     pub fn open_calls(&self) -> usize {
         self.front.open.len()
     }
 
-    /// Returns how many accepted jobs of a route wait with no task started, by
-    /// this host's own count and its peers' latest reports.
+    /// Returns how many accepted jobs of a route have no task started, from this host's
+    /// own count and its peers' latest reports.
     pub fn pending(&self, now: Time, route: &str) -> u32 {
         let own = self.scheduler.pending().get(route).copied().unwrap_or(0);
-        let told = |report: &HostReport| {
+        let reported = |report: &HostReport| {
             let row = report.pending.iter().find(|(name, _)| &**name == route);
             row.map_or(0, |(_, count)| *count)
         };
-        let fresh = self.members.all().filter(|member| member.is_alive(now, PENDING_MS));
-        own + fresh.map(|member| told(&member.report)).sum::<u32>()
+        let fresh = self.members.all().filter(|member| member.is_alive(now, PENDING_MAX_AGE_MS));
+        own + fresh.map(|member| reported(&member.report)).sum::<u32>()
     }
 
-    /// Carries out what the scheduler wants until nothing is left.
+    /// Carries out the scheduler's outputs until none is left.
     pub(crate) fn apply_output(&mut self, now: Time) {
         while !self.scheduler.out.is_empty() {
             for out in std::mem::take(&mut self.scheduler.out) {
@@ -428,7 +438,7 @@
         }
     }
 
-    /// Sends a message about a job; to this host itself it goes at once.
+    /// Sends a message about a job; one to this host is handled at once.
     pub(crate) fn deliver_job_msg(&mut self, now: Time, peer: &Peer, msg: JobMsg) {
         if *peer == self.setup.me {
             self.handle_job_msg(now, &peer.clone(), msg);
@@ -437,8 +447,8 @@
         }
     }
 
-    fn adopt(&mut self, table: Arc<RouteTable>) {
-        // A read that lagged may bring an earlier version after a later one.
+    fn adopt_config(&mut self, table: Arc<RouteTable>) {
+        // A delayed read may deliver an earlier version after a later one.
         if self.route_table.as_ref().is_some_and(|own| own.version >= table.version) {
             return;
         }
@@ -450,7 +460,7 @@
         self.route_table = Some(table);
     }
 
-    fn store(&mut self, now: Time, up: bool) {
+    fn set_store_available(&mut self, now: Time, up: bool) {
         if self.store_since.is_some() != up {
             self.store_since = up.then_some(now);
             for pool in self.pools.by_name.values_mut() {
@@ -472,11 +482,11 @@
         self.check_drained(now);
         self.report_evacuations();
         let busy = !self.front.open.is_empty() || !self.scheduler.jobs.is_empty();
-        let pause = if busy { TICK_MS } else { REST_MS };
-        self.due = now.after_ms(pause);
+        let pause = if busy { TICK_MS } else { IDLE_TICK_MS };
+        self.next_tick = now.after_ms(pause);
     }
 
-    /// Writes a line that concerns no job.
+    /// Writes a log line that concerns no job.
     pub(crate) fn log(
         &mut self,
         level: Level,
--- a/endivestile_kernel/src/fleet/evacuation.rs
+++ b/endivestile_kernel/src/fleet/evacuation.rs
@@ -1,11 +1,11 @@
-//! Evacuation of availability zones: nothing new is started on the workers of a zone
-//! for as long as operators ask for it, while what runs there goes on.
+//! Evacuation of availability zones: while operators request it, no task is started on the
+//! workers of a zone; tasks that already run there continue.
 //!
-//! Each state carries the store's revision of its change, and hosts pass the states
-//! that they know to each other. The highest revision wins, so that a host that cannot
-//! reach the store learns of a change from its peers, and none returns to an older one.
-//! What a peer knows from before this host's own reading of the store counts for nothing:
-//! the zone may have been taken back, and nobody who saw that may be left to tell.
+//! Each state carries the store's revision of its change, and hosts exchange their states
+//! in reports. The highest revision wins, so a host that cannot reach the store gets
+//! changes from its peers, and no host reverts to an older state. A peer's state that is
+//! not newer than this host's own read of the store is ignored: the evacuation may have
+//! ended since, and no host that saw its end may be left to report it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,20 +20,20 @@
 /// Whether a zone is being evacuated, as of a revision of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationState {
-    /// Availability zone.
+    /// The zone.
     pub zone: Name,
-    /// Revision of the store at which this held.
+    /// Revision of the store at which this state was current.
     pub revision: u64,
-    /// Whether nothing may be started on its workers.
+    /// Whether starting tasks on the zone's workers is forbidden.
     pub evacuated: bool,
 }
 
-/// How a change became known.
+/// Where a state was received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The store told of it.
+    /// The store.
     Store,
-    /// Another host passed it on.
+    /// The report of another host.
     Peer,
 }
 
@@ -46,23 +46,23 @@
     }
 }
 
-/// The latest known states of zones that were ever evacuated.
+/// The latest states of all zones that are or were evacuated.
 #[derive(Debug, Default)]
 pub(crate) struct Evacuations {
     zones: BTreeMap<Name, EvacuationState>,
-    /// Zones of which the store told this host that they are evacuated.
+    /// Zones that are evacuated according to this host's own reads of the store.
     stored: BTreeSet<Name>,
     /// Revision up to which this host has read the store itself.
-    read: u64,
-    /// Zones and runs of the gauges that were told last.
-    told: (u64, u64),
+    read_revision: u64,
+    /// Last reported gauges: evacuated zones, and runs in them.
+    reported_gauges: (u64, u64),
 }
 
 impl Evacuations {
-    /// Takes a state in unless a later one is known; returns whether the zone's state changed.
+    /// Merges a state unless a later one is known; returns whether the zone's state changed.
     pub(crate) fn merge(&mut self, state: &EvacuationState, source: Source) -> bool {
         match source {
-            Source::Peer if state.revision <= self.read => return false,
+            Source::Peer if state.revision <= self.read_revision => return false,
             Source::Store if state.evacuated => {
                 self.stored.insert(state.zone.clone());
             }
@@ -80,10 +80,10 @@
         before != state.evacuated
     }
 
-    /// Notes that the store has been read up to a revision; returns the states of zones that
-    /// are believed to be evacuated, by a peer's word, and are not.
-    pub(crate) fn read(&mut self, revision: u64) -> Vec<EvacuationState> {
-        self.read = self.read.max(revision);
+    /// Records that the store has been read up to a revision. Returns end states for the
+    /// evacuations that peers had reported and that the store does not have.
+    pub(crate) fn mark_read(&mut self, revision: u64) -> Vec<EvacuationState> {
+        self.read_revision = self.read_revision.max(revision);
         let outdated = self.zones.values().filter(|state| {
             state.evacuated && state.revision < revision && !self.stored.contains(&state.zone)
         });
@@ -95,24 +95,24 @@
         outdated.map(ended).collect()
     }
 
-    /// Returns whether nothing may be started in a zone.
+    /// Returns whether a zone is evacuated.
     pub(crate) fn contains(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(|state| state.evacuated)
     }
 
-    /// Returns the zones in which nothing may be started.
+    /// Returns the evacuated zones.
     pub(crate) fn active(&self) -> impl Iterator<Item = &Name> {
         self.zones.values().filter(|state| state.evacuated).map(|state| &state.zone)
     }
 
-    /// Returns all states, for other hosts.
+    /// Returns all states, for reports to other hosts.
     pub(crate) fn states(&self) -> Vec<EvacuationState> {
         self.zones.values().cloned().collect()
     }
 }
 
 impl Fleet {
-    /// Takes the state of a zone in, and puts a change in force.
+    /// Merges the state of a zone and applies a change of it.
     pub(crate) fn set_evacuation(&mut self, now: Time, state: &EvacuationState, source: Source) {
         if !self.evacuations.merge(state, source) {
             return;
@@ -125,47 +125,46 @@
             ("runs", self.scheduler.runs_in_zone(&state.zone).to_string()),
         ];
         self.log(Level::Info, event, pairs);
-        if state.evacuated && !self.knows_zone(&state.zone) {
+        if state.evacuated && !self.is_known_zone(&state.zone) {
             let pairs = vec![("zone", state.zone.to_string())];
             self.log(Level::Warn, "evacuation_zone_unknown", pairs);
         }
         self.scheduler.set_evacuated(now, self.evacuations.active().cloned().collect());
-        // Peers must not send tasks here by a report from before.
+        // Recomputes the report, so that peers send no tasks here for the old one.
         self.report.0 = Time::ZERO;
         self.standby_due = now;
         self.apply_output(now);
     }
 
-    /// Takes in that the store has been read up to a revision.
+    /// Handles the end of a read of all evacuations at a revision of the store.
     pub(crate) fn handle_evacuations_read(&mut self, now: Time, revision: u64) {
-        for state in self.evacuations.read(revision) {
+        for state in self.evacuations.mark_read(revision) {
             self.set_evacuation(now, &state, Source::Store);
         }
     }
 
-    /// Returns whether a worker or a host is known to stand in a zone; while no worker is
-    /// known at all, any zone may exist.
-    fn knows_zone(&self, zone: &str) -> bool {
+    /// Returns whether a zone has a known worker or host, or no worker is known yet at all.
+    fn is_known_zone(&self, zone: &str) -> bool {
         self.workers.is_empty()
             || *self.setup.zone == *zone
             || self.workers.iter().any(|(entry, _)| *entry.zone == *zone)
             || self.members.all().any(|member| *member.zone == *zone)
     }
 
-    /// Returns whether there are workers, and all of them stand in evacuated zones.
+    /// Returns whether there are workers and all of them are in evacuated zones.
     pub(crate) fn all_evacuated(&self) -> bool {
         let mut pools = self.pool_names.iter();
         !self.pool_names.is_empty() && pools.all(|pool| self.evacuations.contains(zone_of(pool)))
     }
 
-    /// Tells how far evacuations have come: what still runs, and once of each zone that
-    /// nothing runs any more on the workers there that this host owns.
+    /// Reports the progress of evacuations: gauges of what still runs, and one log line for
+    /// each zone once no run is left on this host's workers there.
     pub(crate) fn report_evacuations(&mut self) {
         let zones = self.evacuations.active().count() as u64;
         let runs = self.evacuations.active().map(|zone| self.scheduler.runs_in_zone(zone));
         let gauges = (zones, runs.sum::<usize>() as u64);
-        if self.evacuations.told != gauges {
-            self.evacuations.told = gauges;
+        if self.evacuations.reported_gauges != gauges {
+            self.evacuations.reported_gauges = gauges;
             self.out.push(FleetEffect::Gauge(Gauge::ZonesEvacuated, gauges.0));
             self.out.push(FleetEffect::Gauge(Gauge::RunsEvacuated, gauges.1));
         }
--- a/endivestile_kernel/src/fleet/front.rs
+++ b/endivestile_kernel/src/fleet/front.rs
@@ -1,4 +1,4 @@
-//! Callers' jobs at the host that took them.
+//! The front's state: jobs that callers of this host wait for.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -6,47 +6,47 @@
 use crate::fleet::job::{Job, JobEnd, Reason};
 use crate::{CallId, Peer, Time};
 
-/// Longest time for which a job waits for a host that could place it, in
-/// milliseconds: the owner of a zone's workers is replaced within it.
-const PLACER_WAIT_MS: u64 = 1_200;
-/// How far runs are numbered above those of an earlier try elsewhere: more
-/// than one placer ever needs for a task.
-const BASE_STEP: u32 = 1_000;
+/// Longest wait of a job for a reachable owner, in milliseconds; enough for a successor to
+/// take over the workers of a zone.
+const OWNER_WAIT_MS: u64 = 1_200;
+/// Distance between the run numbers that consecutive owners of a job start from; more than
+/// one owner needs for a task.
+const RUN_BASE_STEP: u32 = 1_000;
 
-/// A caller's job.
+/// A job whose caller waits for the answer.
 #[derive(Debug)]
 pub(crate) struct OpenJob {
     /// The job.
     pub(crate) job: Arc<Job>,
-    /// The caller's call.
+    /// The open call.
     pub(crate) call: CallId,
-    /// The placer that has it, if any.
+    /// The owner that has the job; `None` while it waits for one.
     pub(crate) assigned_to: Option<Peer>,
-    /// When it was sent there, or the placer was last heard since.
+    /// When the job was sent to its owner, or the owner's last frame since.
     pub(crate) last_contact: Time,
-    /// Placers that have had it.
+    /// Number of times that the job was sent to an owner.
     pub(crate) tries: u32,
-    /// Until when it may wait for a placer.
+    /// Until when the job may wait for an owner.
     pub(crate) assign_deadline: Time,
-    /// Whether tasks of it may have been started by a placer that was lost: to
-    /// say that it has not run would be a guess from then on.
+    /// Whether a former owner may have started tasks of the job, in which case the caller
+    /// must not be told that the job has not run.
     pub(crate) may_have_run: bool,
 }
 
-/// All open jobs, by this host's number.
+/// All open jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Front {
-    /// Jobs.
+    /// Open jobs by this host's serial number.
     pub(crate) open: BTreeMap<u64, OpenJob>,
     calls: HashMap<CallId, u64>,
     serial: u64,
 }
 
 impl Front {
-    /// Takes a job in; returns its number.
+    /// Adds a job; returns its serial number.
     pub(crate) fn add(&mut self, now: Time, call: CallId, job: Job) -> u64 {
         self.serial += 1;
-        let patience = now.after_ms(PLACER_WAIT_MS);
+        let assign_deadline = now.after_ms(OWNER_WAIT_MS);
         let job = Arc::new(job);
         let open = OpenJob {
             job,
@@ -54,7 +54,7 @@
             assigned_to: None,
             last_contact: now,
             tries: 0,
-            assign_deadline: patience,
+            assign_deadline,
             may_have_run: false,
         };
         self.open.insert(self.serial, open);
@@ -62,17 +62,22 @@
         self.serial
     }
 
-    /// Notes that a job goes to a placer; returns what to send, under a new number.
+    /// Assigns a job to an owner; returns the job with a new serial number.
     ///
-    /// A new number, so that a late word from an earlier placer is not taken
-    /// for the later one's.
-    pub(crate) fn assign(&mut self, now: Time, serial: u64, to: &Peer) -> Option<(u64, Arc<Job>)> {
+    /// The number changes so that a delayed message from an earlier owner is not mistaken
+    /// for one from the new owner.
+    pub(crate) fn assign(
+        &mut self,
+        now: Time,
+        serial: u64,
+        owner: &Peer,
+    ) -> Option<(u64, Arc<Job>)> {
         let mut open = self.open.remove(&serial)?;
         if open.tries > 0 {
-            Arc::make_mut(&mut open.job).run_base += BASE_STEP;
+            Arc::make_mut(&mut open.job).run_base += RUN_BASE_STEP;
         }
         open.tries += 1;
-        open.assigned_to = Some(to.clone());
+        open.assigned_to = Some(owner.clone());
         open.last_contact = now;
         self.serial += 1;
         let job = open.job.clone();
@@ -81,35 +86,36 @@
         Some((self.serial, job))
     }
 
-    /// Notes that a job's placer is lost or gave it back; `touched` unless that
-    /// placer has told that it started nothing.
-    pub(crate) fn unassign(&mut self, now: Time, serial: u64, touched: bool) {
+    /// Records that a job's owner was lost or returned the job; `may_have_run` is false only
+    /// if the owner reported that it started nothing.
+    pub(crate) fn unassign(&mut self, now: Time, serial: u64, may_have_run: bool) {
         if let Some(open) = self.open.get_mut(&serial) {
             open.assigned_to = None;
-            open.may_have_run |= touched;
-            open.assign_deadline = now.after_ms(PLACER_WAIT_MS);
+            open.may_have_run |= may_have_run;
+            open.assign_deadline = now.after_ms(OWNER_WAIT_MS);
         }
     }
 
-    /// Ends a job; returns it.
+    /// Removes a job that has ended and returns it.
     pub(crate) fn end(&mut self, serial: u64) -> Option<OpenJob> {
         let open = self.open.remove(&serial)?;
         self.calls.remove(&open.call);
         Some(open)
     }
 
-    /// Returns the number of a call's job.
+    /// Returns the serial number of a call's job.
     pub(crate) fn serial_of(&self, call: CallId) -> Option<u64> {
         self.calls.get(&call).copied()
     }
 
-    /// Returns whether an id is being worked on for a caller here.
+    /// Returns the open call whose job has this id.
     pub(crate) fn find(&self, id: &str) -> Option<CallId> {
         self.open.values().find(|open| &*open.job.id == id).map(|open| open.call)
     }
 }
 
-/// Returns whether a job that ended so may be placed anew: nothing of it runs.
+/// Returns whether a job with this result can be assigned again: its owner was the cause,
+/// and no run of it is in progress.
 pub(crate) fn retryable(end: &JobEnd) -> bool {
     matches!(end.reason(), Some(Reason::NoPlacer | Reason::PlacerLost))
 }
--- a/endivestile_kernel/src/fleet/job.rs
+++ b/endivestile_kernel/src/fleet/job.rs
@@ -1,65 +1,65 @@
-//! Jobs as callers hand them in and as hosts pass them on.
+//! Jobs as callers submit them and as hosts exchange them.
 
 use endivestile_config::model::Name;
 use serde::{Deserialize, Serialize};
 
 use crate::{Need, Time};
 
-/// Tasks of the same kind within a job.
+/// A group of tasks of the same kind within a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Tasks.
+    /// Number of tasks.
     pub count: u16,
-    /// Number of the first task; above 0 where one task was passed on alone.
+    /// Number of the first task; above 0 if a later task was forwarded on its own.
     pub first_task: u16,
-    /// Number of the step in the job as the caller sent it.
+    /// Number of the step in the caller's job.
     pub number: u16,
-    /// What each task takes of a worker.
+    /// Resources that each task takes on a worker.
     pub need: Need,
-    /// The caller's rough estimate of one task's run time, in milliseconds.
+    /// The caller's estimate of one task's run time, in milliseconds.
     pub estimate_ms: u32,
     /// Earlier steps that must have ended, as indices into [`Job::steps`].
     pub after: Vec<u16>,
-    /// Label that a worker must carry.
+    /// Label that a worker must have.
     pub required_label: Option<Name>,
-    /// Label of the workers that are near the step's data.
+    /// Label of the workers that are close to the step's data.
     pub near_label: Option<Name>,
-    /// Most tasks of the step on one worker at a time; 0 for no limit.
+    /// Limit on concurrent tasks of the step on one worker; 0 for none.
     pub max_per_worker: u16,
 }
 
-/// A job whose answer is its end: it needs no storing, and a caller that gets
-/// no answer sends it again.
+/// A job that is answered once it has ended. It is not stored: a caller without an answer
+/// resubmits it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
     /// The caller's id.
     pub id: Name,
-    /// What the caller calls this sending of it; for the log.
+    /// The caller's name for this submission of the job; only logged.
     pub request: Name,
-    /// The work, handed to the workers as it is.
+    /// Description of the work, passed to the workers unchanged.
     pub spec: Name,
     /// Steps.
     pub steps: Vec<Step>,
-    /// Service whose workers may run it.
+    /// Service whose workers may run the job.
     pub service: Name,
-    /// Route by which it came.
+    /// Route that matched the caller's request.
     pub route: Name,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Runs of one task that may fail before the job does.
+    /// Number of failed runs of one task after which the job fails.
     pub max_attempts: u32,
-    /// Objective: this many thousandths of the work's own duration ..
+    /// Objective relative to the expected duration of the work, in thousandths of it.
     pub stretch_milli: u32,
-    /// .. and this many milliseconds more.
+    /// Constant part of the objective, added to the relative one, in milliseconds.
     pub allowance_ms: u32,
-    /// When the caller handed it in.
+    /// When the caller submitted the job.
     pub arrived: Time,
     /// When the caller stops waiting.
     pub deadline: Time,
-    /// Runs of its tasks are numbered from here on: a worker refuses a run
-    /// that is not above every run of the task that ended there.
+    /// Number that runs of its tasks are counted from. A worker refuses a run whose number
+    /// is not above those of all runs of the task that ended there.
     pub run_base: u32,
-    /// Whether another placer passed it on; it is not passed on again.
+    /// Whether another owner forwarded it; it is not forwarded again.
     pub forwarded: bool,
 }
 
@@ -69,7 +69,7 @@
         self.steps.iter().map(|step| usize::from(step.count)).sum()
     }
 
-    /// Returns the longest chain of declared run times, in milliseconds.
+    /// Returns the caller's estimate of the critical path, in milliseconds.
     pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
@@ -79,40 +79,40 @@
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// Moves its instants from a clock that reads `theirs` to one that reads `ours`.
+    /// Converts its times from a clock that reads `theirs` to one that reads `ours`.
     pub(crate) fn rebase(&mut self, theirs: Time, ours: Time) {
         self.arrived = self.arrived.rebase(theirs, ours);
         self.deadline = self.deadline.rebase(theirs, ours);
     }
 }
 
-/// Why a job was refused or given up.
+/// Why a job was refused or abandoned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// No configuration is known yet.
+    /// No configuration has been read yet.
     NoConfig,
-    /// No host that places tasks is in reach.
+    /// No owner is reachable.
     NoPlacer,
-    /// No worker could ever hold one of its tasks.
+    /// No worker is large enough for one of its tasks or has the required label.
     NoWorker,
-    /// What waits before it would take longer than its caller waits.
+    /// The queue ahead of it is longer than the caller's time budget.
     Overload,
     /// The caller's deadline passed.
     Deadline,
-    /// A task failed as often as the route allows.
+    /// A task failed as often as its route allows.
     Attempts,
-    /// The placer lost its workers, or the caller's host lost the placer.
+    /// The owner lost its workers, or the front lost contact with the owner.
     PlacerLost,
-    /// The caller went away or cancelled.
+    /// The caller disconnected or cancelled the job, or the job was submitted again.
     Cancelled,
-    /// The job asks for something that this system does not do.
+    /// The job asks for a feature that is not supported.
     Unsupported,
-    /// Operators have evacuated every zone that could run it.
+    /// Every zone that could run it is evacuated.
     Evacuated,
 }
 
 impl Reason {
-    /// Returns the word for logs and bodies.
+    /// Returns the name used in logs and response bodies.
     pub fn label(self) -> &'static str {
         match self {
             Self::NoConfig => "no_config",
@@ -132,23 +132,23 @@
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobEnd {
-    /// All tasks are done.
+    /// All tasks succeeded.
     Done,
-    /// A task failed for good.
+    /// A task failed permanently.
     Failed(Reason),
-    /// No task was ever started, and none will be.
+    /// No task was or will be started.
     NotRun {
         /// Why.
         reason: Reason,
-        /// When it is worth trying again.
+        /// Earliest time at which the caller should retry.
         retry: Time,
     },
-    /// Tasks were started and stopped again, or nobody can tell.
+    /// Tasks were started and then stopped, or it is unknown whether any ran.
     Lost(Reason),
 }
 
 impl JobEnd {
-    /// Returns the word for logs.
+    /// Returns the name used in logs.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Returns why it did not end well.
+    /// Returns why the job did not succeed.
     pub fn reason(&self) -> Option<Reason> {
         match *self {
             Self::Done => None,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Moves its instant from a clock that reads `theirs` to one that reads `ours`.
+    /// Converts its time from a clock that reads `theirs` to one that reads `ours`.
     pub(crate) fn rebase(&mut self, theirs: Time, ours: Time) {
         if let Self::NotRun { retry, .. } = self {
             *retry = retry.rebase(theirs, ours);
--- a/endivestile_kernel/src/fleet/job_state.rs
+++ b/endivestile_kernel/src/fleet/job_state.rs
@@ -1,4 +1,4 @@
-//! A job as its placer holds it.
+//! The state of a job and its tasks at the owner that runs them.
 
 use std::sync::Arc;
 
@@ -10,85 +10,91 @@
 use crate::fleet::workers::run::RunId;
 use crate::{Peer, Time};
 
-/// Where a task stands.
+/// Progress of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// Earlier steps have not ended, or the job is being closed.
+    /// Not queued: earlier steps have not ended, or the job is being closed.
     Blocked,
-    /// In the queue.
+    /// In the queue, under this key.
     Queued(QueueKey),
-    /// Ordered at a worker.
+    /// Sent to a worker.
     Running {
         /// The worker.
         worker: Name,
         /// The run.
         id: RunId,
     },
-    /// Passed on to another placer, under this number.
+    /// Forwarded to another owner, under this serial number.
     Forwarded(u64),
-    /// Ended well.
+    /// Ended successfully.
     Done,
 }
 
-/// One task.
+/// One task of a job.
 #[derive(Debug)]
 pub(crate) struct TaskSlot {
     /// Index of its step.
     pub(crate) step: usize,
-    /// Number within the step.
+    /// Number of the task within its step.
     pub(crate) index: u16,
-    /// Where it stands.
+    /// Progress.
     pub(crate) state: TaskState,
-    /// Runs that failed by the task's own fault, as far as can be told.
+    /// Number of runs that failed.
     pub(crate) failures: u32,
     /// Number of the next run.
     pub(crate) next_run: u32,
 }
 
 impl TaskSlot {
-    /// Returns whether something may run for it.
+    /// Returns whether a run of the task may be in progress.
     fn busy(&self) -> bool {
         matches!(self.state, TaskState::Running { .. } | TaskState::Forwarded(_))
     }
 }
 
-/// One job.
+/// A job that this host has accepted as an owner.
 #[derive(Debug)]
 pub(crate) struct JobState {
-    /// The host that wants its end.
+    /// The host that sent the job and receives its result.
     pub(crate) sender: Peer,
-    /// That host's number for it.
+    /// The sender's number for the job.
     pub(crate) serial: u64,
     /// The job.
     pub(crate) job: Arc<Job>,
-    /// Its tasks, step by step.
+    /// Tasks, ordered by step.
     pub(crate) tasks: Vec<TaskSlot>,
-    /// Tasks of each step that have not ended.
+    /// Number of unfinished tasks of each step.
     pub(crate) remaining: Vec<u16>,
-    /// When its caller is served well at the latest.
+    /// Time by which the job has to end to meet its objective.
     pub(crate) objective: Time,
-    /// When its first task was ordered.
+    /// When the first task was sent to a worker.
     pub(crate) started: Option<Time>,
-    /// Orders of tasks.
+    /// Number of tasks started or forwarded, repeats included.
     pub(crate) starts: u32,
-    /// How it ended, while something of it may still run.
+    /// Result, set while runs of the job may still be in progress.
     pub(crate) ending: Option<JobEnd>,
-    /// Whether its host has been told.
+    /// Whether the result has been sent.
     pub(crate) end_sent: bool,
-    /// When it came here.
+    /// When this host received the job.
     pub(crate) received_at: Time,
-    /// Whether it waits until nothing of an earlier try can run.
+    /// Whether the job waits until no run of an earlier attempt can be in progress.
     pub(crate) deferred: bool,
-    /// Duration at speed 1 of the task that ended first, in microseconds:
-    /// tasks of one job are much alike.
+    /// Duration of the task that ended first, scaled to a worker of usual speed, in
+    /// microseconds. Predicts the others: tasks of one job are similar.
     pub(crate) work_us: Option<f64>,
-    /// What delayed it.
+    /// Counts for the log line at the job's end.
     pub(crate) stats: RunStats,
 }
 
 impl JobState {
-    /// Takes a job in, with the tasks of its first steps ready to be queued.
-    pub(crate) fn new(now: Time, from: Peer, serial: u64, job: Arc<Job>, objective: Time) -> Self {
+    /// Creates the state of a job whose tasks are all blocked.
+    pub(crate) fn new(
+        now: Time,
+        sender: Peer,
+        serial: u64,
+        job: Arc<Job>,
+        objective: Time,
+    ) -> Self {
         let slots =
             job.steps.iter().enumerate().flat_map(|(at, step)| {
                 (0..step.count).map(move |index| (at, step.first_task + index))
@@ -102,13 +108,13 @@
                 next_run: job.run_base + 1,
             })
             .collect();
-        let left = job.steps.iter().map(|step| step.count).collect();
+        let remaining = job.steps.iter().map(|step| step.count).collect();
         Self {
-            sender: from,
+            sender,
             serial,
             job,
             tasks,
-            remaining: left,
+            remaining,
             objective,
             started: None,
             starts: 0,
@@ -121,23 +127,23 @@
         }
     }
 
-    /// Returns the step of a task.
+    /// Returns the step to which a task belongs.
     pub(crate) fn step(&self, task: usize) -> &Step {
         &self.job.steps[self.tasks[task].step]
     }
 
-    /// Returns the name by which workers know a task.
+    /// Returns the name of a task in calls to workers.
     pub(crate) fn task_name(&self, task: usize) -> Name {
         let number = self.step(task).number;
         Name::from(format!("{}.0.{number}.{}", self.job.id, self.tasks[task].index))
     }
 
-    /// Returns whether all tasks of the steps before have ended.
+    /// Returns whether all steps that a step depends on have ended.
     fn ready(&self, step: usize) -> bool {
         self.job.steps[step].after.iter().all(|at| self.remaining[usize::from(*at)] == 0)
     }
 
-    /// Returns the blocked tasks that may be queued now.
+    /// Returns the blocked tasks that can be queued now.
     pub(crate) fn unblocked(&self) -> Vec<usize> {
         if self.ending.is_some() || self.deferred {
             return Vec::new();
@@ -149,30 +155,30 @@
         (0..self.tasks.len()).filter(blocked).collect()
     }
 
-    /// Returns whether a task of it may have run: one was ordered here, or is
-    /// with another placer, which has not told yet.
+    /// Returns whether a task of the job may have run: one was sent to a worker, or to
+    /// another owner that has not reported its end yet.
     pub(crate) fn may_have_run(&self) -> bool {
         let forwarded = |slot: &TaskSlot| matches!(slot.state, TaskState::Forwarded(_));
         self.started.is_some() || self.tasks.iter().any(forwarded)
     }
 
-    /// Returns whether something of it may run.
+    /// Returns whether a run of the job may be in progress.
     pub(crate) fn busy(&self) -> bool {
         self.tasks.iter().any(TaskSlot::busy)
     }
 
-    /// Returns whether all tasks have ended well.
+    /// Returns whether all tasks have ended successfully.
     pub(crate) fn done(&self) -> bool {
-        self.remaining.iter().all(|left| *left == 0)
+        self.remaining.iter().all(|n| *n == 0)
     }
 
-    /// Returns how many tasks of a task's step run on a worker.
+    /// Returns how many tasks of the same step as `task` run on a worker.
     pub(crate) fn running_on(&self, task: usize, worker: &str) -> usize {
         let step = self.tasks[task].step;
-        let there = |slot: &&TaskSlot| {
+        let on_worker = |slot: &&TaskSlot| {
             slot.step == step
                 && matches!(&slot.state, TaskState::Running { worker: at, .. } if &**at == worker)
         };
-        self.tasks.iter().filter(there).count()
+        self.tasks.iter().filter(on_worker).count()
     }
 }
--- a/endivestile_kernel/src/fleet/metrics.rs
+++ b/endivestile_kernel/src/fleet/metrics.rs
@@ -1,44 +1,44 @@
-//! What a host counts and times.
+//! Counters, gauges and timers of a host that serves jobs.
 
-/// A count.
+/// A counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Count {
-    /// Jobs of callers sent to a placer.
+    /// Callers' jobs sent to an owner.
     JobsSent,
-    /// Jobs whose tasks all ended well.
+    /// Jobs whose tasks all succeeded.
     JobsDone,
-    /// Jobs of which a task failed for good.
+    /// Jobs of which a task failed permanently.
     JobsFailed,
-    /// Jobs refused as not run.
+    /// Jobs refused before any task was started.
     JobsRefused,
-    /// Jobs given up of which tasks may have run.
+    /// Jobs abandoned after tasks may have run.
     JobsLost,
-    /// Callers that left before their answer.
+    /// Callers that disconnected or cancelled before the answer.
     CallersLeft,
-    /// Jobs sent to another placer because the first was lost.
+    /// Jobs taken away from an owner that became unreachable.
     PlacersLost,
-    /// Jobs refused because they were held up on their way.
+    /// Jobs refused because their message was delayed for longer than a lease.
     JobsStale,
-    /// Orders to start a task.
+    /// Start calls to workers.
     Starts,
-    /// Orders to start that brought no task to run.
+    /// Start calls that failed.
     StartFaults,
-    /// Tasks passed on to another placer.
+    /// Tasks forwarded to another owner.
     TasksForwarded,
-    /// Forwarded tasks that came back unrun.
+    /// Forwarded tasks that the other owner did not complete.
     ForwardsReturned,
     /// Runs that failed.
     TasksFailed,
-    /// Runs stopped because they made no progress.
+    /// Runs stopped because they made too little progress.
     RunsStalled,
-    /// Changes of pools' records that this host asked for.
+    /// Changes of ownership records that this host requested.
     RecordChanges,
-    /// Pools lost to a higher token.
+    /// Pools lost to an owner with a higher fencing token.
     Deposed,
 }
 
 impl Count {
-    /// All counts, in the order of the page.
+    /// All counters, in the order of the metrics page.
     pub const ALL: [Self; 16] = [
         Self::JobsSent,
         Self::JobsDone,
@@ -58,7 +58,7 @@
         Self::Deposed,
     ];
 
-    /// Returns the name on the page.
+    /// Returns the name on the metrics page.
     pub fn name(self) -> &'static str {
         match self {
             Self::JobsSent => "jobs_sent",
@@ -81,20 +81,20 @@
     }
 }
 
-/// A figure that stands until it is told again.
+/// A gauge.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gauge {
-    /// Availability zones in which nothing may be started.
+    /// Evacuated availability zones.
     ZonesEvacuated,
-    /// Runs that still go on in such zones on the workers of this host.
+    /// Runs in progress in evacuated zones on the workers of this host.
     RunsEvacuated,
 }
 
 impl Gauge {
-    /// All gauges, in the order of the page.
+    /// All gauges, in the order of the metrics page.
     pub const ALL: [Self; 2] = [Self::ZonesEvacuated, Self::RunsEvacuated];
 
-    /// Returns the name on the page.
+    /// Returns the name on the metrics page.
     pub fn name(self) -> &'static str {
         match self {
             Self::ZonesEvacuated => "zones_evacuated",
@@ -103,27 +103,27 @@
     }
 }
 
-/// A span that is timed, in microseconds.
+/// A timer, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Span {
-    /// From a caller's call to its answer, of jobs that ended well.
+    /// From a caller's call to its answer, for jobs that succeeded.
     JobDone,
-    /// From a caller's call to its answer, of all others.
+    /// From a caller's call to its answer, for all other jobs.
     JobOther,
-    /// From a job's arrival at its placer to its first start.
+    /// From a job's arrival at its owner to its first start call.
     FirstStart,
-    /// From the order of a run to its end, of runs that ended well.
+    /// From the start call of a run to its end, for runs that succeeded.
     TaskRun,
-    /// From an order to start to its answer.
+    /// From a start call to its answer.
     OrderAnswer,
 }
 
 impl Span {
-    /// All spans, in the order of the page.
+    /// All timers, in the order of the metrics page.
     pub const ALL: [Self; 5] =
         [Self::JobDone, Self::JobOther, Self::FirstStart, Self::TaskRun, Self::OrderAnswer];
 
-    /// Returns the name on the page.
+    /// Returns the name on the metrics page.
     pub fn name(self) -> &'static str {
         match self {
             Self::JobDone => "job_done",
--- a/endivestile_kernel/src/fleet/mod.rs
+++ b/endivestile_kernel/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Jobs on workers that are driven by start, stop and hold under fencing
-//! tokens, with hosts that find each other in the store.
+//! Jobs on workers that accept start, stop and lease renewal calls under fencing
+//! tokens. Hosts discover each other through the store.
 
 mod admission;
 mod assignment;
--- a/endivestile_kernel/src/fleet/msg.rs
+++ b/endivestile_kernel/src/fleet/msg.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts that serve jobs.
+//! Messages about jobs and reports exchanged between hosts.
 
 use std::sync::Arc;
 
@@ -9,47 +9,47 @@
 use crate::fleet::evacuation::EvacuationState;
 use crate::fleet::job::{Job, JobEnd};
 
-/// A message about one job; `serial` is the asking host's number for it.
+/// A message about one job; `serial` is the number that the submitting host gave it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobMsg {
-    /// Run this.
+    /// Requests that a job is run.
     Submit {
-        /// Number.
+        /// Number of the job.
         serial: u64,
         /// The job.
         job: Arc<Job>,
-        /// Receiver's clock at its latest frame that the sender had when it
-        /// handed the job over; the receiver takes no job by an old one.
+        /// Receiver's clock in the latest frame that the sender had from it. The receiver
+        /// refuses a job whose echo is older than a host lease.
         echo: Time,
     },
-    /// Nobody waits for it any more; answered with [`Self::Ended`] once nothing of it runs.
+    /// Cancels a job; answered with [`Self::Ended`] once no run of it is in progress.
     Cancel {
-        /// Number.
+        /// Number of the job.
         serial: u64,
     },
-    /// It ended, and nothing of it runs.
+    /// Reports the end of a job.
     Ended {
-        /// Number.
+        /// Number of the job.
         serial: u64,
-        /// How.
+        /// Result.
         end: JobEnd,
     },
 }
 
-/// The owner of a pool hands it on while the store cannot be reached: from now on
-/// the sender orders nothing there, and the receiver may under this token.
+/// Direct transfer of a pool to another owner while the store is unreachable. From then on
+/// the sender starts nothing there, and the receiver may do so under this fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectTransfer {
     /// The pool.
     pub pool: Name,
-    /// Epoch of the record that names the owner by the store.
+    /// Epoch of the latest ownership record in the store.
     pub epoch: u64,
-    /// Fencing token, above all that were used under this epoch.
+    /// Fencing token; greater than all tokens used in this epoch.
     pub token: u64,
 }
 
 impl JobMsg {
-    /// Returns the bytes of work that the message carries.
+    /// Returns the size of the job description in the message, in bytes.
     pub(crate) fn payload(&self) -> usize {
         match self {
             Self::Submit { job, .. } => job.spec.len(),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Moves every instant from a clock that reads `theirs` to one that reads `ours`.
+    /// Converts its times from a clock that reads `theirs` to one that reads `ours`.
     pub(crate) fn rebase(&mut self, theirs: Time, ours: Time) {
         match self {
             Self::Submit { job, .. } => Arc::make_mut(job).rebase(theirs, ours),
@@ -67,36 +67,36 @@
     }
 }
 
-/// Room of a host's workers for one service.
+/// Free capacity and queue length of one service on a host's workers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCapacity {
-    /// Service.
+    /// The service.
     pub service: Name,
-    /// Usual tasks for which there is room now.
+    /// Number of average tasks for which there is free capacity.
     pub free: u32,
-    /// Tasks that wait.
+    /// Number of queued tasks.
     pub waiting: u32,
 }
 
-/// What a host tells its peers of itself with every frame.
+/// State that a host reports to its peers with every frame.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HostReport {
     /// Availability zone.
     pub zone: Name,
-    /// Address of its links.
+    /// Address at which it accepts links from its peers.
     pub address: Name,
     /// Processor time that the host may use, in thousandths of a core.
     pub cpu_milli: u32,
-    /// Bandwidth of the host's link, in kilobits a second.
+    /// Bandwidth of the host's network link, in kilobits per second.
     pub link_kbps: u32,
-    /// How late the host is with its own work, in milliseconds.
+    /// How far the host lags behind with its own work, in milliseconds.
     pub lag_ms: u32,
-    /// Pools that it owns.
+    /// Number of pools that it owns.
     pub pools: u32,
-    /// Room for each service.
+    /// Free capacity and queue length of each service.
     pub capacity: Vec<ServiceCapacity>,
-    /// Jobs that wait with no task started, by route.
+    /// Number of jobs with no task started, by route.
     pub pending: Vec<(Name, u32)>,
-    /// Zones of which it knows that they are or were evacuated.
+    /// Latest states of all zones that are or were evacuated.
     pub evacuations: Vec<EvacuationState>,
 }
--- a/endivestile_kernel/src/fleet/route_table.rs
+++ b/endivestile_kernel/src/fleet/route_table.rs
@@ -1,54 +1,54 @@
-//! The operator's routes and limits in force.
+//! The operator's configuration of routes and limits.
 
 use std::collections::BTreeMap;
 
 use endivestile_config::model::Name;
 
-/// One route: which calls it takes and how their jobs are run.
+/// A route: which requests it matches and how their jobs are run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// Name.
     pub name: Name,
-    /// Value of the header `Host`, without a port.
+    /// Required value of the `Host` header, without a port.
     pub host: Name,
-    /// What the path begins with.
+    /// Required prefix of the path.
     pub prefix: Name,
     /// Service whose workers run its jobs.
     pub service: Name,
-    /// How long a caller waits that names no deadline, in milliseconds.
+    /// Time limit of a job whose caller gives no deadline, in milliseconds.
     pub timeout_ms: u32,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Runs of one task that may fail before its job does.
+    /// Number of failed runs of one task after which its job fails.
     pub max_attempts: u32,
-    /// Objective: thousandths of the work's own duration.
+    /// Objective relative to the expected duration of the work, in thousandths of it.
     pub stretch_milli: u32,
-    /// Objective: milliseconds more.
+    /// Constant part of the objective, added to the relative one, in milliseconds.
     pub allowance_ms: u32,
 }
 
-/// What a service's workers do by themselves.
+/// Limits of a service's workers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceLimits {
-    /// Connections that one worker takes.
+    /// Maximum number of connections to one worker.
     pub max_connections: u32,
 }
 
 /// Limits on callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head, in milliseconds.
+    /// Maximum time to receive a request head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest time between two requests of a connection, in milliseconds.
+    /// Maximum idle time between two requests on a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for Limits {
-    /// Limits until a configuration is known: those of the users' examples.
+    /// Limits in force until a configuration has been read: those of the users' examples.
     fn default() -> Self {
         Self {
             head_bytes: 16_384,
@@ -59,10 +59,10 @@
     }
 }
 
-/// One accepted configuration.
+/// An accepted configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RouteTable {
-    /// Grows with every accepted configuration.
+    /// Version; increases with every accepted configuration.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
@@ -73,10 +73,11 @@
 }
 
 impl RouteTable {
-    /// Returns the route of a call: the longest prefix among those of the host.
+    /// Returns the route of a request: the longest matching prefix among the host's routes.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split_once(':').map_or(host, |(name, _)| name);
-        let fits = |route: &&Route| route.host.as_ref() == host && path.starts_with(&*route.prefix);
-        self.routes.iter().filter(fits).max_by_key(|route| route.prefix.len())
+        let matches =
+            |route: &&Route| route.host.as_ref() == host && path.starts_with(&*route.prefix);
+        self.routes.iter().filter(matches).max_by_key(|route| route.prefix.len())
     }
 }
--- a/endivestile_kernel/src/fleet/scheduler.rs
+++ b/endivestile_kernel/src/fleet/scheduler.rs
@@ -1,4 +1,4 @@
-//! The tasks and workers of one placer.
+//! The scheduler of an owner: its jobs, their tasks and its workers.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -23,67 +23,80 @@
 use crate::fleet::workers::run::TaskRef;
 use crate::{Level, Need, Note, Peer, Time};
 
-/// Reserve before a caller's deadline within which the answer has to reach the
-/// caller, in milliseconds.
-const ANSWER_MS: u64 = 20;
-/// When to come back after a refusal that no better time is known for, in milliseconds.
+/// Time reserved before a caller's deadline for the answer to reach the caller, in
+/// milliseconds.
+const ANSWER_MARGIN_MS: u64 = 20;
+/// Default delay before a caller should retry a refused job, in milliseconds.
 pub(crate) const RETRY_AFTER_MS: u64 = 1_000;
-/// Weight of one task in the mean of what tasks take.
-const NEED_WEIGHT: f64 = 0.05;
+/// Weight of a new job in the moving average of its service's processor need.
+const USUAL_CPU_WEIGHT: f64 = 0.05;
 
-/// What a scheduler wants done.
+/// An output of the scheduler, carried out by [`Fleet::apply_output`].
+///
+/// [`Fleet::apply_output`]: crate::fleet::core::Fleet::apply_output
 #[derive(Debug)]
 pub(crate) enum Output {
     /// Call a worker.
     Call(WorkerCall),
-    /// Tell a host about a job.
+    /// Send a message about a job to a host.
     Message(Peer, JobMsg),
     /// Write a log line.
     Log(Note),
-    /// Count an event.
+    /// Increment a counter.
     Count(Count),
-    /// Note how long something took, in microseconds.
+    /// Record a duration in microseconds.
     Time(Span, u64),
 }
 
-/// Room of another placer's workers, by its last word less what was forwarded since.
+/// Free capacity of another owner by service, in average tasks: its last report less what
+/// was forwarded there since.
 pub(crate) type PeerCapacity = BTreeMap<Name, u32>;
 
-/// Places the tasks of jobs on the workers of the pools that this host owns.
+/// Runs the tasks of jobs on the workers of the pools that this host owns.
 #[derive(Debug)]
 pub(crate) struct Scheduler {
     pub(crate) me: Peer,
+    /// Duration of a worker's lease, in milliseconds.
     pub(crate) lease_ms: u64,
-    /// How many times longer a task takes away from its data.
+    /// Factor by which a task's run time grows on a worker without its data.
     pub(crate) remote_factor: f64,
     pub(crate) policy: Policy,
+    /// The workers, by id.
     pub(crate) drivers: BTreeMap<Name, Driver>,
+    /// The jobs, by this scheduler's own number.
     pub(crate) jobs: BTreeMap<u64, JobState>,
+    /// Numbers of jobs by sender and the sender's serial number.
     pub(crate) by_sender: HashMap<(Peer, u64), u64>,
+    /// Number of the latest job of each name.
     pub(crate) by_name: HashMap<Name, u64>,
+    /// Numbers of jobs, ordered by deadline.
     pub(crate) deadlines: BTreeSet<(Time, u64)>,
-    /// The pool that is about to go to another owner.
+    /// The pool that is drained for its transfer to another owner.
     pub(crate) transferring: Option<Name>,
-    /// Zones in which nothing may be started.
+    /// Zones in which no task may be started.
     pub(crate) evacuated_zones: BTreeSet<Name>,
-    /// Those of them in which runs of this host still go on.
+    /// Evacuated zones in which runs of this host are still in progress.
     pub(crate) draining_zones: BTreeSet<Name>,
+    /// Queued tasks by service.
     pub(crate) queues: BTreeMap<Name, Queue>,
     pub(crate) peer_capacity: BTreeMap<Peer, PeerCapacity>,
+    /// Forwarded tasks by serial number, with the host that has them.
     pub(crate) forwards: HashMap<u64, (Peer, TaskRef)>,
     pub(crate) durations: Durations,
     pub(crate) health: Health,
+    /// Moving average of a task's processor need by service, in thousandths of a core.
     pub(crate) usual_cpu: HashMap<Name, f64>,
     pub(crate) start_rates: StartRates,
     pub(crate) lag: Lag,
+    /// Whether something changed that can let a queued task start.
     pub(crate) dirty: bool,
     pub(crate) out: Vec<Output>,
     next_job: u64,
-    next_forward: u64,
+    last_forward: u64,
 }
 
 impl Scheduler {
-    /// Starts without workers.
+    /// Creates a scheduler without workers.
     pub(crate) fn new(setup: &FleetSetup) -> Self {
         let policy = setup.policy;
         Self {
@@ -110,15 +123,15 @@
             dirty: false,
             out: Vec::new(),
             next_job: 0,
-            // Numbers of forwarded tasks never meet those of a front on the same host.
-            next_forward: 1 << 63,
+            // Keeps the serials of forwarded tasks apart from those of this host's front.
+            last_forward: 1 << 63,
         }
     }
 
-    /// Takes a job in.
+    /// Accepts or refuses a job; a repeated message is ignored.
     pub(crate) fn submit(&mut self, now: Time, from: &Peer, serial: u64, job: Arc<Job>) {
-        let origin = (from.clone(), serial);
-        if self.by_sender.contains_key(&origin) {
+        let sender_key = (from.clone(), serial);
+        if self.by_sender.contains_key(&sender_key) {
             return;
         }
         if let Some(reason) = self.refusal(now, &job) {
@@ -129,13 +142,12 @@
         let number = self.next_job;
         self.next_job += 1;
         let objective = self.objective(&job);
-        self.learn_need(&job);
+        self.update_usual_cpu(&job);
         let name = job_name(&job);
-        // A caller that lost its answer sends the job again, also to another
-        // host. The earlier one is stopped first: two runs of one task at a
-        // time would do its work twice at once.
+        // A caller that got no answer resubmits its job, possibly to another host. The
+        // earlier job is stopped first, so that no task runs twice at the same time.
         let earlier = self.by_name.insert(name, number);
-        self.by_sender.insert(origin, number);
+        self.by_sender.insert(sender_key, number);
         self.deadlines.insert((job.deadline, number));
         let mut state = JobState::new(now, from.clone(), serial, job, objective);
         state.deferred = state.job.run_base > 0 && !state.job.forwarded && !self.cleared(now);
@@ -149,12 +161,12 @@
         }
     }
 
-    /// Returns why a job cannot be served.
+    /// Returns why a job has to be refused, if it has.
     fn refusal(&self, now: Time, job: &Job) -> Option<Reason> {
         if !self.has_open_workers() {
             return Some(Reason::NoPlacer);
         }
-        if job.deadline <= now.after_ms(ANSWER_MS) {
+        if job.deadline <= now.after_ms(ANSWER_MARGIN_MS) {
             return Some(Reason::Deadline);
         }
         let fits = |step: &Step, driver: &Driver| {
@@ -162,28 +174,28 @@
                 && has_capacity(&driver.entry.capacity, &step.need)
                 && has_label(&driver.entry, step.required_label.as_ref())
         };
-        let held = |open: bool| {
+        let servable = |skip_evacuated: bool| {
             let mut steps = job.steps.iter();
             steps.all(|step| {
                 let mut drivers = self.drivers.values();
-                drivers.any(|driver| !(open && driver.evacuated) && fits(step, driver))
+                drivers.any(|driver| !(skip_evacuated && driver.evacuated) && fits(step, driver))
             })
         };
-        match (held(true), held(false)) {
+        match (servable(true), servable(false)) {
             (true, _) => None,
             (false, true) => Some(Reason::Evacuated),
             (false, false) => Some(Reason::NoWorker),
         }
     }
 
-    /// Returns until when a job's caller is served well.
+    /// Returns the time by which a job has to end to meet its objective.
     fn objective(&self, job: &Job) -> Time {
-        let chain_us = self.critical_path_us(job);
-        let stretched = chain_us * f64::from(job.stretch_milli) / 1_000.0;
+        let path_us = self.critical_path_us(job);
+        let stretched = path_us * f64::from(job.stretch_milli) / 1_000.0;
         job.arrived.after_ms(u64::from(job.allowance_ms)).after_us(stretched as u64)
     }
 
-    /// Returns the expected duration of the longest chain of steps, in microseconds.
+    /// Returns the expected duration of a job's critical path, in microseconds.
     pub(crate) fn critical_path_us(&self, job: &Job) -> f64 {
         let mut ends: Vec<f64> = Vec::with_capacity(job.steps.len());
         for step in &job.steps {
@@ -194,35 +206,37 @@
         ends.into_iter().fold(0.0, f64::max)
     }
 
-    fn learn_need(&mut self, job: &Job) {
+    fn update_usual_cpu(&mut self, job: &Job) {
         let Some(step) = job.steps.first() else { return };
         let cpu = f64::from(step.need.cpu_milli.max(1));
         let usual = self.usual_cpu.entry(job.service.clone()).or_insert(cpu);
-        *usual += NEED_WEIGHT * (cpu - *usual);
+        *usual += USUAL_CPU_WEIGHT * (cpu - *usual);
     }
 
-    /// Takes in that nobody waits for a job any more.
+    /// Cancels a job for the host that sent it.
     pub(crate) fn cancel(&mut self, now: Time, from: &Peer, serial: u64) {
         if let Some(&number) = self.by_sender.get(&(from.clone(), serial)) {
             self.close(now, number, JobEnd::Lost(Reason::Cancelled), false);
         } else {
-            // Its end crossed the cancelling; the asking host may wait for this.
+            // The job is not known, for example because its end crossed the cancellation.
+            // The sender may wait for an answer.
             self.send_end(from, serial, JobEnd::Lost(Reason::Cancelled));
         }
     }
 
-    /// Stops all jobs of a host that cannot be heard any more: whoever waited
-    /// there sends them again elsewhere, and they must not run twice at once.
+    /// Cancels all jobs from a host that is no longer reachable: their callers resubmit them
+    /// elsewhere, and they must not run twice at the same time.
     pub(crate) fn cancel_front(&mut self, now: Time, from: &Peer) {
-        let of = |(number, state): (&u64, &JobState)| (state.sender == *from).then_some(*number);
-        let numbers: Vec<u64> = self.jobs.iter().filter_map(of).collect();
+        let sent_by =
+            |(number, state): (&u64, &JobState)| (state.sender == *from).then_some(*number);
+        let numbers: Vec<u64> = self.jobs.iter().filter_map(sent_by).collect();
         for number in numbers {
             self.close(now, number, JobEnd::Lost(Reason::PlacerLost), false);
         }
     }
 
-    /// Ends all jobs because this host has lost its workers: their hosts place
-    /// them anew as soon as nothing of them runs here.
+    /// Ends all jobs because this host has lost its workers. Their fronts assign them to
+    /// another owner once no run of them is in progress here.
     pub(crate) fn abort_jobs(&mut self, now: Time) {
         let numbers: Vec<u64> = self.jobs.keys().copied().collect();
         for number in numbers {
@@ -230,8 +244,8 @@
         }
     }
 
-    /// Ends a job: what waits is dropped, what runs is stopped. With `at_once` its host
-    /// is told now, otherwise once nothing of it runs any more.
+    /// Ends a job: removes queued tasks and stops running ones. The result is sent now if
+    /// `at_once` is set, otherwise once no run of the job is in progress.
     pub(crate) fn close(&mut self, now: Time, number: u64, end: JobEnd, at_once: bool) {
         let Some(state) = self.jobs.get_mut(&number) else { return };
         if state.ending.is_none() {
@@ -241,8 +255,8 @@
             self.log_end(now, number, end, started);
         }
         let Some(state) = self.jobs.get_mut(&number) else { return };
-        // The host that forwarded a task starts it anew when it hears of its end: not
-        // before nothing of it runs here.
+        // The owner that forwarded a task restarts it when it receives the end, so the end
+        // must not be sent while a run is in progress here.
         let at_once = at_once && !(state.job.forwarded && state.busy());
         if at_once && !state.end_sent {
             state.end_sent = true;
@@ -252,7 +266,7 @@
         self.finish(now, number);
     }
 
-    /// Gives up a job that cannot end before its deadline; its host is told at once.
+    /// Abandons a job that cannot end before its deadline; the result is sent at once.
     pub(crate) fn abandon_job(&mut self, now: Time, number: u64) {
         let Some(state) = self.jobs.get(&number) else { return };
         let retry = now.after_ms(RETRY_AFTER_MS);
@@ -264,7 +278,8 @@
         self.close(now, number, end, true);
     }
 
-    /// Gives a forwarded task back to its host, once nothing of it runs here.
+    /// Returns a forwarded task to the owner that forwarded it, once no run of it is in
+    /// progress here.
     pub(crate) fn return_task(&mut self, now: Time, number: u64) {
         let Some(state) = self.jobs.get(&number) else { return };
         let reason = Reason::Overload;
@@ -303,7 +318,7 @@
         }
     }
 
-    /// Forgets a job that has ended and of which nothing runs.
+    /// Removes a job that has ended, unless a run of it is still in progress.
     pub(crate) fn finish(&mut self, now: Time, number: u64) {
         let Some(state) = self.jobs.get(&number) else { return };
         let Some(end) = state.ending.filter(|_| !state.busy()) else { return };
@@ -318,7 +333,7 @@
             Some(latest) if *latest == number => {
                 self.by_name.remove(&name);
             }
-            // A later job of the same id waited for this one.
+            // A later job of the same name waited for the end of this one.
             Some(latest) => {
                 let latest = *latest;
                 self.unblock(now, latest);
@@ -327,7 +342,7 @@
         }
     }
 
-    /// Queues the tasks whose earlier steps have ended.
+    /// Queues the blocked tasks of a job whose earlier steps have ended.
     pub(crate) fn unblock(&mut self, now: Time, number: u64) {
         let Some(state) = self.jobs.get(&number) else { return };
         for task in state.unblocked() {
@@ -335,7 +350,7 @@
         }
     }
 
-    /// Queues a task.
+    /// Adds a task to the queue of its service.
     pub(crate) fn enqueue(&mut self, now: Time, task: TaskRef) {
         let Some(state) = self.jobs.get(&task.job) else { return };
         let (late, rank) = self.rank(now, state, task.task as usize);
@@ -347,7 +362,7 @@
         self.dirty = true;
     }
 
-    /// Returns whether a task can no longer make its objective, and its rank.
+    /// Returns whether a task can no longer meet its objective, and its rank in the queue.
     pub(crate) fn rank(&self, now: Time, state: &JobState, task: usize) -> (bool, (u32, Time)) {
         let step = state.step(task);
         let waiting = WaitingTask {
@@ -355,13 +370,13 @@
             arrived: state.job.arrived,
             objective: state.objective,
             run_us: self.durations.task_us(&state.job, step.estimate_ms) as u64,
-            remaining: state.remaining.iter().map(|left| u64::from(*left)).sum(),
+            remaining: state.remaining.iter().map(|n| u64::from(*n)).sum(),
             started: state.started.is_some(),
         };
         waiting.rank(now, self.policy)
     }
 
-    /// Returns how many jobs of each route wait with no task started.
+    /// Returns the number of jobs with no task started, by route.
     pub(crate) fn pending(&self) -> BTreeMap<Name, u32> {
         let mut pending: BTreeMap<Name, u32> = BTreeMap::new();
         let waiting = |state: &&JobState| {
@@ -373,18 +388,18 @@
         pending
     }
 
-    /// Returns the number of the next task that is forwarded.
+    /// Returns a new serial number for a task to be forwarded.
     pub(crate) fn next_forward_serial(&mut self) -> u64 {
-        self.next_forward += 1;
-        self.next_forward
+        self.last_forward += 1;
+        self.last_forward
     }
 
-    /// Tells a host how its job ended.
+    /// Sends the result of a job to its sender.
     pub(crate) fn send_end(&mut self, to: &Peer, serial: u64, end: JobEnd) {
         self.out.push(Output::Message(to.clone(), JobMsg::Ended { serial, end }));
     }
 
-    /// Writes a line about a job.
+    /// Writes a log line about a job.
     pub(crate) fn log_job(
         &mut self,
         level: Level,
@@ -400,19 +415,20 @@
     }
 }
 
-/// Returns whether `room` holds `need`.
-pub(crate) fn has_capacity(room: &Need, need: &Need) -> bool {
-    room.cpu_milli >= need.cpu_milli
-        && room.memory_mb >= need.memory_mb
-        && room.accelerators >= need.accelerators
+/// Returns whether `free` is enough for `need`.
+pub(crate) fn has_capacity(free: &Need, need: &Need) -> bool {
+    free.cpu_milli >= need.cpu_milli
+        && free.memory_mb >= need.memory_mb
+        && free.accelerators >= need.accelerators
 }
 
-/// Returns whether a worker carries a label.
+/// Returns whether a worker has a label; true if none is required.
 pub(crate) fn has_label(entry: &WorkerEntry, label: Option<&Name>) -> bool {
     label.is_none_or(|label| entry.labels.contains(label))
 }
 
-/// Returns what tells a job, or a task passed on alone, from all others.
+/// Returns the name under which repeated submissions of a job, or of a forwarded task, are
+/// recognized.
 fn job_name(job: &Job) -> Name {
     match job.steps.first().filter(|_| job.forwarded) {
         Some(step) => Name::from(format!("{}.{}.{}", job.id, step.number, step.first_task)),
--- a/endivestile_testkit/tests/fleet/cut_zone_owner_stops.story
+++ b/endivestile_testkit/tests/fleet/cut_zone_owner_stops.story
@@ -1,7 +1,6 @@
-# A zone is cut off from the others and from the store, and its owner is stopped
-# meanwhile. It cannot write into the record who owns the workers from now on. If it
-# did not tell its successor itself, callers of the zone would be refused for as long
-# as the cut lasts, though workers and hosts are sound.
+# A zone is cut off from the other zones and from the store, and its owner is stopped. The
+# owner cannot write a successor into the ownership record. Without a direct transfer to its
+# successor, the zone would refuse its callers until the cut heals.
 story
 world zones=a,b hosts=3 workers=3
 owners
--- a/endivestile_testkit/tests/fleet/word_lost_on_links.story
+++ b/endivestile_testkit/tests/fleet/direct_transfer_frames_lost.story
@@ -1,6 +1,6 @@
-# As in cut_zone_owner_stops, and the links of the zone lose most frames in the first
-# second after the owner was told to stop. If it ended before its successor has had
-# its word, the zone's callers would be refused until the cut has healed.
+# As in cut_zone_owner_stops, but the links of the zone lose most frames in the first second
+# after the owner is told to stop. If it exited before its successor has the grant, the zone
+# would refuse its callers until the cut heals.
 story
 world zones=a,b hosts=3 workers=3 seed=5
 cut a b
--- a/endivestile_testkit/tests/fleet/forwarded_through_cut.story
+++ b/endivestile_testkit/tests/fleet/forwarded_through_cut.story
@@ -1,6 +1,6 @@
-# A host passes a task on to another one just as the two are cut from each
-# other. It takes the task back and runs it at home; when the cut heals, the
-# message arrives after all. A caller would pay for its work twice.
+# A host forwards a task to another host just as the two are cut off from each other. It
+# takes the task back and runs it at home; when the cut heals, the delayed message arrives.
+# The task must not run a second time.
 story
 world zones=a,b hosts=1 workers=1 seed=0
 submit c0 at=b1 tasks=3 ms=20 times=6 every=10ms
--- a/endivestile_testkit/tests/fleet/hosts_stopped_in_turn.story
+++ b/endivestile_testkit/tests/fleet/hosts_stopped_in_turn.story
@@ -1,7 +1,6 @@
-# The hosts of a large zone are stopped one after the other. Each hands its pools
-# to the host that has the least for its processor time, and they stay spread over
-# several; gathered at one, that host would be busy with leases alone, and a third
-# of the jobs late until the end of the day.
+# The hosts of a large zone are stopped one after the other. Each transfers its pools to
+# the host with the fewest for its processor time. If one host received all of them, lease
+# renewals alone would overload it, and a third of the jobs would be late from then on.
 story
 world zones=a cpus=500,500,300,300,300,90,90 workers=117
 stop a1
--- a/endivestile_testkit/tests/fleet/idle_workers.story
+++ b/endivestile_testkit/tests/fleet/idle_workers.story
@@ -1,5 +1,5 @@
-# Nothing runs on the workers of a zone: their owner holds them seldom. In a large fleet
-# holds of idle workers were most of what its owners did.
+# The workers of a zone are idle, so their owner renews their leases rarely. Without that,
+# renewals for idle workers are most of the work of a large fleet's owners.
 story
 world zones=a hosts=1 workers=20
 run 5s
@@ -18,8 +18,9 @@
 holds: 50
 every promise kept
 
-# Idle workers fall silent between two holds. That shows soon enough that no job is sent to
-# them 0.7 s later: its order would have no answer, and it would wait for the leases.
+# Idle workers become unresponsive between two renewals. The owner has to detect that
+# before a job arrives 0.7 s later: its start would stay unanswered, and the job would wait
+# for the leases to expire.
 story
 world zones=a hosts=1 workers=4
 submit warm at=a1 tasks=4 ms=100 times=5 every=200ms
--- a/endivestile_testkit/tests/fleet/job_held_up.story
+++ b/endivestile_testkit/tests/fleet/job_message_delayed.story
@@ -1,7 +1,6 @@
-# A host sends a job to the owner of its zone just as the two are cut from each
-# other. It gives the owner up and has the job run in the other zone; then the cut
-# heals, and the message arrives after all. The owner refuses it as too old: a
-# caller's work would be done twice at once.
+# A host sends a job to the owner of its zone just as the two are cut off from each other.
+# The job is reassigned to the other zone; when the cut heals, the delayed message arrives.
+# The owner has to refuse it as too old, or the job would run twice.
 story
 world zones=a,b hosts=2 workers=1
 owners
--- a/endivestile_testkit/tests/fleet/job_underestimated.story
+++ b/endivestile_testkit/tests/fleet/job_underestimated.story
@@ -1,7 +1,6 @@
-# A caller takes its job for six times shorter than it is. Each of its tasks looks
-# slow, on every worker alike. If the workers were blamed, the tasks would be stopped
-# and begun again, and the sound workers count as slow: the next caller's job would
-# wait or be refused though the zone is idle.
+# A caller underestimates its job by a factor of six, so each task looks slow on every
+# worker. If that counted against the workers, tasks would be stopped and restarted, and
+# the next caller's job would wait or be refused although the zone is idle.
 story
 world zones=a hosts=1 workers=4 cpu=16000
 submit usual at=a1 tasks=2 ms=100 times=20 every=250ms
--- a/endivestile_testkit/tests/fleet/large_zone.story
+++ b/endivestile_testkit/tests/fleet/large_zone.story
@@ -1,7 +1,6 @@
-# A zone has more workers than one small host can drive: it has several owners,
-# the hosts with the most processor time. If one host owned all, it would be
-# busy with orders and lease renewals alone; orders would go unanswered, leases
-# lapse, and callers get nothing.
+# A zone has more workers than one small host can drive: it has several owners, the hosts
+# with the most processor time. A single owner would be overloaded by starts and lease
+# renewals: starts would go unanswered, leases would expire and callers get no answer.
 story
 world zones=a cpus=90,500,90,300,500,90,300 workers=117
 owners
--- a/endivestile_testkit/tests/fleet/large_zone_owner_lost.story
+++ b/endivestile_testkit/tests/fleet/large_zone_owner_lost.story
@@ -1,7 +1,6 @@
-# Everything that an owner leaves behind goes to one host. Its jobs are begun
-# again there as soon as it has cleared the workers, after some 700 ms; spread
-# over several hosts they would wait for the leases, half a second longer, and
-# miss their deadlines.
+# All pools of a lost owner go to one successor. It restarts the jobs as soon as it has
+# cleared the workers, after about 700 ms. Spread over several hosts, the jobs would wait
+# half a second longer for leases to expire, and miss their deadlines.
 story
 world zones=a cpus=90,500,300,300,500 workers=80
 submit c at=a1 tasks=6 ms=400 deadline=1900ms times=10 every=2ms
--- a/endivestile_testkit/tests/fleet/large_zone_workers_register.story
+++ b/endivestile_testkit/tests/fleet/large_zone_workers_register.story
@@ -1,6 +1,6 @@
-# The workers of a large zone register over four seconds. The host that saw the first
-# of them claims every pool; if it kept them, its processor time alone would bind while
-# hosts as strong drive nothing.
+# The workers of a large zone register over four seconds. The host that sees the first of
+# them claims every pool. If it kept them, its processor time would be the limit while
+# equally strong hosts own nothing.
 story
 world zones=a cpus=90,500,90,300,500,90,300 workers=117 register=4s
 owners
--- a/endivestile_testkit/tests/fleet/order_answers_lost.story
+++ b/endivestile_testkit/tests/fleet/order_answers_lost.story
@@ -1,6 +1,6 @@
-# Links lose the answers of a worker to its orders, though it carries them out. Its
-# list shows what runs there. If such runs were stopped and begun again, a task would
-# never end there, or end a second late elsewhere, and its caller would wait for it.
+# Links lose a worker's answers to start orders, but the worker carries the orders out and
+# lists the runs. If such runs were stopped and restarted, a task would never end there, or
+# end a second late on another worker.
 story
 world zones=a hosts=1 workers=1
 worker a-w1 late 0ms
--- a/endivestile_testkit/tests/fleet/orders_late.story
+++ b/endivestile_testkit/tests/fleet/orders_late.story
@@ -1,7 +1,6 @@
-# One of two workers leaves orders unanswered and would carry them out seconds later.
-# An order is void there a fifth of a second after it was sent, so that the task is
-# begun elsewhere as soon as the worker's list shows that nothing runs; by the whole
-# lease, the caller would wait three times as long.
+# One of two workers leaves start orders unanswered and would carry them out seconds later.
+# An order expires 200 ms after it was sent, so the task is restarted elsewhere as soon as
+# the worker's list shows no run. Waiting for the whole lease would take three times as long.
 story
 world zones=a hosts=1 workers=2 cpu=16000
 worker a-w1 late 2s
--- a/endivestile_testkit/tests/fleet/owner_lost_runs_cleared.story
+++ b/endivestile_testkit/tests/fleet/owner_lost_runs_cleared.story
@@ -1,8 +1,7 @@
-# The owner of two workers is killed while a task runs at each, and starts again
-# at once; the other host learns so from its registration and takes the workers
-# within the leases of the former life. One worker carries its stops out late.
-# The new owner begins the job again only when nothing of before runs at either:
-# begun at the one while the other goes on, a task would run twice at a time.
+# The owner of two workers is killed while a task runs on each, and restarts at once. The
+# other host sees the new registration and takes the workers over before the old leases
+# expire. One worker carries out stops late: the new owner must not restart the job before
+# both workers are clear, or a task would run twice at the same time.
 story
 world zones=a hosts=2 workers=2 cpu=16000
 submit c at=a2 tasks=2 ms=3000 deadline=9s
--- a/endivestile_testkit/tests/fleet/owner_late.story
+++ b/endivestile_testkit/tests/fleet/owner_overloaded.story
@@ -1,5 +1,5 @@
-# One of a zone's two owners is short of processor time and takes seconds for what it is
-# sent, while its workers have room. Jobs that went there by room alone would be late.
+# One of a zone's two owners is short of processor time and handles messages seconds late,
+# although its workers have free capacity. Jobs assigned by free capacity alone would be late.
 story
 world zones=a cpus=250,250,90 workers=40
 run 2s
--- a/endivestile_testkit/tests/fleet/plain.story
+++ b/endivestile_testkit/tests/fleet/plain.story
@@ -1,5 +1,5 @@
-# A job of four tasks comes to a host of a zone with two workers, and each
-# caller hears of the end of its own job.
+# A job of four tasks is submitted to a host of a zone with two workers. Each caller gets
+# the result of its own job.
 story
 world zones=a,b hosts=2 workers=2
 submit c1 at=a1 tasks=4 ms=100
--- a/endivestile_testkit/tests/fleet/pool_transferred_under_load.story
+++ b/endivestile_testkit/tests/fleet/pool_transferred_under_load.story
@@ -1,6 +1,6 @@
-# Pools go from one owner to others while jobs run. A pool goes once nothing runs on its
-# workers; handed over at once, its runs would be stopped and begun again, and their
-# callers would wait twice as long.
+# Pools are transferred between owners while jobs run. A pool is transferred only once no
+# run is left on its workers. Transferred at once, its runs would be stopped and restarted,
+# and their callers would wait twice as long.
 story
 world zones=a cpus=250,250,250 workers=48 register=3s
 owners
--- a/endivestile_testkit/tests/fleet/rack_wanted.story
+++ b/endivestile_testkit/tests/fleet/rack_preferred.story
@@ -1,6 +1,6 @@
-# Many jobs want one rack, and away from it they take three times as long, which is past
-# their objective (156 ms): they wait for the rack, where they still meet it, rather than
-# take the free workers elsewhere.
+# Many jobs prefer one rack. Elsewhere they take three times as long, which misses their
+# objective of 156 ms. They have to wait for the rack, where they still meet it, rather than
+# take free workers elsewhere.
 story
 world zones=a hosts=1 workers=6 remote=3
 submit warm at=a1 tasks=2 ms=60 times=10 every=100ms
--- a/endivestile_testkit/tests/fleet/small_links_two_owners.story
+++ b/endivestile_testkit/tests/fleet/small_links_two_owners.story
@@ -1,5 +1,5 @@
-# The hosts of a zone have processor time enough, and links of 2 Mbit/s. One owner of all
-# workers would send its orders and lease renewals late; the zone has two.
+# The hosts of a zone have enough processor time but links of only 2 Mbit/s. A single owner
+# would send starts and lease renewals late; the zone has to have two.
 story
 world zones=a hosts=4 workers=17 link=2000
 run 3s
--- a/endivestile_testkit/tests/fleet/stop_unanswered.story
+++ b/endivestile_testkit/tests/fleet/stop_unanswered.story
@@ -1,8 +1,7 @@
-# A caller hangs up and sends its job again, while one of two workers leaves
-# stops unanswered for seconds. The worker's lease is not renewed any more, so
-# that the first run lapses and the second sending is run within a second;
-# otherwise the caller would wait until the stop is carried out, or the task
-# would run twice at a time.
+# A caller hangs up and resubmits its job, while one of two workers leaves stops unanswered
+# for seconds. The worker's lease is no longer renewed, so the first run expires and the
+# second submission runs within a second. Otherwise the caller would wait for the stop, or
+# the task would run twice at the same time.
 story
 world zones=a hosts=1 workers=2 cpu=16000
 submit c at=a1 tasks=2 ms=8000 deadline=20s
--- a/endivestile_testkit/tests/fleet/worker_recovers.story
+++ b/endivestile_testkit/tests/fleet/worker_recovers.story
@@ -1,6 +1,6 @@
-# A worker stands still for two seconds and is sound again. Its speed is believed to be
-# next to nothing then. If it got a task only once that was forgiven, half of the zone's
-# room would be lost for half a minute, and the callers of the next burst refused.
+# A worker freezes for two seconds and recovers; its estimated speed is then close to zero.
+# If it got no task before that estimate had decayed, half of the zone's capacity would be
+# lost for half a minute, and callers of the next burst would be refused.
 story
 world zones=a hosts=1 workers=2 cpu=16000
 submit usual at=a1 tasks=2 ms=100 times=10 every=250ms
--- a/endivestile_testkit/tests/fleet/zone_cut_heals.story
+++ b/endivestile_testkit/tests/fleet/zone_cut_heals.story
@@ -1,8 +1,7 @@
-# A zone is cut off from the others and from the store, and comes back; its
-# workers can be reached some 700 ms before its hosts are heard again. The zone's
-# owner has served its callers meanwhile. If a host outside took the workers at
-# that moment, everything that runs there would be stopped and begun again, and
-# the zone's callers would wait twice as long.
+# A zone is cut off from the other zones and the store, and its owner goes on serving its
+# callers. When the cut heals, its workers are reachable about 700 ms before its hosts. If a
+# host of another zone took the workers over at that moment, all runs there would be stopped
+# and restarted, and the zone's callers would wait twice as long.
 story
 world zones=a,b,c hosts=2 workers=3
 cut a b
--- a/endivestile_testkit/tests/fleet/zone_evacuated.story
+++ b/endivestile_testkit/tests/fleet/zone_evacuated.story
@@ -1,5 +1,5 @@
-# A zone is evacuated while its callers press: what runs there goes on, nothing more is
-# started, and its callers are served by other zones.
+# A zone is evacuated under load: running tasks continue, no task is started, and other
+# zones serve its callers.
 story
 world zones=a,b hosts=2 workers=2
 submit long at=a1 ms=1500 deadline=4s
@@ -45,8 +45,8 @@
 every promise kept
 every call answered
 
-# All zones are evacuated: nothing can be served, so callers are told at once, and that
-# nothing has run.
+# All zones are evacuated: callers are refused at once, with the answer that nothing has
+# run.
 story
 world zones=a,b hosts=2 workers=2
 evacuate a
@@ -75,7 +75,7 @@
 every promise kept
 every call answered
 
-# An evacuation is asked for and taken back within a second, and asked for again.
+# An evacuation is requested, cancelled within a second and requested again.
 story
 world zones=a,b hosts=2 workers=2
 evacuate a
@@ -102,7 +102,7 @@
 done: 8
 every promise kept
 
-# A zone that no worker stands in is evacuated: nothing changes.
+# A zone without workers is evacuated: nothing changes.
 story
 world zones=a hosts=1 workers=2
 evacuate x
@@ -115,8 +115,8 @@
 done: 4
 every promise kept
 
-# A job has begun in a zone, and more of its tasks wait there than other zones can take at
-# once, when the zone is evacuated: they run elsewhere, one after the other.
+# A zone is evacuated after a job has started there, with more waiting tasks than other
+# zones can take at once: they run elsewhere, one after the other.
 story
 world zones=a,b hosts=2 workers=2
 submit c at=a1 tasks=16 ms=300 deadline=6s
--- a/endivestile_testkit/tests/fleet/zone_evacuated_faults.story
+++ b/endivestile_testkit/tests/fleet/zone_evacuated_faults.story
@@ -1,5 +1,5 @@
-# A host cannot reach the store when a zone is evacuated. It learns of that from the frames
-# of its peers, and of its end too.
+# A host cannot reach the store when a zone is evacuated. It gets the start and the end of
+# the evacuation from its peers' frames.
 story
 world zones=a,b hosts=2 workers=2
 cut a1 store
@@ -30,7 +30,7 @@
 b-w2 4
 every promise kept
 
-# Hosts start while their zone is being evacuated, also all of them.
+# Hosts start while their zone is evacuated, including all hosts of a zone at once.
 story
 world zones=a,b hosts=2 workers=2
 evacuate a
@@ -53,8 +53,8 @@
 b-w2 4
 every promise kept
 
-# The owner of an evacuated zone is killed, and another one stops: whoever takes the workers
-# over starts nothing there.
+# The owner of an evacuated zone is killed, and another one stops: whichever host takes the
+# workers over starts nothing there.
 story
 world zones=a,b hosts=3 workers=2
 submit c at=a1 ms=100 times=5 every=20ms
@@ -86,8 +86,8 @@
 every promise kept
 every call answered
 
-# The store goes away right after an evacuation was asked for, and it is taken back while
-# the store is away for some.
+# The store becomes unreachable right after an evacuation was requested; the evacuation is
+# cancelled while some hosts cannot reach the store.
 story
 world zones=a,b hosts=2 workers=2
 evacuate a
@@ -115,8 +115,8 @@
 b-w2 2
 every promise kept
 
-# The zone of an evacuation is cut off from the other one: its callers are refused, since
-# nothing may be started there, and no task is.
+# An evacuated zone is cut off from the other zone: its callers are refused and no task is
+# started there.
 story
 world zones=a,b hosts=2 workers=2
 evacuate a
@@ -139,9 +139,9 @@
 not_run no_placer: 3
 every promise kept
 
-# A zone is taken back while all hosts but one are down, and that one cannot reach the store.
-# It tells those that start of the evacuation, and dies. They have read the store since, and
-# nobody who saw the end is left to tell: the zone would stay evacuated for ever.
+# An evacuation ends while all hosts but one are down, and that one cannot reach the store.
+# It reports the evacuation to hosts that start, and dies. They have read the store since;
+# if they accepted its report, the zone would stay evacuated for ever.
 story
 world zones=a,b hosts=2 workers=2
 cut a1 store
--- a/endivestile_testkit/tests/fleet_red/zone_hosts_dead.story
+++ b/endivestile_testkit/tests/fleet_red/zone_hosts_dead.story
@@ -1,5 +1,5 @@
-# All hosts of a zone die and stay away: hosts of another zone take its workers over, or a
-# third of the fleet would stand idle for as long as they are away.
+# All hosts of a zone die and stay away: hosts of another zone have to take its workers
+# over, or a third of the fleet would be idle until the hosts return.
 story
 world zones=a,b hosts=2 workers=2
 kill a1
@@ -16,7 +16,7 @@
 c done 103 ms
 every promise kept
 
-# They are back within a second: nobody outside has taken anything.
+# The hosts are back within a second: no other zone has taken their workers over.
 story
 world zones=a,b hosts=2 workers=2
 kill a1
@@ -32,7 +32,8 @@
 b {"owner":{"host":"b2","birth":4},"epoch":1} pools=1
 every promise kept
 
-# The owner of two zones' workers goes on starting tasks in the one that is not evacuated.
+# The owner of two zones' workers continues to start tasks in the zone that is not
+# evacuated.
 story
 world zones=a,b hosts=2 workers=2
 kill a1
--- a/endivestile_testkit/tests/fleet_stories.rs
+++ b/endivestile_testkit/tests/fleet_stories.rs
@@ -1,8 +1,8 @@
-//! Tells every story under `fleet/` and `fleet_red/`.
+//! Runs every story under `fleet/` and `fleet_red/`.
 
 use endivestile_testkit::tell_fleet;
 
-fn tell_all(folder: &str) {
+fn run_all(folder: &str) {
     datadriven::walk(folder, |file| {
         file.run(|case| match case.directive.as_str() {
             "story" => tell_fleet(&case.input).unwrap_or_else(|error| format!("error: {error}\n")),
@@ -13,11 +13,11 @@
 
 #[test]
 fn fleet_stories_all() {
-    tell_all("tests/fleet");
+    run_all("tests/fleet");
 }
 
-/// Guards against workers of a zone that idle for as long as all of its hosts are away.
+/// Guards against workers of a zone that stay idle while all of the zone's hosts are down.
 #[test]
 fn zone_hosts_dead() {
-    tell_all("tests/fleet_red");
+    run_all("tests/fleet_red");
 }
