--- a/endivestile/src/fleet/engine.rs
+++ b/endivestile/src/fleet/engine.rs
@@ -19,7 +19,7 @@
 use super::records::{self, Registration};
 use super::store_client::StoreClient;
 use super::worker_client::WorkerClient;
-use super::worker_list::SharedListRole;
+use super::worker_list::SharedPoolRole;
 use crate::clock::Clock;
 use crate::error::Exit;
 use crate::logs;
@@ -58,7 +58,7 @@
     /// This host's registration.
     pub(crate) registration: watch::Sender<Registration>,
     /// How often the list of workers is needed.
-    pub(crate) list_role: SharedListRole,
+    pub(crate) pool_role: SharedPoolRole,
     /// Limits on callers.
     pub(crate) limits: Arc<RwLock<Limits>>,
     /// Set to close callers' connections.
@@ -225,7 +225,7 @@
             }
         }
         self.effects = effects;
-        self.parts.list_role.set(self.fleet.pool_role());
+        self.parts.pool_role.set(self.fleet.pool_role());
     }
 
     /// Sets the timer for the fleet's next deadline.
--- a/endivestile/src/fleet/operator_keys.rs
+++ b/endivestile/src/fleet/operator_keys.rs
@@ -21,11 +21,11 @@
 }
 
 impl KeyHandler for OperatorKeys {
-    fn on_store_state(&mut self, up: bool) {
+    fn handle_store_state(&mut self, up: bool) {
         self.inbox.post_event(FleetEvent::StoreAvailable(up));
     }
 
-    fn on_key(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
+    fn handle_key(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
         let keys = &self.adapter.keys;
         if let Some(zone) = key.strip_prefix(keys.evacuations) {
             let evacuated = value.is_some();
@@ -36,7 +36,7 @@
         }
     }
 
-    fn on_loaded(&mut self, revision: u64) {
+    fn handle_loaded(&mut self, revision: u64) {
         self.inbox.post_event(FleetEvent::EvacuationsRead(revision));
     }
 }
--- a/endivestile/src/fleet/prefix_watch.rs
+++ b/endivestile/src/fleet/prefix_watch.rs
@@ -39,15 +39,15 @@
 /// What is done with the keys of a prefix.
 pub(crate) trait KeyHandler: Send + 'static {
     /// A key has this value now; none once it was deleted.
-    fn on_key(&mut self, key: &str, revision: u64, value: Option<Bytes>);
+    fn handle_key(&mut self, key: &str, revision: u64, value: Option<Bytes>);
 
     /// All keys have been told as they stood at one time, at this revision of the store.
-    fn on_loaded(&mut self, revision: u64) {
+    fn handle_loaded(&mut self, revision: u64) {
         let _ = revision;
     }
 
     /// The store answers, or does not; all that it had to say so far has been told.
-    fn on_store_state(&mut self, up: bool);
+    fn handle_store_state(&mut self, up: bool);
 
     /// Returns the longest wait of the next watch, in milliseconds.
     fn watch_wait_ms(&self) -> u32 {
@@ -84,7 +84,7 @@
             Stop::Failed { answered: true } => pause = RETRY_MS,
             Stop::Failed { answered: false } => {}
         }
-        feed.sink.on_store_state(false);
+        feed.sink.handle_store_state(false);
         sleep(Duration::from_millis(pause)).await;
         pause = (pause * 2).min(RETRY_MAX_MS);
     }
@@ -104,7 +104,7 @@
         let mut changes = 0;
         self.load(page);
         loop {
-            self.sink.on_store_state(true);
+            self.sink.handle_store_state(true);
             if self.sink.pause_after(changes).await == NextStep::Reload {
                 return Stop::Reload;
             }
@@ -140,7 +140,7 @@
         for key in gone.into_keys() {
             self.put(Item { key, value: None, revision: page.at });
         }
-        self.sink.on_loaded(page.at);
+        self.sink.handle_loaded(page.at);
     }
 
     fn put(&mut self, item: Item) {
@@ -153,6 +153,6 @@
         } else {
             self.known.remove(&item.key);
         }
-        self.sink.on_key(&item.key, item.revision, item.value);
+        self.sink.handle_key(&item.key, item.revision, item.value);
     }
 }
--- a/endivestile/src/fleet/records.rs
+++ b/endivestile/src/fleet/records.rs
@@ -42,7 +42,7 @@
 }
 
 impl KeyHandler for Records {
-    fn on_key(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
+    fn handle_key(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
         if let Some(pool) = key.strip_prefix(POOL_KEY_PREFIX) {
             let value = value.unwrap_or_default();
             let pool = Name::from(pool);
@@ -56,12 +56,12 @@
         RECORDS_WAIT_MS
     }
 
-    fn on_store_state(&mut self, up: bool) {
+    fn handle_store_state(&mut self, up: bool) {
         self.inbox.post_event(FleetEvent::StoreAvailable(up));
     }
 
     /// The registration waits until it is known what stands under its key.
-    fn on_loaded(&mut self, _revision: u64) {
+    fn handle_loaded(&mut self, _revision: u64) {
         if self.registration.borrow().stored.is_none() {
             self.registration.send_modify(|wish| wish.stored = Some((0, false)));
         }
--- a/endivestile/src/fleet/run.rs
+++ b/endivestile/src/fleet/run.rs
@@ -29,7 +29,7 @@
 use super::records::{self, Records, Registration};
 use super::store_client::StoreClient;
 use super::worker_client::WorkerClient;
-use super::worker_list::{SharedListRole, WorkerList};
+use super::worker_list::{SharedPoolRole, WorkerList};
 use crate::clock::{Clock, since_epoch};
 use crate::counters::Counters;
 use crate::error::{Exit, RunError};
@@ -118,7 +118,7 @@
     );
     let client = HttpClient::default();
     let store = store_client(settings, adapter, client.clone());
-    let list_role = SharedListRole::default();
+    let pool_role = SharedPoolRole::default();
     let entry = HostEntry {
         peer: me.clone(),
         zone: zone.clone(),
@@ -127,7 +127,7 @@
         cpu_milli: settings.platform.cpu_milli,
         link_kbps: settings.platform.link_kbps,
     };
-    let registration = follow(runtime, &store, inbox, list_role.clone(), entry);
+    let registration = follow(runtime, &store, inbox, pool_role.clone(), entry);
     signals(runtime, inbox)?;
     if let Some(path) = reloader.path() {
         runtime.spawn(watch_settings(path.to_owned(), inbox.clone()));
@@ -153,7 +153,7 @@
         workers,
         store,
         registration,
-        list_role,
+        pool_role,
         limits,
         closing,
         metrics,
@@ -176,7 +176,7 @@
     runtime: &Runtime,
     store: &StoreClient,
     inbox: &Inbox,
-    list_role: SharedListRole,
+    pool_role: SharedPoolRole,
     entry: HostEntry,
 ) -> watch::Sender<Registration> {
     let (registration, wishes) = watch::channel(Registration { entry, stored: None });
@@ -185,7 +185,7 @@
     runtime.spawn(prefix_watch::run(prefix, store.clone(), operator));
     let records = Records { inbox: inbox.clone(), registration: registration.clone() };
     runtime.spawn(prefix_watch::run(OWN_KEYS.to_owned(), store.clone(), records));
-    let listing = WorkerList::new(store.adapter, inbox.clone(), list_role);
+    let listing = WorkerList::new(store.adapter, inbox.clone(), pool_role);
     runtime.spawn(prefix_watch::run(store.adapter.keys.workers.to_owned(), store.clone(), listing));
     runtime.spawn(records::register(store.clone(), wishes));
     registration
--- a/endivestile/src/fleet/worker_list.rs
+++ b/endivestile/src/fleet/worker_list.rs
@@ -41,19 +41,19 @@
 
 /// Tells how urgently this host needs the list, and when it needs it more than before.
 #[derive(Debug, Clone)]
-pub(crate) struct SharedListRole {
+pub(crate) struct SharedPoolRole {
     role: Arc<watch::Sender<PoolRole>>,
     changed: Arc<Notify>,
 }
 
-impl Default for SharedListRole {
+impl Default for SharedPoolRole {
     fn default() -> Self {
         let role = Arc::new(watch::Sender::new(PoolRole::Candidate));
         Self { role, changed: Arc::default() }
     }
 }
 
-impl SharedListRole {
+impl SharedPoolRole {
     /// Sets what this host needs the list for.
     pub(crate) fn set(&self, role: PoolRole) {
         let before = self.role.send_replace(role);
@@ -75,7 +75,7 @@
 pub(crate) struct WorkerList {
     adapter: &'static Adapter,
     inbox: Inbox,
-    need: SharedListRole,
+    need: SharedPoolRole,
     entries: BTreeMap<String, WorkerEntry>,
     /// Entries that were missing when the store returned, and until when they count.
     missing: BTreeMap<String, Instant>,
@@ -89,7 +89,7 @@
 
 impl WorkerList {
     /// Starts with no worker known.
-    pub(crate) fn new(adapter: &'static Adapter, inbox: Inbox, need: SharedListRole) -> Self {
+    pub(crate) fn new(adapter: &'static Adapter, inbox: Inbox, need: SharedPoolRole) -> Self {
         let now = Instant::now();
         Self {
             adapter,
@@ -129,7 +129,7 @@
 impl KeyHandler for WorkerList {
     /// Takes one registration over. Registrations may lapse while the store is away; the
     /// workers serve on, so that a missing entry is kept until they are back.
-    fn on_key(&mut self, key: &str, _revision: u64, value: Option<Bytes>) {
+    fn handle_key(&mut self, key: &str, _revision: u64, value: Option<Bytes>) {
         let Some(id) = key.strip_prefix(self.adapter.keys.workers) else { return };
         self.missing.remove(id);
         self.told = Instant::now();
@@ -153,7 +153,7 @@
         }
     }
 
-    fn on_store_state(&mut self, up: bool) {
+    fn handle_store_state(&mut self, up: bool) {
         let now = Instant::now();
         if !up {
             self.returning = now + Duration::from_millis(RETURN_MS);
@@ -173,7 +173,7 @@
     }
 
     /// What has been read is told at once: an owner waits for it before it starts tasks.
-    fn on_loaded(&mut self, _revision: u64) {
+    fn handle_loaded(&mut self, _revision: u64) {
         self.changed = true;
     }
 
