--- a/endivestile/src/args.rs
+++ b/endivestile/src/args.rs
@@ -4,20 +4,20 @@
 
 use clap::Parser;
 
-/// Entry host of endivestile: takes requests and jobs and has them run once.
+/// Entry host of endivestile: accepts requests and jobs and runs each of them once.
 ///
-/// Exit codes: 0 drained or settings in order, 1 a socket or thread could not
-/// be had, 2 settings or command line refused, 3 stopped with work left.
+/// Exit codes: 0 drained or settings valid, 1 a socket, thread or the log could
+/// not be opened, 2 invalid settings or command line, 3 stopped with work left.
 #[derive(Debug, Clone, Parser)]
 #[command(name = "endivestile", version)]
 pub struct Args {
-    /// Settings file in INI.
+    /// Settings file in INI format.
     #[arg(long, value_name = "FILE.ini")]
     pub config: Option<PathBuf>,
-    /// Overrides one setting; may be given several times.
+    /// Overrides one setting; can be repeated.
     #[arg(long = "set", value_name = "SECTION.KEY=VALUE")]
     pub overrides: Vec<String>,
-    /// Checks the settings and ends.
+    /// Checks the settings and exits.
     #[arg(long)]
     pub check: bool,
 }
--- a/endivestile/src/clock.rs
+++ b/endivestile/src/clock.rs
@@ -1,39 +1,39 @@
-//! The process's clocks.
+//! Conversion between the system's clocks and the kernel's time.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use endivestile_kernel::Time;
 
-/// Turns the machine's clock into the kernel's instants.
+/// Maps the system's monotonic clock to kernel time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
-    /// What the kernel calls zero.
+    /// Instant of kernel time zero.
     start: Instant,
 }
 
 impl Clock {
-    /// Starts a clock at zero.
+    /// Returns a clock that starts at zero.
     pub(crate) fn new() -> Self {
         Self { start: Instant::now() }
     }
 
-    /// Returns the present instant.
+    /// Returns the current time.
     pub(crate) fn now(self) -> Time {
         self.to_time(Instant::now())
     }
 
-    /// Returns the kernel's name of a machine's instant.
+    /// Converts an instant to kernel time; instants before the start become zero.
     pub(crate) fn to_time(self, instant: Instant) -> Time {
         Time::ZERO.after(instant.saturating_duration_since(self.start))
     }
 
-    /// Returns the machine's name of a kernel's instant, none when it never comes.
+    /// Converts kernel time to an instant, or `None` if it is out of range.
     pub(crate) fn to_instant(self, time: Time) -> Option<Instant> {
         self.start.checked_add(Duration::from_micros(time.as_micros()))
     }
 }
 
-/// Returns the time since 1970, zero on a machine whose clock stands before.
+/// Returns the time since the Unix epoch, zero if the system clock is before it.
 pub(crate) fn since_epoch() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/endivestile/src/counters.rs
+++ b/endivestile/src/counters.rs
@@ -1,21 +1,21 @@
-//! Counts of the kernel and the edges.
+//! Counters of the kernel and the I/O modules.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use endivestile_kernel::Metric;
 
-/// Counts since the start of the process, shared by all threads.
+/// Counters since the start of the process, shared by all threads.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Counters {
-    /// One count per entry of [`NAMES`].
-    counts: Arc<[AtomicU64; COUNT]>,
+    /// One counter per entry of [`NAMES`].
+    counts: Arc<[AtomicU64; COUNTERS]>,
 }
 
-/// Number of counts.
-const COUNT: usize = NAMES.len();
+/// Number of counters.
+const COUNTERS: usize = NAMES.len();
 
-/// Names of all counts, as in the metrics' page; the order is that of [`slot`] and [`IoMetric`].
+/// Names of all counters in the metrics, in the order of [`kernel_index`] and [`IoMetric`].
 const NAMES: [&str; 26] = [
     "accepted",
     "refused_not_run",
@@ -45,55 +45,55 @@
     "lines_dropped",
 ];
 
-/// What the edges count themselves.
+/// Counters of the I/O modules. The discriminants index [`NAMES`].
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum IoMetric {
     /// Calls refused as invalid.
     Invalid = 16,
-    /// Frames not sent: the link was down or its queue full.
+    /// Frames dropped because the link was down or its queue was full.
     FramesDropped,
-    /// Bytes of frames sent.
+    /// Bytes of sent frames.
     FrameBytes,
-    /// Links that broke or could not be made.
+    /// Links that broke or could not be established.
     LinksDown,
-    /// Calls to back ends that ended as lost.
+    /// Calls to backend servers whose answer was lost.
     BackendCallsLost,
-    /// Calls to back ends without a connection.
+    /// Calls to backend servers that could not be reached.
     BackendCallsUnreachable,
-    /// Reads and watches of the store for the watch.
+    /// Reads and watches of the platform's store.
     WatchCalls,
-    /// Grants, refreshes and registrations.
+    /// Store calls that grant, refresh or revoke a lease.
     LeaseCalls,
-    /// Calls to the store without an answer.
+    /// Store calls that failed.
     StoreErrors,
-    /// Log lines dropped because the log was too slow.
+    /// Log lines dropped because the output was too slow.
     LinesDropped,
 }
 
 impl Counters {
-    /// Counts an event of the kernel.
+    /// Adds to a counter of the kernel.
     pub(crate) fn count_kernel(&self, metric: Metric, count: u64) {
-        self.counts[slot(metric)].fetch_add(count, Ordering::Relaxed);
+        self.counts[kernel_index(metric)].fetch_add(count, Ordering::Relaxed);
     }
 
-    /// Counts an event of an edge.
-    pub(crate) fn count_io(&self, tally: IoMetric, count: u64) {
-        self.counts[tally as usize].fetch_add(count, Ordering::Relaxed);
+    /// Adds to a counter of an I/O module.
+    pub(crate) fn count_io(&self, metric: IoMetric, count: u64) {
+        self.counts[metric as usize].fetch_add(count, Ordering::Relaxed);
     }
 
-    /// Returns one count of an edge.
-    pub(crate) fn io_count(&self, tally: IoMetric) -> u64 {
-        self.counts[tally as usize].load(Ordering::Relaxed)
+    /// Returns a counter of an I/O module.
+    pub(crate) fn io_count(&self, metric: IoMetric) -> u64 {
+        self.counts[metric as usize].load(Ordering::Relaxed)
     }
 
-    /// Returns all counts with their names.
+    /// Returns all counters with their names.
     pub(crate) fn all(&self) -> impl Iterator<Item = (&'static str, u64)> {
         let counts = self.counts.iter().map(|count| count.load(Ordering::Relaxed));
         NAMES.into_iter().zip(counts.collect::<Vec<_>>())
     }
 }
 
-fn slot(metric: Metric) -> usize {
+fn kernel_index(metric: Metric) -> usize {
     match metric {
         Metric::Accepted => 0,
         Metric::RefusedNotRun => 1,
--- a/endivestile/src/effects.rs
+++ b/endivestile/src/effects.rs
@@ -1,4 +1,4 @@
-//! Hands the kernel's effects to the edges.
+//! Dispatches the kernel's effects to the I/O modules.
 
 use endivestile_kernel::Effect;
 
@@ -10,25 +10,25 @@
 use crate::peers::Links;
 use crate::store::Store;
 
-/// The ways out of the engine.
+/// The I/O modules that carry out effects.
 #[derive(Debug)]
 pub(crate) struct EffectHandlers {
-    /// Calls to back ends.
+    /// Calls to backend servers and workers.
     pub(crate) backends: Backends,
-    /// Links to peers.
+    /// Links to other entry hosts.
     pub(crate) links: Links,
     /// Calls to the platform's store.
     pub(crate) store: Store,
-    /// Checks of configurations.
+    /// Checks configurations received from peers.
     pub(crate) checker: ConfigChecker,
-    /// Replies to callers.
+    /// Writes replies to callers.
     pub(crate) replies: Voice,
-    /// Counts.
+    /// Counters of the process.
     pub(crate) counters: Counters,
 }
 
 impl EffectHandlers {
-    /// Carries out an effect; those that concern the engine itself come back.
+    /// Carries out an effect. Returns it if the engine has to handle it itself.
     pub(crate) fn execute(&self, effect: Effect) -> Option<Effect> {
         match effect {
             Effect::Send { address, frame } => self.links.send(address, frame),
--- a/endivestile/src/error.rs
+++ b/endivestile/src/error.rs
@@ -18,7 +18,7 @@
             display("step=read-settings file={}: {source}", path.display())
             source(source)
         }
-        /// The settings are refused.
+        /// The settings are invalid.
         Settings(source: Box<ConfigError>) {
             display("step=check-settings {source}")
             source(source)
@@ -28,7 +28,7 @@
         Log(reason: String) {
             display("step=open-log: {reason}")
         }
-        /// A socket could not be had.
+        /// A socket could not be opened.
         Bind { step: &'static str, address: String, reason: String } {
             display("step={step} address={address}: {reason}")
         }
@@ -37,11 +37,11 @@
             display("step={step}: {source}")
             source(source)
         }
-        /// No adapter of this name is built in.
+        /// No platform adapter of this name is built in.
         Adapter { name: Name } {
             display("step=choose-adapter name={name}: not built in")
         }
-        /// The loop's actor could not be started.
+        /// The engine's actor could not be started.
         Engine {
             display("step=start-engine: the engine did not start")
         }
@@ -49,7 +49,7 @@
 }
 
 impl RunError {
-    /// Returns the exit code that fits the error.
+    /// Returns the exit code for this error.
     pub fn exit(&self) -> Exit {
         match self {
             Self::Read { .. } | Self::Settings(_) | Self::Adapter { .. } => Exit::Refused,
@@ -58,14 +58,14 @@
     }
 }
 
-/// How the daemon ended, as its exit code.
+/// Exit code of the daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Drained, or the settings are in order.
+    /// Drained, or the settings are valid.
     Drained = 0,
-    /// A socket, thread or the log could not be had.
+    /// A socket, thread or the log could not be opened.
     Failed = 1,
-    /// Settings or command line refused.
+    /// Invalid settings or command line.
     Refused = 2,
     /// Stopped by a second signal or the stop limit, with work left.
     WorkLeft = 3,
--- a/endivestile/src/inbox.rs
+++ b/endivestile/src/inbox.rs
@@ -1,4 +1,4 @@
-//! The one channel by which every thread reaches the engine.
+//! The channel through which all threads send inputs to the engine.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,36 +9,36 @@
 
 use crate::http::Call;
 
-/// What the edges tell the engine.
+/// An input of the engine.
 #[derive(Debug)]
 pub(crate) enum Input {
     /// An event for the kernel.
     Event(Event),
-    /// A caller's call.
+    /// A call from a caller.
     Call(Box<Call>),
     /// The process was asked to stop.
     Stop,
 }
 
-/// Sending end of the channel, one copy per thread.
+/// Sending end of the engine's channel; each thread holds a clone.
 #[derive(Debug, Clone)]
 pub(crate) struct Inbox {
     /// The channel.
     sender: Sender<Input>,
-    /// Inputs posted and not yet taken.
+    /// Inputs in the channel.
     depth: Arc<AtomicU64>,
 }
 
 impl Inbox {
-    /// Makes the channel.
+    /// Creates the channel.
     pub(crate) fn new() -> (Self, InboxReceiver) {
         let (sender, receiver) = channel();
         let depth = Arc::new(AtomicU64::new(0));
-        let inlet = InboxReceiver { receiver, depth: Arc::clone(&depth) };
-        (Self { sender, depth }, inlet)
+        let inbox_receiver = InboxReceiver { receiver, depth: Arc::clone(&depth) };
+        (Self { sender, depth }, inbox_receiver)
     }
 
-    /// Posts an input; a stopped engine takes none, and nobody waits for it then.
+    /// Posts an input. It is dropped once the engine has stopped, when nothing waits for it.
     pub(crate) fn post(&self, input: Input) {
         self.depth.fetch_add(1, Ordering::Relaxed);
         let _ = self.sender.send(input);
@@ -49,30 +49,30 @@
         self.post(Input::Event(event));
     }
 
-    /// Returns how many inputs wait.
+    /// Returns the number of queued inputs.
     pub(crate) fn depth(&self) -> u64 {
         self.depth.load(Ordering::Relaxed)
     }
 }
 
-/// Receiving end of the channel.
+/// Receiving end of the engine's channel.
 #[derive(Debug)]
 pub(crate) struct InboxReceiver {
     /// The channel.
     receiver: Receiver<Input>,
-    /// Inputs posted and not yet taken.
+    /// Inputs in the channel.
     depth: Arc<AtomicU64>,
 }
 
 impl InboxReceiver {
-    /// Waits for an input, at most for `span`.
-    pub(crate) fn recv_timeout(&self, span: Duration) -> Option<Input> {
-        let input = self.receiver.recv_timeout(span).ok()?;
+    /// Waits for an input for at most `timeout`.
+    pub(crate) fn recv_timeout(&self, timeout: Duration) -> Option<Input> {
+        let input = self.receiver.recv_timeout(timeout).ok()?;
         self.depth.fetch_sub(1, Ordering::Relaxed);
         Some(input)
     }
 
-    /// Takes an input that already waits.
+    /// Returns a queued input without waiting.
     pub(crate) fn try_recv(&self) -> Option<Input> {
         let input = self.receiver.try_recv().ok()?;
         self.depth.fetch_sub(1, Ordering::Relaxed);
--- a/endivestile/src/lib.rs
+++ b/endivestile/src/lib.rs
@@ -1,8 +1,8 @@
-//! The entry host's daemon: edges around the kernel.
+//! The entry host's daemon: I/O around the kernel.
 //!
-//! Threads of the edges post typed inputs to one channel; a single thread runs
-//! a `stakker` loop with the kernel inside the actor `Engine` and hands the
-//! kernel's effects back to the edges.
+//! The threads of the I/O modules post typed inputs to one channel. A single
+//! thread runs a `stakker` loop with the actor `Engine`, which owns the kernel
+//! and passes the kernel's effects back to the I/O modules.
 
 mod args;
 mod backend;
--- a/endivestile/src/main.rs
+++ b/endivestile/src/main.rs
@@ -1,8 +1,8 @@
-//! The daemon of an entry host.
+//! The entry host daemon.
 
 use std::process::ExitCode;
 
-// Links the adapter in, which registers itself.
+// Links the platform adapter, which registers itself.
 use endivestile_platform as _;
 
 fn main() -> ExitCode {
--- a/endivestile/src/net.rs
+++ b/endivestile/src/net.rs
@@ -1,4 +1,4 @@
-//! The thread that carries links and calls to the store.
+//! The thread that runs the links between hosts and the calls to the store.
 
 use std::thread;
 
@@ -6,10 +6,10 @@
 
 use crate::error::RunError;
 
-/// One runtime on one thread; nothing on it may block.
+/// A single-threaded runtime in a background thread; tasks on it must not block.
 #[derive(Debug)]
 pub(crate) struct NetRuntime {
-    /// The runtime.
+    /// Handle of the runtime.
     handle: Handle,
 }
 
@@ -24,7 +24,7 @@
         Ok(Self { handle })
     }
 
-    /// Returns the way to start tasks on the thread.
+    /// Returns the handle that starts tasks on the thread.
     pub(crate) fn handle(&self) -> &Handle {
         &self.handle
     }
--- a/endivestile/src/run.rs
+++ b/endivestile/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts the daemon together and runs its loop.
+//! Assembles the daemon and runs its event loop.
 
 use std::cell::Cell;
 use std::ffi::OsString;
@@ -34,12 +34,12 @@
 use crate::store::{self, Store};
 use crate::{signals, statsd};
 
-/// Inputs handled before their effects are carried out.
-const BATCH: usize = 1_024;
+/// Largest number of inputs handled before their effects are carried out.
+const MAX_BATCH: usize = 1_024;
 /// Longest wait for an input, in seconds.
-const WAIT_S: u64 = 60;
+const MAX_WAIT_S: u64 = 60;
 
-/// Runs the daemon with the arguments of a command line.
+/// Runs the daemon with command-line arguments and returns its exit code.
 pub fn run_from(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let args = match Args::try_parse_from(args) {
         Ok(args) => args,
@@ -60,11 +60,11 @@
 ///
 /// # Errors
 ///
-/// Settings that are refused, or a socket or thread that cannot be had.
+/// Fails if the settings are invalid, or if a socket, thread or the log cannot be opened.
 pub fn run(args: &Args) -> Result<Exit, RunError> {
-    let settings = load(args)?;
+    let settings = load_settings(args)?;
     if args.check {
-        println!("settings are in order");
+        println!("settings are valid");
         return Ok(Exit::Drained);
     }
     let counters = Counters::default();
@@ -77,27 +77,27 @@
     fleet::serve(&settings, adapter, &counters, reloader)
 }
 
-/// Reads the settings again while the host runs.
+/// Reloads the settings of a running host.
 pub(crate) struct SettingsReloader {
     args: Args,
     log: LoggerHandle,
 }
 
 impl SettingsReloader {
-    /// Returns the file that the settings are read from, if they are.
+    /// Returns the path of the settings file, if there is one.
     pub(crate) fn path(&self) -> Option<&Path> {
         self.args.config.as_deref()
     }
 
-    /// Reads the settings and puts the log's level in force.
+    /// Reloads the settings and applies the log level.
     pub(crate) fn reload(&self) -> Result<Settings, RunError> {
-        let settings = load(&self.args)?;
+        let settings = load_settings(&self.args)?;
         logs::set_level(&self.log, &settings.log)?;
         Ok(settings)
     }
 }
 
-fn load(args: &Args) -> Result<Settings, RunError> {
+fn load_settings(args: &Args) -> Result<Settings, RunError> {
     let Some(path) = &args.config else {
         return Ok(Settings::load("", "command line", &args.overrides)?);
     };
@@ -106,23 +106,23 @@
     Ok(Settings::load(&text, &path.display().to_string(), &args.overrides)?)
 }
 
-/// Starts all handlers, then the loop.
+/// Starts the I/O modules and runs the event loop.
 fn serve(settings: &Settings, counters: Counters) -> Result<Exit, RunError> {
     let clock = Clock::new();
-    let adopted = CurrentConfig::default();
-    let (inbox, inlet) = Inbox::new();
+    let current_config = CurrentConfig::default();
+    let (inbox, inbox_receiver) = Inbox::new();
     let net = NetRuntime::start()?;
-    let callers = http::bind(net.handle(), settings.host.http)?;
-    let peers = peers::bind(settings.host.peers)?;
-    let address = advertised_address(settings, &peers)?;
+    let http_listener = http::bind(net.handle(), settings.host.http)?;
+    let peer_listener = peers::bind(settings.host.peers)?;
+    let address = advertised_address(settings, &peer_listener)?;
     let me = Peer::new(settings.host.name.clone(), since_epoch().as_micros() as u64);
-    let checker = ConfigChecker::start(inbox.clone(), adopted.clone())?;
+    let checker = ConfigChecker::start(inbox.clone(), current_config.clone())?;
     let replies = Say::pool();
     let desk = Desk {
         inbox: inbox.clone(),
         clock,
         settings: settings.calls.clone(),
-        adopted: adopted.clone(),
+        adopted: current_config.clone(),
         voice: replies.clone(),
         counters: counters.clone(),
     };
@@ -131,10 +131,10 @@
         me.host,
         me.birth,
         settings.host.zone,
-        local_address(&callers)?,
+        local_address(&http_listener)?,
     );
-    peers::serve(net.handle(), peers, inbox.clone())?;
-    let desk_store = store::Desk {
+    peers::serve(net.handle(), peer_listener, inbox.clone())?;
+    let store_desk = store::Desk {
         me: me.clone(),
         zone: settings.host.zone.clone(),
         address: address.clone(),
@@ -143,29 +143,35 @@
         checker: checker.clone(),
         counters: counters.clone(),
     };
-    let store = Store::start(net.handle(), desk_store)?;
+    let store = Store::start(net.handle(), store_desk)?;
     let links = Links::start(net.handle(), inbox.clone(), counters.clone());
     let backends = Backends::start(&settings.backends, clock, &me, inbox.clone(), counters.clone());
     statsd::start(&settings.metrics, &settings.host, counters.clone(), inbox.clone())?;
     signals::watch(inbox.clone())?;
-    http::serve(callers, &desk)?;
+    http::serve(http_listener, &desk)?;
     let handlers =
         EffectHandlers { backends, links, store: store.clone(), checker, replies, counters };
     let wall_s = since_epoch().as_secs();
     let seed = me.birth;
     let seeds = settings.host.seeds.iter();
-    let seeds = seeds.map(|(host, at)| seed_of(host, *at)).collect();
+    let seeds = seeds.map(|(host, address)| seed_host(host, *address)).collect();
     let setup = Setup { me, zone: settings.host.zone.clone(), address, wall_s, seed, seeds };
     let exit = Rc::new(Cell::new(Exit::Failed));
     let stop_limit_s = settings.stop.limit_s;
-    let parts =
-        EngineParts { setup, handlers, clock, adopted, stop_limit_s, exit: Rc::clone(&exit) };
-    turn(&inlet, parts);
+    let parts = EngineParts {
+        setup,
+        handlers,
+        clock,
+        current_config,
+        stop_limit_s,
+        exit: Rc::clone(&exit),
+    };
+    run_loop(&inbox_receiver, parts);
     store.leave();
     Ok(exit.get())
 }
 
-/// Returns the address that peers dial; port 0 stands for the one that was bound.
+/// Returns the address advertised to peers; port 0 is replaced by the bound port.
 pub(crate) fn advertised_address(
     settings: &Settings,
     bound: &TcpListener,
@@ -177,7 +183,7 @@
     Ok(Name::from(address.to_string()))
 }
 
-/// Returns the address to which a socket is bound.
+/// Returns the address that a socket is bound to.
 pub(crate) fn local_address(socket: &TcpListener) -> Result<SocketAddr, RunError> {
     socket.local_addr().map_err(|e| RunError::Bind {
         step: "read-address",
@@ -186,30 +192,30 @@
     })
 }
 
-/// Returns a host of the settings as one to ask for the configuration.
-fn seed_of(host: &Name, address: SocketAddr) -> Seed {
+/// Returns a host of the settings as a seed, which is asked for the configuration.
+fn seed_host(host: &Name, address: SocketAddr) -> Seed {
     Seed { host: host.clone(), address: Name::from(address.to_string()) }
 }
 
-/// Runs the loop until the engine ends it.
-fn turn(inlet: &InboxReceiver, parts: EngineParts) {
+/// Runs the event loop until the engine ends it.
+fn run_loop(inbox_receiver: &InboxReceiver, parts: EngineParts) {
     let mut stakker = Stakker::new(Instant::now());
     let engine = actor!(&mut stakker, Engine::init(parts), ret_nop!());
     call!([engine], finish_batch());
     stakker.run(Instant::now(), false);
     while stakker.not_shutdown() {
-        let wait = stakker.next_wait_max(Instant::now(), Duration::from_secs(WAIT_S), false);
-        drain(inlet, &engine, wait);
+        let wait = stakker.next_wait_max(Instant::now(), Duration::from_secs(MAX_WAIT_S), false);
+        handle_batch(inbox_receiver, &engine, wait);
         stakker.run(Instant::now(), false);
     }
 }
 
-/// Queues all waiting inputs for the engine, so that their frames share batches.
-fn drain(inlet: &InboxReceiver, engine: &Actor<Engine>, wait: Duration) {
-    let Some(first) = inlet.recv_timeout(wait) else { return };
+/// Passes all queued inputs to the engine at once, so that their frames share batches.
+fn handle_batch(inbox_receiver: &InboxReceiver, engine: &Actor<Engine>, wait: Duration) {
+    let Some(first) = inbox_receiver.recv_timeout(wait) else { return };
     call!([engine], handle_input(first));
-    for _ in 1..BATCH {
-        let Some(input) = inlet.try_recv() else { break };
+    for _ in 1..MAX_BATCH {
+        let Some(input) = inbox_receiver.try_recv() else { break };
         call!([engine], handle_input(input));
     }
     call!([engine], finish_batch());
--- a/endivestile/src/signals.rs
+++ b/endivestile/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that ask the process to stop.
+//! Handling of the signals that stop the process.
 
 use std::thread;
 
@@ -8,7 +8,7 @@
 use crate::error::RunError;
 use crate::inbox::{Inbox, Input};
 
-/// Posts every SIGTERM and SIGINT to the engine.
+/// Posts [`Input::Stop`] to the engine at every SIGTERM and SIGINT.
 pub(crate) fn watch(inbox: Inbox) -> Result<(), RunError> {
     let failed = |source| RunError::Thread { step: "watch-signals", source };
     let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(failed)?;
--- a/endivestile/src/statsd.rs
+++ b/endivestile/src/statsd.rs
@@ -1,4 +1,4 @@
-//! Sends counts and gauges to a statsd sink.
+//! Sends counters and gauges to a statsd server.
 
 use std::net::UdpSocket;
 use std::thread;
@@ -12,12 +12,12 @@
 use crate::inbox::Inbox;
 use crate::status::rss_kb;
 
-/// Prefix of all metrics.
+/// Prefix of all metric names.
 const PREFIX: &str = "endivestile";
-/// Metrics that may wait for the sink's thread; more are dropped.
-const WAITING: usize = 1_024;
+/// Metrics queued for the sink's thread; more are dropped.
+const MAX_QUEUED_METRICS: usize = 1_024;
 
-/// Starts the thread that sends the metrics.
+/// Starts the thread that sends the metrics at a fixed interval.
 pub(crate) fn start(
     settings: &MetricSettings,
     host: &HostSettings,
@@ -25,12 +25,12 @@
     inbox: Inbox,
 ) -> Result<(), RunError> {
     let client = client(settings, &host.name)?;
-    let pause = Duration::from_millis(settings.interval_ms);
+    let interval = Duration::from_millis(settings.interval_ms);
     let work = move || {
-        let mut sender = Sender { client, counters, inbox, sent: Vec::new() };
+        let mut reporter = Reporter { client, counters, inbox, sent: Vec::new() };
         loop {
-            thread::sleep(pause);
-            sender.send();
+            thread::sleep(interval);
+            reporter.send();
         }
     };
     let thread = thread::Builder::new().name("metrics".to_owned());
@@ -51,33 +51,33 @@
     let socket = UdpSocket::bind(any).map_err(|e| failed(e.to_string()))?;
     socket.set_nonblocking(true).map_err(|e| failed(e.to_string()))?;
     let sink = UdpMetricSink::from(address, socket).map_err(|e| failed(e.to_string()))?;
-    let queue = QueuingMetricSink::with_capacity(sink, WAITING);
+    let queue = QueuingMetricSink::with_capacity(sink, MAX_QUEUED_METRICS);
     Ok(StatsdClient::builder(PREFIX, queue).with_tag("host", host).build())
 }
 
-/// Sends what changed since the last time.
-struct Sender {
-    /// The sink.
+/// Sends the changes of the counters since the last interval.
+struct Reporter {
+    /// The statsd client.
     client: StatsdClient,
-    /// Counts of the process.
+    /// Counters of the process.
     counters: Counters,
-    /// The engine's channel, for its depth.
+    /// The engine's inbox, for its depth.
     inbox: Inbox,
-    /// Counts when they were last sent.
+    /// Values of the counters when they were last sent.
     sent: Vec<u64>,
 }
 
-impl Sender {
-    /// Sends counts as differences, and gauges. A sink that is down drops them.
+impl Reporter {
+    /// Sends counters as differences, and gauges. They are lost if the server is down.
     fn send(&mut self) {
-        for (at, (name, count)) in self.counters.all().enumerate() {
-            if self.sent.len() == at {
+        for (index, (name, count)) in self.counters.all().enumerate() {
+            if self.sent.len() == index {
                 self.sent.push(0);
             }
-            let grown = count - self.sent[at];
-            self.sent[at] = count;
-            if grown > 0 {
-                let _ = self.client.count(name, grown);
+            let delta = count - self.sent[index];
+            self.sent[index] = count;
+            if delta > 0 {
+                let _ = self.client.count(name, delta);
             }
         }
         let _ = self.client.gauge("rss_kb", rss_kb());
--- a/endivestile/src/thread_pool.rs
+++ b/endivestile/src/thread_pool.rs
@@ -1,4 +1,4 @@
-//! A bounded pool of threads that grows with the work at hand.
+//! A bounded thread pool that grows with its queue.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -8,14 +8,14 @@
 
 /// Work that may block its thread.
 pub(crate) trait Work: Send + 'static {
-    /// What all work of a pool shares.
+    /// State shared by all work of a pool.
     type Env: Send + Sync + 'static;
 
-    /// Does the work.
+    /// Does the work; it may block.
     fn perform(self, env: &Self::Env);
 }
 
-/// A pool of threads; each runs one piece of work at a time.
+/// A thread pool; each thread runs one piece of work at a time.
 pub(crate) struct Pool<W: Work> {
     /// State shared with the threads.
     shared: Arc<Shared<W>>,
@@ -23,63 +23,64 @@
 
 /// State shared by a pool and its threads.
 struct Shared<W: Work> {
-    /// Name of the threads.
+    /// Name of the threads, for logs and debuggers.
     name: &'static str,
-    /// Most threads.
+    /// Largest number of threads.
     limit: usize,
-    /// What all work shares.
+    /// State shared by all work.
     env: W::Env,
-    /// What changes.
+    /// Queue and thread counts.
     state: Mutex<State<W>>,
-    /// Signals new work.
-    ready: Condvar,
+    /// Signalled when work is queued.
+    work_queued: Condvar,
 }
 
-/// Queue and threads of a pool.
+/// Queue and thread counts of a pool.
 struct State<W> {
     /// Work that waits for a thread.
     queue: VecDeque<W>,
-    /// Threads.
+    /// Number of threads.
     threads: usize,
-    /// Threads that wait for work.
+    /// Number of threads that wait for work.
     idle: usize,
 }
 
 impl<W: Work> Pool<W> {
-    /// Makes a pool of at most `limit` threads; they start as work arrives.
+    /// Creates a pool of at most `limit` threads, which are started on demand.
     pub(crate) fn new(name: &'static str, limit: usize, env: W::Env) -> Self {
         let state = State { queue: VecDeque::new(), threads: 0, idle: 0 };
-        let shared = Shared { name, limit, env, state: Mutex::new(state), ready: Condvar::new() };
+        let shared =
+            Shared { name, limit, env, state: Mutex::new(state), work_queued: Condvar::new() };
         Self { shared: Arc::new(shared) }
     }
 
-    /// Queues work, and starts a thread for it if none is idle.
+    /// Queues work, and starts a thread if too few are idle.
     pub(crate) fn push(&self, work: W) {
         let mut state = self.shared.lock();
         state.queue.push_back(work);
         if state.queue.len() > state.idle && state.threads < self.shared.limit {
-            self.grow(&mut state);
+            self.add_thread(&mut state);
         }
         drop(state);
-        self.shared.ready.notify_one();
+        self.shared.work_queued.notify_one();
     }
 
-    /// Returns how much work waits for a thread.
+    /// Returns the amount of queued work.
     pub(crate) fn queued(&self) -> usize {
         self.shared.lock().queue.len()
     }
 
-    /// Returns how much work waits or runs.
+    /// Returns the amount of queued and running work.
     pub(crate) fn pending(&self) -> usize {
         let state = self.shared.lock();
         state.queue.len() + state.threads - state.idle
     }
 
-    /// Starts one more thread; a machine out of threads leaves the work to those there are.
-    fn grow(&self, state: &mut State<W>) {
+    /// Starts one more thread. If that fails, the work waits for an existing thread.
+    fn add_thread(&self, state: &mut State<W>) {
         let shared = Arc::clone(&self.shared);
         let thread = thread::Builder::new().name(shared.name.to_owned());
-        if thread.spawn(move || shared.serve()).is_ok() {
+        if thread.spawn(move || shared.run_thread()).is_ok() {
             state.threads += 1;
         }
     }
@@ -100,32 +101,32 @@
 impl<W: Work> Shared<W> {
     /// Runs work until the process ends.
     ///
-    /// A library that panics in the middle of a piece of work would end the
-    /// thread, unnoticed but for a pool that slowly runs out of threads; so
-    /// the panic is caught, and whoever waits is told by the work's own drop.
-    fn serve(&self) {
+    /// Panics of the work are caught: otherwise each would end a thread, and the
+    /// pool would silently run out of threads. The work's own `Drop` notifies
+    /// whoever waits for its result.
+    fn run_thread(&self) {
         loop {
-            let work = self.take();
+            let work = self.next_work();
             if catch_unwind(AssertUnwindSafe(|| work.perform(&self.env))).is_err() {
                 log::error!("event=work_panicked pool={}", self.name);
             }
         }
     }
 
-    /// Waits for work.
-    fn take(&self) -> W {
+    /// Waits for the next piece of work.
+    fn next_work(&self) -> W {
         let mut state = self.lock();
         loop {
             if let Some(work) = state.queue.pop_front() {
                 return work;
             }
             state.idle += 1;
-            state = self.ready.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = self.work_queued.wait(state).unwrap_or_else(PoisonError::into_inner);
             state.idle -= 1;
         }
     }
 
-    /// Locks the state; no code panics while it is locked.
+    /// Locks the state. A poisoned lock is used as is: no code panics while holding it.
     fn lock(&self) -> MutexGuard<'_, State<W>> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
