--- a/endivestile/src/engine.rs
+++ b/endivestile/src/engine.rs
@@ -82,7 +82,7 @@
     /// Latest end of the wait for a quiet period, once the kernel has drained.
     quiet_limit: Option<Time>,
     /// Arrival time of the last submission or query.
-    last_call: Time,
+    last_call_at: Time,
     /// How the process ended; set when the engine stops.
     exit: Rc<Cell<Exit>>,
 }
@@ -102,7 +102,7 @@
             stop_limit_s: parts.stop_limit_s,
             stopping: false,
             quiet_limit: None,
-            last_call: Time::ZERO,
+            last_call_at: Time::ZERO,
             exit: parts.exit,
         })
     }
@@ -179,7 +179,7 @@
 
     /// Registers a call that waits for its answer.
     fn open_call(&mut self, cx: CX![], open: OpenCall) -> CallId {
-        self.last_call = self.clock.to_time(cx.now());
+        self.last_call_at = self.clock.to_time(cx.now());
         let call = CallId(self.next_call);
         self.next_call += 1;
         self.calls.insert(call, open);
@@ -277,7 +277,7 @@
     fn end_when_quiet(&mut self, cx: CX![]) {
         let now = self.clock.to_time(cx.now());
         let limit = self.quiet_limit.unwrap_or(now);
-        let quiet_at = self.last_call.after_ms(QUIET_MS).min(limit);
+        let quiet_at = self.last_call_at.after_ms(QUIET_MS).min(limit);
         if quiet_at <= now && self.calls.is_empty() && self.handlers.replies.pending() == 0 {
             log::info!("event=drained");
             self.end(cx, Exit::Drained);
--- a/endivestile/src/fleet/engine.rs
+++ b/endivestile/src/fleet/engine.rs
@@ -1,4 +1,4 @@
-//! The actor that holds the fleet.
+//! The actor that runs the kernel's fleet.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,30 +26,31 @@
 use crate::peers::Links;
 use crate::run::SettingsReloader;
 
-/// Time without a call that a stopping host waits for, in milliseconds: the
-/// balancer needs two probes to see that it takes nothing new.
+/// Time without a new job before a stopping host ends, in milliseconds: the load
+/// balancer needs two probes to notice that the host accepts no new work.
 const QUIET_MS: u64 = 400;
-/// Part of the time until it is killed after which a stopping host refuses new
-/// calls, in percent. Connections stay open and carry calls until the end; one
-/// that came later might not be answered before the process is killed.
-const REFUSE_PART: u64 = 40;
-/// Part of that time in which it has to end, in percent; what is still open
-/// then is told so, since a closed connection tells its caller nothing.
-const GRACE_PART: u64 = 92;
-/// Time for open connections to close and for last answers, in milliseconds.
+/// Part of the grace period after which a stopping host refuses new jobs, in
+/// percent. Connections stay open and carry calls until the end, but a job that
+/// arrives later might not be answered before the process is killed.
+const REFUSE_AFTER_PERCENT: u64 = 40;
+/// Part of the grace period after which a stopping host ends, in percent. Calls
+/// that are still open are answered first, since a closed connection would not
+/// tell callers how their jobs ended.
+const END_AFTER_PERCENT: u64 = 92;
+/// Time for open connections to close and for the last responses, in milliseconds.
 const CLOSE_MS: u64 = 40;
 
-/// What an engine is made of.
+/// Everything needed to start an engine.
 pub(crate) struct EngineParts {
-    /// How the fleet starts.
+    /// Initial state of the fleet.
     pub(crate) setup: FleetSetup,
-    /// The translation.
+    /// The platform adapter.
     pub(crate) adapter: &'static Adapter,
     /// The process's clock.
     pub(crate) clock: Clock,
-    /// The engine's own channel.
+    /// The engine's inbox.
     pub(crate) inbox: Inbox,
-    /// Links to peers.
+    /// Links to other entry hosts.
     pub(crate) links: Links,
     /// Calls to workers.
     pub(crate) workers: WorkerClient,
@@ -57,33 +58,34 @@
     pub(crate) store: StoreClient,
     /// This host's registration.
     pub(crate) registration: watch::Sender<Registration>,
-    /// How often the list of workers is needed.
+    /// The role of this host, which decides how often it reads the list of workers.
     pub(crate) pool_role: SharedPoolRole,
-    /// Limits on callers.
+    /// Limits on callers, shared with the HTTP server.
     pub(crate) limits: Arc<RwLock<Limits>>,
-    /// Set to close callers' connections.
+    /// Set to `true` to close callers' connections.
     pub(crate) closing: watch::Sender<bool>,
-    /// Counts and latencies.
+    /// Counters, gauges and latencies.
     pub(crate) metrics: Metrics,
-    /// Reads the settings again.
+    /// Reloads the settings.
     pub(crate) reloader: SettingsReloader,
-    /// Time from the signal to stop until the process is killed, in milliseconds.
+    /// Grace period: time from the stop signal until the process is killed, in
+    /// milliseconds.
     pub(crate) grace_ms: u64,
-    /// Where the way the process ends is left.
+    /// How the process ended; set when the engine stops.
     pub(crate) exit: Rc<Cell<Exit>>,
 }
 
 /// The fleet with its open calls and timer.
 pub(crate) struct Engine {
     fleet: Fleet,
-    waiting: OpenCalls,
+    open_calls: OpenCalls,
     parts: EngineParts,
     effects: Vec<FleetEffect>,
     timer: Option<(Time, FixedTimerKey)>,
     stopping: bool,
-    refusing: bool,
+    refusing_jobs: bool,
     drained: bool,
-    called: Time,
+    last_job_at: Time,
 }
 
 impl Engine {
@@ -91,52 +93,52 @@
     pub(crate) fn init(_cx: CX![], parts: EngineParts) -> Option<Self> {
         Some(Self {
             fleet: Fleet::new(parts.setup.clone()),
-            waiting: OpenCalls::new(parts.adapter),
+            open_calls: OpenCalls::new(parts.adapter),
             parts,
             effects: Vec::new(),
             timer: None,
             stopping: false,
-            refusing: false,
+            refusing_jobs: false,
             drained: false,
-            called: Time::ZERO,
+            last_job_at: Time::ZERO,
         })
     }
 
-    /// Takes one input.
+    /// Handles one input.
     pub(crate) fn handle_input(&mut self, cx: CX![], input: Input) {
         let now = self.parts.clock.to_time(cx.now());
         match input {
             Input::Event(event) => {
                 if let FleetEvent::Cancel(call) = &event {
-                    self.waiting.remove(*call);
+                    self.open_calls.remove(*call);
                 }
-                self.event(now, event);
+                self.handle_event(now, event);
             }
-            Input::Call(call) => self.call(now, *call),
-            Input::Stop => self.stop(cx, now),
-            Input::Reload => self.reload(),
+            Input::Call(call) => self.handle_call(now, *call),
+            Input::Stop => self.handle_stop(cx, now),
+            Input::Reload => self.reload_settings(),
         }
     }
 
-    /// Ends a batch of inputs.
+    /// Finishes a batch of inputs: carries out the effects and sets the timer.
     pub(crate) fn finish_batch(&mut self, cx: CX![]) {
         let now = self.parts.clock.to_time(cx.now());
         self.fleet.flush(now, &mut self.effects);
-        self.carry(cx, now);
-        self.arm(cx);
+        self.run_effects(cx, now);
+        self.set_timer(cx);
     }
 
-    fn event(&mut self, now: Time, event: FleetEvent) {
-        let table = matches!(event, FleetEvent::Routes(_));
+    fn handle_event(&mut self, now: Time, event: FleetEvent) {
+        let routes_changed = matches!(event, FleetEvent::Routes(_));
         self.fleet.handle(now, event);
-        if table && let Some(table) = self.fleet.route_table() {
+        if routes_changed && let Some(table) = self.fleet.route_table() {
             *self.parts.limits.write().unwrap_or_else(PoisonError::into_inner) = table.limits;
         }
     }
 
-    /// Reads the settings again. What binds sockets or names the host stays as
-    /// it is until the next start; settings that are refused change nothing.
-    fn reload(&mut self) {
+    /// Reloads the settings. Those that bind sockets or name the host apply at the
+    /// next start; invalid settings change nothing.
+    fn reload_settings(&mut self) {
         match self.parts.reloader.reload() {
             Ok(settings) => {
                 self.parts.grace_ms = settings.platform.grace_ms;
@@ -149,25 +151,25 @@
         }
     }
 
-    /// Serves a caller.
-    fn call(&mut self, now: Time, call: HttpCall) {
+    /// Handles a call.
+    fn handle_call(&mut self, now: Time, call: HttpCall) {
         let table = self.fleet.route_table().map(AsRef::as_ref);
         let demand = (self.parts.adapter.demand)(&call.head, &call.body, table, now);
-        let say = match demand {
-            Demand::Submit(_) if self.refusing => {
+        let answer = match demand {
+            Demand::Submit(_) if self.refusing_jobs => {
                 let reason = Reason::NoPlacer;
                 log::info!("event=call_refused path={} reason=stopping", call.head.uri.path());
                 Say::Ended(JobEnd::NotRun { reason, retry: now }, now)
             }
             Demand::Submit(job) => {
-                self.called = now;
-                self.waiting.insert(call.call, call.reply);
+                self.last_job_at = now;
+                self.open_calls.insert(call.call, call.reply);
                 self.fleet.handle(now, FleetEvent::Call { call: call.call, job: *job });
                 return;
             }
             Demand::Pending(route) => Say::Pending(self.fleet.pending(now, &route)),
             Demand::State(id) => Say::State(self.fleet.find(&id).is_some()),
-            Demand::Cancel(id) => Say::Cancelled(self.cancel(now, &id)),
+            Demand::Cancel(id) => Say::Cancelled(self.cancel_job(now, &id)),
             Demand::Ready => Say::Ready(self.ready()),
             Demand::Refuse(refused) => {
                 log::info!(
@@ -179,13 +181,13 @@
                 Say::Refused(refused)
             }
         };
-        self.waiting.respond(call.reply, &say);
+        self.open_calls.respond(call.reply, &answer);
     }
 
-    fn cancel(&mut self, now: Time, id: &str) -> bool {
+    fn cancel_job(&mut self, now: Time, id: &str) -> bool {
         let Some(call) = self.fleet.find(id) else { return false };
         self.fleet.handle(now, FleetEvent::Cancel(call));
-        self.waiting.answer(call, &Say::Ended(JobEnd::Lost(Reason::Cancelled), now));
+        self.open_calls.answer(call, &Say::Ended(JobEnd::Lost(Reason::Cancelled), now));
         true
     }
 
@@ -194,18 +196,18 @@
     }
 
     /// Carries out all effects.
-    fn carry(&mut self, cx: CX![], now: Time) {
+    fn run_effects(&mut self, cx: CX![], now: Time) {
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
             match effect {
                 FleetEffect::Answer { call, end } => {
-                    self.waiting.answer(call, &Say::Ended(end, now));
+                    self.open_calls.answer(call, &Say::Ended(end, now));
                 }
                 FleetEffect::Send { address, frame } => self.parts.links.send(address, frame),
                 FleetEffect::Reconnect(address) => self.parts.links.redial(address),
                 FleetEffect::WorkerCall(call) => self.parts.workers.call(call),
-                FleetEffect::StoreCall { op_id: token, op } => {
-                    records::spawn_store_call(&self.parts.store, &self.parts.inbox, token, op);
+                FleetEffect::StoreCall { op_id, op } => {
+                    records::spawn_store_call(&self.parts.store, &self.parts.inbox, op_id, op);
                 }
                 FleetEffect::RegisterLeaving => {
                     self.parts.registration.send_modify(|registration| {
@@ -220,7 +222,7 @@
                 FleetEffect::Gauge(gauge, value) => self.parts.metrics.set_gauge(gauge, value),
                 FleetEffect::Drained => {
                     self.drained = true;
-                    self.linger(cx);
+                    self.close_when_quiet(cx);
                 }
             }
         }
@@ -229,7 +231,7 @@
     }
 
     /// Sets the timer for the fleet's next deadline.
-    fn arm(&mut self, cx: CX![]) {
+    fn set_timer(&mut self, cx: CX![]) {
         let deadline = self.fleet.deadline();
         if self.timer.as_ref().is_some_and(|(time, _)| *time == deadline) {
             return;
@@ -238,70 +240,71 @@
             cx.timer_del(key);
         }
         if let Some(instant) = self.parts.clock.to_instant(deadline) {
-            self.timer = Some((deadline, at!(instant, [cx], tick())));
+            self.timer = Some((deadline, at!(instant, [cx], handle_timer())));
         }
     }
 
-    fn tick(&mut self, cx: CX![]) {
+    fn handle_timer(&mut self, cx: CX![]) {
         self.timer = None;
         self.finish_batch(cx);
     }
 
-    /// Stops gracefully at the first signal, at once at the second.
-    fn stop(&mut self, cx: CX![], now: Time) {
+    /// Starts a graceful shutdown at the first signal; the second one ends the process.
+    fn handle_stop(&mut self, cx: CX![], now: Time) {
         if self.stopping {
             self.end(cx, Exit::WorkLeft, "second_signal");
             return;
         }
         self.stopping = true;
-        self.waiting.close_connections();
-        let part = |percent: u64| Duration::from_millis(self.parts.grace_ms * percent / 100);
-        after!(part(REFUSE_PART), [cx], refuse());
-        after!(part(GRACE_PART), [cx], limit());
-        self.event(now, FleetEvent::Shutdown);
+        self.open_calls.close_connections();
+        let share = |percent: u64| Duration::from_millis(self.parts.grace_ms * percent / 100);
+        after!(share(REFUSE_AFTER_PERCENT), [cx], refuse_jobs());
+        after!(share(END_AFTER_PERCENT), [cx], handle_stop_limit());
+        self.handle_event(now, FleetEvent::Shutdown);
     }
 
-    fn refuse(&mut self, _cx: CX![]) {
-        self.refusing = true;
+    fn refuse_jobs(&mut self, _cx: CX![]) {
+        self.refusing_jobs = true;
     }
 
-    /// The time to stop is nearly over: tells everybody who still waits.
-    fn limit(&mut self, cx: CX![]) {
+    /// Answers all open calls shortly before the end of the grace period, and ends.
+    fn handle_stop_limit(&mut self, cx: CX![]) {
         let now = self.parts.clock.to_time(cx.now());
-        let open = self.waiting.len();
-        for call in self.waiting.ids() {
+        let open = self.open_calls.len();
+        for call in self.open_calls.ids() {
             self.fleet.handle(now, FleetEvent::Cancel(call));
-            self.waiting.answer(call, &Say::Ended(JobEnd::Lost(Reason::Deadline), now));
+            self.open_calls.answer(call, &Say::Ended(JobEnd::Lost(Reason::Deadline), now));
         }
         self.finish_batch(cx);
         log::info!("event=stop_limit open_calls={open}");
-        self.close(cx);
+        self.close_and_end(cx);
     }
 
-    /// Closes up once no caller has called for a while.
-    fn linger(&mut self, cx: CX![]) {
+    /// Ends once the fleet has drained, no call is open and no job has arrived for [`QUIET_MS`].
+    fn close_when_quiet(&mut self, cx: CX![]) {
         let now = self.parts.clock.to_time(cx.now());
-        if self.drained && self.waiting.len() == 0 && self.called.after_ms(QUIET_MS) <= now {
-            self.close(cx);
+        if self.drained && self.open_calls.len() == 0 && self.last_job_at.after_ms(QUIET_MS) <= now
+        {
+            self.close_and_end(cx);
         } else {
-            after!(Duration::from_millis(QUIET_MS / 8), [cx], linger());
+            after!(Duration::from_millis(QUIET_MS / 8), [cx], close_when_quiet());
         }
     }
 
-    /// Closes the connections that nobody uses, and ends shortly after.
-    fn close(&mut self, cx: CX![]) {
-        self.refusing = true;
+    /// Closes idle connections, and ends after [`CLOSE_MS`].
+    fn close_and_end(&mut self, cx: CX![]) {
+        self.refusing_jobs = true;
         self.parts.closing.send_replace(true);
         after!(Duration::from_millis(CLOSE_MS), [cx], finish());
     }
 
     fn finish(&mut self, cx: CX![]) {
-        let exit = if self.waiting.len() == 0 { Exit::Drained } else { Exit::WorkLeft };
+        let exit = if self.open_calls.len() == 0 { Exit::Drained } else { Exit::WorkLeft };
         self.end(cx, exit, "drained");
     }
 
     fn end(&mut self, cx: CX![], exit: Exit, cause: &str) {
-        log::info!("event=stopped cause={cause} open_calls={}", self.waiting.len());
+        log::info!("event=stopped cause={cause} open_calls={}", self.open_calls.len());
         self.parts.exit.set(exit);
         cx.shutdown(StopCause::Stopped);
     }
--- a/endivestile/src/fleet/head_timeout.rs
+++ b/endivestile/src/fleet/head_timeout.rs
@@ -1,9 +1,9 @@
-//! Sockets of callers that tell when the head of a request begins to arrive.
+//! Timeout for request heads that arrive slowly.
 //!
-//! The HTTP library bounds the time for a head only together with the time for
-//! which a connection may rest between two requests, and closes it without an
-//! answer. A caller that sends its head a byte at a time would hold a
-//! descriptor for all that time, and learn nothing.
+//! The HTTP library has only one timeout for a request head and for the idle time
+//! before it, and closes the connection without a response. A caller that sends
+//! its head a byte at a time would hold a file descriptor for all that time and
+//! get no reason. The socket is wrapped to notice when a head begins to arrive.
 
 use std::io;
 use std::pin::Pin;
@@ -17,36 +17,40 @@
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum ConnectionStage {
-    /// Nothing of the next request has come.
+    /// Nothing of the next request has arrived.
     Idle,
-    /// A head has begun, and has to be whole by then.
+    /// A head has begun to arrive and has to be complete by this deadline.
     Head(Instant),
     /// A request is being served.
     Serving,
 }
 
-/// A socket, and the stage of its connection.
+/// A socket that sets the stage of its connection when a head begins to arrive.
 #[derive(Debug)]
 pub(crate) struct HeadTimeoutStream {
     stream: TcpStream,
     stage: Sender<ConnectionStage>,
-    head_ms: u64,
+    head_timeout_ms: u64,
 }
 
 impl HeadTimeoutStream {
-    /// Watches a socket whose heads may take `head_ms` milliseconds.
-    pub(crate) fn new(stream: TcpStream, stage: Sender<ConnectionStage>, head_ms: u64) -> Self {
-        Self { stream, stage, head_ms }
+    /// Wraps a socket whose request heads may take `head_timeout_ms` milliseconds.
+    pub(crate) fn new(
+        stream: TcpStream,
+        stage: Sender<ConnectionStage>,
+        head_timeout_ms: u64,
+    ) -> Self {
+        Self { stream, stage, head_timeout_ms }
     }
 }
 
-/// Waits until a head is overdue.
+/// Waits until the deadline of a head has passed.
 pub(crate) async fn head_overdue(mut stages: Receiver<ConnectionStage>) {
     loop {
         let stage = *stages.borrow_and_update();
         let changed = match stage {
-            ConnectionStage::Head(due) => tokio::select! {
-                () = sleep_until(due) => return,
+            ConnectionStage::Head(deadline) => tokio::select! {
+                () = sleep_until(deadline) => return,
                 changed = stages.changed() => changed,
             },
             ConnectionStage::Idle | ConnectionStage::Serving => stages.changed().await,
@@ -66,13 +70,13 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            let due = Instant::now() + Duration::from_millis(self.head_ms);
+            let deadline = Instant::now() + Duration::from_millis(self.head_timeout_ms);
             self.stage.send_if_modified(|stage| {
-                let begins = *stage == ConnectionStage::Idle;
-                if begins {
-                    *stage = ConnectionStage::Head(due);
+                let head_begins = *stage == ConnectionStage::Idle;
+                if head_begins {
+                    *stage = ConnectionStage::Head(deadline);
                 }
-                begins
+                head_begins
             });
         }
         polled
--- a/endivestile/src/fleet/http_server.rs
+++ b/endivestile/src/fleet/http_server.rs
@@ -1,4 +1,4 @@
-//! Takes callers' calls, and sees when a caller goes away.
+//! HTTP server for callers; cancels the calls of callers that disconnect.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -27,20 +27,21 @@
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1_024;
-/// Least buffer for a head that the library accepts, in bytes.
-const MIN_BUFFER: usize = 8_192;
-/// Answer to a head that did not come in time; the library knows no status for that.
-const HEAD_LATE: &[u8] =
+/// Smallest buffer for a request head that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8_192;
+/// Response to a request head that did not arrive in time. The HTTP library closes
+/// such a connection without a response.
+const HEAD_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-/// Pause after an accept that failed, in milliseconds: descriptors have run
-/// out, and others are freed meanwhile.
-const ACCEPT_MS: u64 = 20;
+/// Pause after a failed accept, in milliseconds. Accepting fails when the process has
+/// run out of file descriptors; some may be freed meanwhile.
+const ACCEPT_RETRY_MS: u64 = 20;
 
-/// Answers every request on a socket with the page of counts and latencies.
+/// Answers every request on a socket with the metrics page.
 pub(crate) async fn serve_metrics(listener: TcpListener, metrics: Metrics) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(Duration::from_millis(ACCEPT_MS)).await;
+            tokio::time::sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             continue;
         };
         let metrics = metrics.clone();
@@ -52,20 +53,20 @@
     }
 }
 
-/// What all connections share.
+/// State shared by all connections.
 #[derive(Debug, Clone)]
 pub(crate) struct ServerContext {
-    /// The engine.
+    /// The engine's inbox.
     pub(crate) inbox: Inbox,
-    /// Limits in force.
+    /// Current limits on callers.
     pub(crate) limits: Arc<RwLock<Limits>>,
-    /// Number of the next call.
-    pub(crate) serial: Arc<AtomicU64>,
-    /// Set when open connections are to be closed.
+    /// Id of the next call.
+    pub(crate) next_call: Arc<AtomicU64>,
+    /// Set to `true` when open connections have to be closed.
     pub(crate) closing: watch::Receiver<bool>,
 }
 
-/// Opens a socket for callers; returns it with the address that was bound.
+/// Opens a listening socket. Returns it with the address it is bound to.
 pub(crate) fn bind(address: SocketAddr) -> Result<(TcpListener, SocketAddr), RunError> {
     let failed = |e: std::io::Error| RunError::Bind {
         step: "listen-http",
@@ -82,33 +83,33 @@
 }
 
 /// Accepts connections until the process ends.
-pub(crate) async fn accept(listener: TcpListener, desk: ServerContext) {
+pub(crate) async fn accept(listener: TcpListener, context: ServerContext) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(connection(stream, desk.clone()));
+                tokio::spawn(handle_connection(stream, context.clone()));
             }
             Err(e) => {
                 log::warn!("event=accept_failed step=accept error={:?}", e.to_string());
-                tokio::time::sleep(Duration::from_millis(ACCEPT_MS)).await;
+                tokio::time::sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
     }
 }
 
-/// Serves one connection. The library drops the call that is being served when
-/// the caller closes the connection, and [`Open`] tells the engine.
-async fn connection(stream: TcpStream, desk: ServerContext) {
+/// Serves one connection. When the caller closes it, the HTTP library drops the
+/// call being served, and [`CancelGuard`] cancels it in the engine.
+async fn handle_connection(stream: TcpStream, context: ServerContext) {
     let _ = stream.set_nodelay(true);
-    let limits = desk.limits();
-    let mut closing = desk.closing.clone();
+    let limits = context.limits();
+    let mut closing = context.closing.clone();
     let (stage, stages) = watch::channel(ConnectionStage::Idle);
     let stream = HeadTimeoutStream::new(stream, stage.clone(), limits.head_timeout_ms);
-    let service = service_fn(move |request| serve_one(request, desk.clone(), stage.clone()));
+    let service = service_fn(move |request| serve_request(request, context.clone(), stage.clone()));
     let mut served = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
-        .max_buf_size(limits.head_bytes.max(MIN_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let ended = tokio::select! {
         ended = &mut served => ended,
@@ -126,32 +127,32 @@
     }
 }
 
-/// Tells a caller that its head came too slowly, and closes its connection.
+/// Responds that the request head arrived too slowly, and closes the connection.
 async fn refuse_head(mut stream: HeadTimeoutStream) {
     log::info!("event=call_refused step=read-head status=408");
-    let told = stream.write_all(HEAD_LATE).await;
-    if let Err(e) = told.and(stream.shutdown().await) {
+    let written = stream.write_all(HEAD_TIMEOUT_RESPONSE).await;
+    if let Err(e) = written.and(stream.shutdown().await) {
         log::debug!("event=connection_ended step=refuse-head error={:?}", e.to_string());
     }
 }
 
-async fn serve_one(
+async fn serve_request(
     request: hyper::Request<Incoming>,
-    desk: ServerContext,
+    context: ServerContext,
     stage: watch::Sender<ConnectionStage>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     stage.send_replace(ConnectionStage::Serving);
-    let response = serve(request, desk).await;
+    let response = handle_request(request, context).await;
     stage.send_replace(ConnectionStage::Idle);
     response
 }
 
-async fn serve(
+async fn handle_request(
     request: hyper::Request<Incoming>,
-    desk: ServerContext,
+    context: ServerContext,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (head, body) = request.into_parts();
-    let limits = desk.limits();
+    let limits = context.limits();
     let body = match timeout(
         Duration::from_millis(limits.head_timeout_ms),
         Limited::new(body, limits.body_bytes).collect(),
@@ -160,21 +161,24 @@
     {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
-            return Ok(bare(StatusCode::PAYLOAD_TOO_LARGE));
+            return Ok(empty_response(StatusCode::PAYLOAD_TOO_LARGE));
         }
-        Ok(Err(_)) => return Ok(bare(StatusCode::BAD_REQUEST)),
-        Err(_) => return Ok(bare(StatusCode::REQUEST_TIMEOUT)),
+        Ok(Err(_)) => return Ok(empty_response(StatusCode::BAD_REQUEST)),
+        Err(_) => return Ok(empty_response(StatusCode::REQUEST_TIMEOUT)),
     };
-    let call = CallId(desk.serial.fetch_add(1, Ordering::Relaxed));
+    let call = CallId(context.next_call.fetch_add(1, Ordering::Relaxed));
     let (reply, answer) = oneshot::channel();
-    let mut open = Open { call, inbox: desk.inbox.clone(), answered: false };
-    desk.inbox.post(Input::Call(Box::new(HttpCall { call, head, body, reply })));
+    let mut guard = CancelGuard { call, inbox: context.inbox.clone(), answered: false };
+    context.inbox.post(Input::Call(Box::new(HttpCall { call, head, body, reply })));
     let answer = answer.await;
-    open.answered = true;
-    Ok(answer.map_or_else(|_| bare(StatusCode::SERVICE_UNAVAILABLE), |say| say.map(Full::new)))
+    guard.answered = true;
+    Ok(answer.map_or_else(
+        |_| empty_response(StatusCode::SERVICE_UNAVAILABLE),
+        |answer| answer.map(Full::new),
+    ))
 }
 
-fn bare(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
@@ -186,14 +190,14 @@
     }
 }
 
-/// A call that is being served; tells the engine when its caller leaves.
-struct Open {
+/// Cancels a call in the engine if it is dropped before the call is answered.
+struct CancelGuard {
     call: CallId,
     inbox: Inbox,
     answered: bool,
 }
 
-impl Drop for Open {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if !self.answered {
             self.inbox.post_event(FleetEvent::Cancel(self.call));
--- a/endivestile/src/fleet/inbox.rs
+++ b/endivestile/src/fleet/inbox.rs
@@ -1,4 +1,4 @@
-//! The one channel by which the edges reach the engine.
+//! The channel through which the I/O modules send inputs to the engine.
 
 use bytes::Bytes;
 use endivestile_kernel::fleet::FleetEvent;
@@ -10,49 +10,49 @@
 
 use crate::peers::Uplink;
 
-/// A caller's call, whole.
+/// A completely received call.
 #[derive(Debug)]
 pub(crate) struct HttpCall {
-    /// Number of the call.
+    /// Id of the call.
     pub(crate) call: CallId,
-    /// Head.
+    /// Head of the request.
     pub(crate) head: Parts,
-    /// Body.
+    /// Body of the request.
     pub(crate) body: Bytes,
-    /// The way back.
+    /// Sends the response.
     pub(crate) reply: oneshot::Sender<Response<Bytes>>,
 }
 
-/// What the edges tell the engine.
+/// An input of the engine.
 #[derive(Debug)]
 pub(crate) enum Input {
     /// An event for the fleet.
     Event(FleetEvent),
-    /// A caller's call.
+    /// A call from a caller.
     Call(Box<HttpCall>),
     /// The process was asked to stop.
     Stop,
-    /// The process was asked to read its settings again.
+    /// The process was asked to reload its settings.
     Reload,
 }
 
-/// Sending end of the channel.
+/// Sending end of the engine's channel.
 #[derive(Debug, Clone)]
 pub(crate) struct Inbox {
     sender: UnboundedSender<Input>,
 }
 
-/// Receiving end of the channel.
+/// Receiving end of the engine's channel.
 pub(crate) type InboxReceiver = UnboundedReceiver<Input>;
 
 impl Inbox {
-    /// Makes the channel.
+    /// Creates the channel.
     pub(crate) fn new() -> (Self, InboxReceiver) {
-        let (sender, inlet) = unbounded_channel();
-        (Self { sender }, inlet)
+        let (sender, receiver) = unbounded_channel();
+        (Self { sender }, receiver)
     }
 
-    /// Posts an input; an engine that has stopped takes none.
+    /// Posts an input. It is dropped once the engine has stopped.
     pub(crate) fn post(&self, input: Input) {
         let _ = self.sender.send(input);
     }
--- a/endivestile/src/fleet/metrics.rs
+++ b/endivestile/src/fleet/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts and latencies of the host, and the page that shows them.
+//! Counters, gauges and latencies of the host, and the page that shows them.
 
 use std::fmt::Write;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,18 +12,18 @@
 use crate::counters::Counters;
 use crate::status::rss_kb;
 
-/// Longest span that is told from a longer one, in microseconds: an hour.
-const MAX_US: u64 = 3_600_000_000;
-/// Decimal digits that a span keeps.
-const DIGITS: u8 = 2;
-/// Quantiles that are shown.
+/// Longest recorded span, in microseconds: one hour. Longer spans count as this.
+const MAX_SPAN_US: u64 = 3_600_000_000;
+/// Significant decimal digits of a recorded span.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// Quantiles shown on the page, with their labels.
 const QUANTILES: [(f64, &str); 4] = [(0.5, "0.5"), (0.9, "0.9"), (0.99, "0.99"), (1.0, "1")];
 
-/// Counts and latencies since the start of the process.
+/// Counters, gauges and latencies since the start of the process.
 #[derive(Debug, Clone)]
 pub(crate) struct Metrics {
     inner: Arc<Mutex<Inner>>,
-    edges: Counters,
+    io: Counters,
 }
 
 #[derive(Debug)]
@@ -34,13 +34,14 @@
 }
 
 impl Metrics {
-    /// Starts at zero; `edges` counts links and log lines.
-    pub(crate) fn new(edges: Counters) -> Self {
-        // The bounds are constants that the library accepts.
-        let histogram = |_| Histogram::new_with_bounds(1, MAX_US, DIGITS).expect("bounds");
+    /// Starts at zero. `io` holds the counters of links and log lines.
+    pub(crate) fn new(io: Counters) -> Self {
+        // The library accepts these constant bounds.
+        let histogram =
+            |_| Histogram::new_with_bounds(1, MAX_SPAN_US, SIGNIFICANT_DIGITS).expect("bounds");
         let spans = Span::ALL.iter().map(histogram).collect();
         let inner = Inner { counts: [0; Count::ALL.len()], gauges: [0; Gauge::ALL.len()], spans };
-        Self { inner: Arc::new(Mutex::new(inner)), edges }
+        Self { inner: Arc::new(Mutex::new(inner)), io }
     }
 
     /// Counts an event.
@@ -53,12 +54,12 @@
         self.lock().gauges[gauge as usize] = value;
     }
 
-    /// Notes a span.
+    /// Records the length of a span, in microseconds.
     pub(crate) fn record_span(&self, span: Span, took_us: u64) {
         self.lock().spans[span as usize].saturating_record(took_us.max(1));
     }
 
-    /// Returns the page, one line a figure.
+    /// Returns the page, one value per line.
     pub(crate) fn page(&self) -> Response<Bytes> {
         let mut text = String::new();
         let inner = self.lock();
@@ -68,7 +69,7 @@
         for gauge in Gauge::ALL {
             let _ = writeln!(text, "endivestile_{} {}", gauge.name(), inner.gauges[gauge as usize]);
         }
-        for (name, count) in self.edges.all().filter(|(_, count)| *count > 0) {
+        for (name, count) in self.io.all().filter(|(_, count)| *count > 0) {
             let _ = writeln!(text, "endivestile_edge_{name} {count}");
         }
         for span in Span::ALL {
--- a/endivestile/src/fleet/mod.rs
+++ b/endivestile/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! The host on a users' platform: HTTP edges, links and store around the fleet.
+//! The entry host on a users' platform: HTTP, links and store around the kernel's fleet.
 //!
-//! Everything runs on one thread: a host has a quarter of a core, and handing
-//! each event from thread to thread would cost it more than the event.
+//! Everything runs on one thread: a host has a quarter of a core, and passing an
+//! event between threads would cost more than handling it.
 
 mod engine;
 mod head_timeout;
--- a/endivestile/src/fleet/open_calls.rs
+++ b/endivestile/src/fleet/open_calls.rs
@@ -1,4 +1,4 @@
-//! Callers that wait for the engine's answer.
+//! Calls that wait for the engine's answer.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 use http::{HeaderValue, Response};
 use tokio::sync::oneshot::Sender;
 
-/// Open calls with the ways back.
+/// Open calls with the channels for their responses.
 #[derive(Debug)]
 pub(crate) struct OpenCalls {
     adapter: &'static Adapter,
@@ -18,48 +18,49 @@
 }
 
 impl OpenCalls {
-    /// Starts with no call.
+    /// Starts without calls.
     pub(crate) fn new(adapter: &'static Adapter) -> Self {
         Self { adapter, calls: HashMap::new(), closing: false }
     }
 
-    /// Remembers a caller until its answer comes.
+    /// Adds a call that waits for its answer.
     pub(crate) fn insert(&mut self, call: CallId, reply: Sender<Response<Bytes>>) {
         self.calls.insert(call, reply);
     }
 
-    /// Answers a caller; one that has left hears nothing.
-    pub(crate) fn answer(&mut self, call: CallId, say: &Say) {
+    /// Answers an open call; does nothing if its caller has disconnected.
+    pub(crate) fn answer(&mut self, call: CallId, answer: &Say) {
         if let Some(reply) = self.calls.remove(&call) {
-            self.respond(reply, say);
+            self.respond(reply, answer);
         }
     }
 
-    /// Answers at once.
-    pub(crate) fn respond(&self, reply: Sender<Response<Bytes>>, say: &Say) {
-        let mut response = (self.adapter.say)(say);
+    /// Sends an answer to a caller.
+    pub(crate) fn respond(&self, reply: Sender<Response<Bytes>>, answer: &Say) {
+        let mut response = (self.adapter.say)(answer);
         if self.closing {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         let _ = reply.send(response);
     }
 
-    /// Forgets a caller that has left.
+    /// Removes a call whose caller has disconnected.
     pub(crate) fn remove(&mut self, call: CallId) {
         self.calls.remove(&call);
     }
 
-    /// From now on every answer asks the caller to come back elsewhere.
+    /// Sends `Connection: close` with every later response, so that callers reconnect
+    /// to another host.
     pub(crate) fn close_connections(&mut self) {
         self.closing = true;
     }
 
-    /// Returns the calls of all callers that wait.
+    /// Returns the ids of all open calls.
     pub(crate) fn ids(&self) -> Vec<CallId> {
         self.calls.keys().copied().collect()
     }
 
-    /// Returns how many callers wait.
+    /// Returns the number of open calls.
     pub(crate) fn len(&self) -> usize {
         self.calls.len()
     }
--- a/endivestile/src/fleet/operator_keys.rs
+++ b/endivestile/src/fleet/operator_keys.rs
@@ -1,4 +1,4 @@
-//! Takes what operators write from the store: the configuration, and zones to be evacuated.
+//! Handles the keys that operators write to the store: the configuration and zone evacuations.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 use super::inbox::Inbox;
 use super::prefix_watch::KeyHandler;
 
-/// Reads configurations; one that cannot be read leaves the last in force. A zone is
-/// evacuated while its key stands, whatever its value is.
+/// Handles the operators' keys. A configuration that cannot be read leaves the last one
+/// in place. A zone is evacuated while its key exists, whatever its value is.
 #[derive(Debug)]
 pub(crate) struct OperatorKeys {
-    /// The translation.
+    /// The platform adapter.
     pub(crate) adapter: &'static Adapter,
-    /// The engine.
+    /// The engine's inbox.
     pub(crate) inbox: Inbox,
 }
 
@@ -32,7 +32,7 @@
             let state = EvacuationState { zone: Name::from(zone), revision, evacuated };
             self.inbox.post_event(FleetEvent::Evacuation(state));
         } else if key == keys.config {
-            self.config(key, revision, value);
+            self.handle_config(key, revision, value);
         }
     }
 
@@ -42,7 +42,7 @@
 }
 
 impl OperatorKeys {
-    fn config(&self, key: &str, revision: u64, value: Option<Bytes>) {
+    fn handle_config(&self, key: &str, revision: u64, value: Option<Bytes>) {
         let Some(value) = value else {
             log::error!("event=config_deleted step=read-config key={key}");
             return;
--- a/endivestile/src/fleet/prefix_watch.rs
+++ b/endivestile/src/fleet/prefix_watch.rs
@@ -1,4 +1,4 @@
-//! Keeps up with the keys of a prefix: reads them all, then watches.
+//! Follows the keys under a prefix of the store: reads all of them, then watches for changes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,150 +9,151 @@
 
 use super::store_client::StoreClient;
 
-/// Longest wait of one watch, in milliseconds. A connection that has gone
-/// silent delays what it would have told by this and the time for one call, so
-/// that a new configuration is in force within its two seconds.
-const WAIT_MS: u32 = 900;
-/// Pause after a call that failed, in milliseconds.
-const RETRY_MS: u64 = 100;
-/// Longest pause after calls that failed, in milliseconds.
-const RETRY_MAX_MS: u64 = 300;
+/// Longest wait of one watch, in milliseconds. An unresponsive connection delays
+/// changes by this and the timeout of one call, so that a new configuration
+/// still applies within its limit of two seconds.
+const MAX_WATCH_WAIT_MS: u32 = 900;
+/// Pause after a failed call, in milliseconds; doubled with each further failure.
+const MIN_RETRY_MS: u64 = 100;
+/// Longest pause after failed calls, in milliseconds.
+const MAX_RETRY_MS: u64 = 300;
 
-/// How a feed goes on after an answer.
+/// How a watch continues after a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NextStep {
-    /// It watches for further changes.
+    /// Watch for further changes.
     Watch,
-    /// It reads everything anew.
+    /// Read all keys again.
     Reload,
 }
 
-/// Why a feed stopped watching.
+/// Why watching ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stop {
-    /// A call failed; `answered` if another one had an answer before.
+enum WatchEnd {
+    /// A call failed; `answered` if the read before it had succeeded.
     Failed { answered: bool },
-    /// Everything is to be read anew.
+    /// All keys have to be read again.
     Reload,
 }
 
-/// What is done with the keys of a prefix.
+/// Handles the keys under a prefix.
 pub(crate) trait KeyHandler: Send + 'static {
-    /// A key has this value now; none once it was deleted.
+    /// Handles the new value of a key; `None` if the key was deleted.
     fn handle_key(&mut self, key: &str, revision: u64, value: Option<Bytes>);
 
-    /// All keys have been told as they stood at one time, at this revision of the store.
+    /// Called after a full read, when all keys have been handled as of `revision` of the store.
     fn handle_loaded(&mut self, revision: u64) {
         let _ = revision;
     }
 
-    /// The store answers, or does not; all that it had to say so far has been told.
+    /// Called when the store has answered, after its changes were handled, and with
+    /// `up` false when a call failed.
     fn handle_store_state(&mut self, up: bool);
 
     /// Returns the longest wait of the next watch, in milliseconds.
     fn watch_wait_ms(&self) -> u32 {
-        WAIT_MS
+        MAX_WATCH_WAIT_MS
     }
 
-    /// Waits until the feed may go on after an answer with so many changes.
+    /// Waits after a response with that many changes until the next call may be made.
     fn pause_after(&mut self, changes: usize) -> impl Future<Output = NextStep> + Send {
         let _ = changes;
         async { NextStep::Watch }
     }
 
-    /// Returns when a watch that is under way is to be given up and everything read anew.
+    /// Completes when the current watch has to be cancelled and all keys read again.
     fn reload_requested(&self) -> impl Future<Output = ()> + Send {
         std::future::pending()
     }
 }
 
-/// Keys as they were last told.
-struct Feed<S> {
+/// The keys under a prefix and their last handled revisions.
+struct PrefixWatch<S> {
     prefix: String,
-    reader: StoreClient,
-    sink: S,
-    known: HashMap<String, u64>,
+    store: StoreClient,
+    handler: S,
+    revisions: HashMap<String, u64>,
 }
 
-/// Keeps up with a prefix until the process ends.
-pub(crate) async fn run<S: KeyHandler>(prefix: String, reader: StoreClient, sink: S) {
-    let mut feed = Feed { prefix, reader, sink, known: HashMap::new() };
-    let mut pause = RETRY_MS;
+/// Follows a prefix until the process ends.
+pub(crate) async fn run<S: KeyHandler>(prefix: String, store: StoreClient, handler: S) {
+    let mut prefix_watch = PrefixWatch { prefix, store, handler, revisions: HashMap::new() };
+    let mut pause = MIN_RETRY_MS;
     loop {
-        match feed.follow().await {
-            Stop::Reload => continue,
-            Stop::Failed { answered: true } => pause = RETRY_MS,
-            Stop::Failed { answered: false } => {}
+        match prefix_watch.load_and_watch().await {
+            WatchEnd::Reload => continue,
+            WatchEnd::Failed { answered: true } => pause = MIN_RETRY_MS,
+            WatchEnd::Failed { answered: false } => {}
         }
-        feed.sink.handle_store_state(false);
+        prefix_watch.handler.handle_store_state(false);
         sleep(Duration::from_millis(pause)).await;
-        pause = (pause * 2).min(RETRY_MAX_MS);
+        pause = (pause * 2).min(MAX_RETRY_MS);
     }
 }
 
-impl<S: KeyHandler> Feed<S> {
-    /// Reads everything and watches.
-    async fn follow(&mut self) -> Stop {
-        let page = match self.reader.range(&self.prefix).await {
+impl<S: KeyHandler> PrefixWatch<S> {
+    /// Reads all keys, then watches until that fails or they have to be read again.
+    async fn load_and_watch(&mut self) -> WatchEnd {
+        let page = match self.store.range(&self.prefix).await {
             Ok(page) => page,
             Err(fault) => {
                 log::debug!("event=store_call_failed step=read-keys fault={fault:?}");
-                return Stop::Failed { answered: false };
+                return WatchEnd::Failed { answered: false };
             }
         };
-        let mut at = page.at;
+        let mut revision = page.at;
         let mut changes = 0;
-        self.load(page);
+        self.handle_page(page);
         loop {
-            self.sink.handle_store_state(true);
-            if self.sink.pause_after(changes).await == NextStep::Reload {
-                return Stop::Reload;
+            self.handler.handle_store_state(true);
+            if self.handler.pause_after(changes).await == NextStep::Reload {
+                return WatchEnd::Reload;
             }
-            let watch = self.reader.watch(&self.prefix, at, self.sink.watch_wait_ms());
+            let response = self.store.watch(&self.prefix, revision, self.handler.watch_wait_ms());
             let watched = tokio::select! {
-                watched = watch => watched,
-                () = self.sink.reload_requested() => return Stop::Reload,
+                watched = response => watched,
+                () = self.handler.reload_requested() => return WatchEnd::Reload,
             };
             match watched {
                 Ok(page) => {
-                    at = page.at.max(at);
+                    revision = page.at.max(revision);
                     changes = page.items.len();
-                    page.items.into_iter().for_each(|item| self.put(item));
+                    page.items.into_iter().for_each(|item| self.handle_item(item));
                 }
-                // What was missed is read anew.
-                Err(StoreFault::Compacted) => return Stop::Failed { answered: true },
+                // The changes that were missed are covered by reading all keys again.
+                Err(StoreFault::Compacted) => return WatchEnd::Failed { answered: true },
                 Err(fault) => {
                     log::debug!("event=store_call_failed step=watch fault={fault:?}");
-                    return Stop::Failed { answered: true };
+                    return WatchEnd::Failed { answered: true };
                 }
             }
         }
     }
 
-    /// Tells what changed against the whole state. Keys may have been deleted
-    /// while nobody watched; what is missing counts as deleted.
-    fn load(&mut self, page: Page) {
-        let mut gone = self.known.clone();
+    /// Handles the changes since the last full state. Keys may have been deleted
+    /// between two watches, so a missing key counts as deleted.
+    fn handle_page(&mut self, page: Page) {
+        let mut missing = self.revisions.clone();
         for item in page.items {
-            gone.remove(&item.key);
-            self.put(item);
+            missing.remove(&item.key);
+            self.handle_item(item);
         }
-        for key in gone.into_keys() {
-            self.put(Item { key, value: None, revision: page.at });
+        for key in missing.into_keys() {
+            self.handle_item(Item { key, value: None, revision: page.at });
         }
-        self.sink.handle_loaded(page.at);
+        self.handler.handle_loaded(page.at);
     }
 
-    fn put(&mut self, item: Item) {
-        let known = self.known.get(&item.key).copied().unwrap_or(0);
+    fn handle_item(&mut self, item: Item) {
+        let known = self.revisions.get(&item.key).copied().unwrap_or(0);
         if item.revision <= known {
             return;
         }
         if item.value.is_some() {
-            self.known.insert(item.key.clone(), item.revision);
+            self.revisions.insert(item.key.clone(), item.revision);
         } else {
-            self.known.remove(&item.key);
+            self.revisions.remove(&item.key);
         }
-        self.sink.handle_key(&item.key, item.revision, item.value);
+        self.handler.handle_key(&item.key, item.revision, item.value);
     }
 }
--- a/endivestile/src/fleet/records.rs
+++ b/endivestile/src/fleet/records.rs
@@ -1,4 +1,4 @@
-//! This host's own keys in the store: its registration, and the pools' records.
+//! Keys of the entry hosts in the store: host registrations and the pools' ownership records.
 
 use std::time::Duration;
 
@@ -14,30 +14,31 @@
 use super::prefix_watch::KeyHandler;
 use super::store_client::StoreClient;
 
-/// Pause after a registration that failed, in milliseconds.
+/// Pause after a failed registration, in milliseconds.
 const RETRY_MS: u64 = 300;
 
-/// Longest wait of one watch of the records, in milliseconds. Owners also show by their
-/// frames and tokens, so that a connection that has gone silent does less harm than for
-/// the configuration.
-const RECORDS_WAIT_MS: u32 = 2_500;
+/// Longest wait of one watch of the records, in milliseconds. Owners are also visible in
+/// their frames and fencing tokens, so an unresponsive connection does less harm here than
+/// for the configuration.
+const MAX_WATCH_WAIT_MS: u32 = 2_500;
 
-/// What the registration task has to know: the entry that is to stand, and the
-/// key's revision as the store last told.
+/// This host's registration: the entry that has to be in the store, and what the
+/// store last returned for its key.
 #[derive(Debug, Clone)]
 pub(crate) struct Registration {
-    /// The entry.
+    /// The entry to be stored.
     pub(crate) entry: HostEntry,
-    /// Revision of the key as it was last read, and whether it is our entry.
+    /// Revision of the key as last read (0 if it is absent), and whether its value equals
+    /// `entry`; `None` until the first read.
     pub(crate) stored: Option<(u64, bool)>,
 }
 
-/// Hands the keys below our prefix to the engine.
+/// Posts the keys of the entry hosts to the engine.
 #[derive(Debug)]
 pub(crate) struct Records {
-    /// The engine.
+    /// The engine's inbox.
     pub(crate) inbox: Inbox,
-    /// The registration.
+    /// This host's registration.
     pub(crate) registration: watch::Sender<Registration>,
 }
 
@@ -48,28 +49,29 @@
             let pool = Name::from(pool);
             self.inbox.post_event(FleetEvent::Record { pool, revision, value });
         } else if let Some(name) = key.strip_prefix(HOST_KEY_PREFIX) {
-            self.host(name, revision, value);
+            self.handle_host(name, revision, value);
         }
     }
 
     fn watch_wait_ms(&self) -> u32 {
-        RECORDS_WAIT_MS
+        MAX_WATCH_WAIT_MS
     }
 
     fn handle_store_state(&mut self, up: bool) {
         self.inbox.post_event(FleetEvent::StoreAvailable(up));
     }
 
-    /// The registration waits until it is known what stands under its key.
+    /// Lets the registration start if its key is absent; until the first full read the
+    /// state of the key is unknown.
     fn handle_loaded(&mut self, _revision: u64) {
         if self.registration.borrow().stored.is_none() {
-            self.registration.send_modify(|wish| wish.stored = Some((0, false)));
+            self.registration.send_modify(|registration| registration.stored = Some((0, false)));
         }
     }
 }
 
 impl Records {
-    fn host(&mut self, name: &str, revision: u64, value: Option<Bytes>) {
+    fn handle_host(&mut self, name: &str, revision: u64, value: Option<Bytes>) {
         let entry = match value.as_deref().map(serde_json::from_slice::<HostEntry>) {
             Some(Err(e)) => {
                 log::error!(
@@ -81,11 +83,11 @@
             Some(Ok(entry)) => Some(entry),
             None => None,
         };
-        let own = *self.registration.borrow().entry.peer.host == *name;
-        if own {
-            self.registration.send_modify(|wish| {
-                let stands = entry.as_ref() == Some(&wish.entry);
-                wish.stored = Some((if entry.is_some() { revision } else { 0 }, stands));
+        let is_own = *self.registration.borrow().entry.peer.host == *name;
+        if is_own {
+            self.registration.send_modify(|registration| {
+                let matches = entry.as_ref() == Some(&registration.entry);
+                registration.stored = Some((if entry.is_some() { revision } else { 0 }, matches));
             });
         }
         self.inbox.post_event(FleetEvent::Host { name: Name::from(name), entry });
@@ -93,55 +95,59 @@
 }
 
 /// Keeps this host registered. The key has no lease: the store may drop leases
-/// unseen, and an entry of a host that is gone harms nobody.
-pub(crate) async fn register(reader: StoreClient, mut wishes: watch::Receiver<Registration>) {
+/// without notice, and the entry of a host that has ended does no harm.
+pub(crate) async fn register(store: StoreClient, mut registrations: watch::Receiver<Registration>) {
     loop {
-        let wish = wishes.borrow_and_update().clone();
-        let revision = match wish.stored {
+        let registration = registrations.borrow_and_update().clone();
+        let revision = match registration.stored {
             Some((_, true)) => {
-                if wishes.changed().await.is_err() {
+                if registrations.changed().await.is_err() {
                     return;
                 }
                 continue;
             }
             None => {
-                if wishes.changed().await.is_err() {
+                if registrations.changed().await.is_err() {
                     return;
                 }
                 continue;
             }
             Some((revision, false)) => revision,
         };
-        if let Err(fault) = put(&reader, &wish.entry, revision).await {
+        if let Err(fault) = write_entry(&store, &registration.entry, revision).await {
             log::info!("event=registration_failed step=register fault={fault:?}");
         }
-        // The feed tells what stands; until then the next try waits.
+        // The watch reports the stored entry; the next attempt waits for it or for the pause.
         let pause = sleep(Duration::from_millis(RETRY_MS));
         tokio::select! {
             () = pause => {}
-            changed = wishes.changed() => if changed.is_err() { return },
+            changed = registrations.changed() => if changed.is_err() { return },
         }
     }
 }
 
-async fn put(reader: &StoreClient, entry: &HostEntry, revision: u64) -> Result<u64, StoreFault> {
+async fn write_entry(
+    store: &StoreClient,
+    entry: &HostEntry,
+    revision: u64,
+) -> Result<u64, StoreFault> {
     let key = Name::from(format!("{HOST_KEY_PREFIX}{}", entry.peer.host));
-    // A registration is plain data: it cannot fail to be written as JSON.
+    // Serializing plain data to JSON cannot fail.
     let value = Bytes::from(serde_json::to_vec(entry).unwrap_or_default());
-    reader.swap(&Swap { key, revision, value }).await
+    store.swap(&Swap { key, revision, value }).await
 }
 
-/// Carries out a call of the fleet.
-pub(crate) fn spawn_store_call(reader: &StoreClient, inbox: &Inbox, token: u64, op: StoreOp) {
+/// Makes a store call of the fleet in a new task and posts its result.
+pub(crate) fn spawn_store_call(store: &StoreClient, inbox: &Inbox, op_id: u64, op: StoreOp) {
     let StoreOp::Swap { key, revision, value } = op else { return };
-    let (reader, inbox) = (reader.clone(), inbox.clone());
+    let (store, inbox) = (store.clone(), inbox.clone());
     tokio::spawn(async move {
-        let stored = match reader.swap(&Swap { key, revision, value }).await {
+        let result = match store.swap(&Swap { key, revision, value }).await {
             Ok(revision) => Stored::Swapped(revision),
             Err(StoreFault::Raced(_)) => Stored::Raced,
-            // A store that turns calls away is not asked again at once.
+            // A call that the store refused counts as lost, so that it is not retried at once.
             Err(_) => Stored::Lost,
         };
-        inbox.post_event(FleetEvent::StoreResult { op_id: token, result: stored });
+        inbox.post_event(FleetEvent::StoreResult { op_id, result });
     });
 }
--- a/endivestile/src/fleet/run.rs
+++ b/endivestile/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! Puts the host together and runs its loop.
+//! Assembles the host and runs its event loop.
 
 use std::cell::Cell;
 use std::fs;
@@ -36,19 +36,20 @@
 use crate::peers::{self, Links};
 use crate::run::{SettingsReloader, advertised_address, local_address};
 
-/// Inputs handled before their effects are carried out, and before silence is judged: a
-/// late host must not take frames that it has not read yet for frames that were not sent.
-const BATCH: usize = 2_048;
+/// Largest number of inputs handled before their effects are carried out and other hosts are
+/// evaluated as unresponsive: a late host must not treat frames that it has not read yet as
+/// frames that were not sent.
+const MAX_BATCH: usize = 2_048;
 /// Longest wait for an input, in seconds.
-const WAIT_S: u64 = 60;
-/// Prefix of this system's own keys in the store.
-const OWN_KEYS: &str = "endivestile/";
-/// Time between two looks at the settings' file, in milliseconds: half of the
-/// two seconds within which a change is to be in force.
-const SETTINGS_MS: u64 = 1_000;
-/// Time for a call to the store while the settings' is longer, in
-/// milliseconds: a connection that has gone silent must not hold up news.
-const STORE_MS: u64 = 700;
+const MAX_WAIT_S: u64 = 60;
+/// Prefix of the entry hosts' own keys in the store.
+const OWN_KEY_PREFIX: &str = "endivestile/";
+/// Interval at which the settings file is checked, in milliseconds: half of the
+/// two seconds within which a change has to apply.
+const SETTINGS_POLL_MS: u64 = 1_000;
+/// Upper bound of the timeout of a store call, whatever the settings say, in
+/// milliseconds: an unresponsive connection must not delay changes.
+const MAX_STORE_TIMEOUT_MS: u64 = 700;
 
 /// Runs the host until it is stopped.
 pub(crate) fn serve(
@@ -59,30 +60,30 @@
 ) -> Result<Exit, RunError> {
     let failed = |source| RunError::Thread { step: "start-runtime", source };
     let runtime = Builder::new_current_thread().enable_all().build().map_err(failed)?;
-    let (inbox, inlet) = Inbox::new();
+    let (inbox, receiver) = Inbox::new();
     let exit = Rc::new(Cell::new(Exit::Failed));
-    let edges = Edges { settings, adapter, counters, inbox: &inbox };
-    let parts = build(&runtime, &edges, Rc::clone(&exit), reloader)?;
-    runtime.block_on(turn(inlet, parts));
+    let build_context = BuildContext { settings, adapter, counters, inbox: &inbox };
+    let parts = build(&runtime, &build_context, Rc::clone(&exit), reloader)?;
+    runtime.block_on(run_loop(receiver, parts));
     Ok(exit.get())
 }
 
-/// What the edges are made from.
-struct Edges<'a> {
+/// What the I/O modules are built from.
+struct BuildContext<'a> {
     settings: &'a Settings,
     adapter: &'static Adapter,
     counters: &'a Counters,
     inbox: &'a Inbox,
 }
 
-/// Opens the sockets and starts the edges.
+/// Opens the sockets and starts the I/O modules.
 fn build(
     runtime: &Runtime,
-    edges: &Edges<'_>,
+    build_context: &BuildContext<'_>,
     exit: Rc<Cell<Exit>>,
     reloader: SettingsReloader,
 ) -> Result<EngineParts, RunError> {
-    let &Edges { settings, adapter, counters, inbox } = edges;
+    let &BuildContext { settings, adapter, counters, inbox } = build_context;
     let _context = runtime.enter();
     let clock = Clock::new();
     let metrics = Metrics::new(counters.clone());
@@ -93,26 +94,26 @@
     }
     let limits = Arc::new(RwLock::new(Limits::default()));
     let (closing, closed) = watch::channel(false);
-    let desk = ServerContext {
+    let context = ServerContext {
         inbox: inbox.clone(),
         limits: Arc::clone(&limits),
-        serial: Arc::new(AtomicU64::new(0)),
+        next_call: Arc::new(AtomicU64::new(0)),
         closing: closed,
     };
     let (listener, http) = http_server::bind(settings.host.http)?;
-    runtime.spawn(http_server::accept(listener, desk.clone()));
+    runtime.spawn(http_server::accept(listener, context.clone()));
     if let Some(ready) = settings.platform.ready {
         let (listener, _) = http_server::bind(ready)?;
-        runtime.spawn(http_server::accept(listener, desk));
+        runtime.spawn(http_server::accept(listener, context));
     }
     let listener = peers::bind(settings.host.peers)?;
-    let (address, links_at) = (advertised_address(settings, &listener)?, local_address(&listener)?);
+    let (address, local) = (advertised_address(settings, &listener)?, local_address(&listener)?);
     peers::serve(runtime.handle(), listener, inbox.clone())?;
     let links = Links::start(runtime.handle(), inbox.clone(), counters.clone());
     let me = Peer::new(settings.host.name.clone(), since_epoch().as_micros() as u64);
     let zone = settings.host.zone.clone();
     log::info!(
-        "event=started host={} birth={:x} zone={zone} http={http} peers={address} links={links_at}",
+        "event=started host={} birth={:x} zone={zone} http={http} peers={address} links={local}",
         me.host,
         me.birth
     );
@@ -127,8 +128,8 @@
         cpu_milli: settings.platform.cpu_milli,
         link_kbps: settings.platform.link_kbps,
     };
-    let registration = follow(runtime, &store, inbox, pool_role.clone(), entry);
-    signals(runtime, inbox)?;
+    let registration = start_store_tasks(runtime, &store, inbox, pool_role.clone(), entry);
+    watch_signals(runtime, inbox)?;
     if let Some(path) = reloader.path() {
         runtime.spawn(watch_settings(path.to_owned(), inbox.clone()));
     }
@@ -164,35 +165,39 @@
 }
 
 fn store_client(settings: &Settings, adapter: &'static Adapter, client: HttpClient) -> StoreClient {
-    // The settings' check refuses an empty list of addresses.
+    // An empty list of addresses is refused when the settings are checked.
     let address = settings.store.addresses.first();
     let address = address.map(ToString::to_string).unwrap_or_default();
-    let timeout_ms = settings.store.timeout_ms.min(STORE_MS);
+    let timeout_ms = settings.store.timeout_ms.min(MAX_STORE_TIMEOUT_MS);
     StoreClient { client, adapter, address: Name::from(address), timeout_ms }
 }
 
-/// Starts what keeps up with the store.
-fn follow(
+/// Starts the watches of the store and this host's registration.
+fn start_store_tasks(
     runtime: &Runtime,
     store: &StoreClient,
     inbox: &Inbox,
     pool_role: SharedPoolRole,
     entry: HostEntry,
 ) -> watch::Sender<Registration> {
-    let (registration, wishes) = watch::channel(Registration { entry, stored: None });
+    let (registration, registrations) = watch::channel(Registration { entry, stored: None });
     let operator = OperatorKeys { adapter: store.adapter, inbox: inbox.clone() };
     let prefix = store.adapter.keys.operator.to_owned();
     runtime.spawn(prefix_watch::run(prefix, store.clone(), operator));
     let records = Records { inbox: inbox.clone(), registration: registration.clone() };
-    runtime.spawn(prefix_watch::run(OWN_KEYS.to_owned(), store.clone(), records));
-    let listing = WorkerList::new(store.adapter, inbox.clone(), pool_role);
-    runtime.spawn(prefix_watch::run(store.adapter.keys.workers.to_owned(), store.clone(), listing));
-    runtime.spawn(records::register(store.clone(), wishes));
+    runtime.spawn(prefix_watch::run(OWN_KEY_PREFIX.to_owned(), store.clone(), records));
+    let worker_list = WorkerList::new(store.adapter, inbox.clone(), pool_role);
+    runtime.spawn(prefix_watch::run(
+        store.adapter.keys.workers.to_owned(),
+        store.clone(),
+        worker_list,
+    ));
+    runtime.spawn(records::register(store.clone(), registrations));
     registration
 }
 
-/// Posts signals to the engine.
-fn signals(runtime: &Runtime, inbox: &Inbox) -> Result<(), RunError> {
+/// Posts the stop and reload signals to the engine.
+fn watch_signals(runtime: &Runtime, inbox: &Inbox) -> Result<(), RunError> {
     let failed = |source| RunError::Thread { step: "watch-signals", source };
     let mut term = signal(SignalKind::terminate()).map_err(failed)?;
     let mut int = signal(SignalKind::interrupt()).map_err(failed)?;
@@ -211,44 +216,44 @@
     Ok(())
 }
 
-/// Has the settings read again when their file has changed: not every platform
-/// sends a signal with it. A file that cannot be read is looked at again later.
+/// Requests a reload when the settings file has changed: not every platform sends a
+/// signal for that. A file that cannot be read is checked again later.
 async fn watch_settings(path: PathBuf, inbox: Inbox) {
-    let mut known = fs::read(&path).ok();
+    let mut last_text = fs::read(&path).ok();
     loop {
-        tokio::time::sleep(Duration::from_millis(SETTINGS_MS)).await;
+        tokio::time::sleep(Duration::from_millis(SETTINGS_POLL_MS)).await;
         let Ok(text) = fs::read(&path) else { continue };
-        if known.as_ref() != Some(&text) {
-            known = Some(text);
+        if last_text.as_ref() != Some(&text) {
+            last_text = Some(text);
             inbox.post(Input::Reload);
         }
     }
 }
 
-/// Runs the loop until the engine ends it.
-async fn turn(mut inlet: InboxReceiver, parts: EngineParts) {
+/// Runs the event loop until the engine ends it.
+async fn run_loop(mut receiver: InboxReceiver, parts: EngineParts) {
     let mut stakker = Stakker::new(Instant::now());
     let engine = actor!(&mut stakker, Engine::init(parts), ret_nop!());
     call!([engine], finish_batch());
     stakker.run(Instant::now(), false);
     while stakker.not_shutdown() {
-        let wait = stakker.next_wait_max(Instant::now(), Duration::from_secs(WAIT_S), false);
-        drain(&mut inlet, &engine, wait).await;
+        let wait = stakker.next_wait_max(Instant::now(), Duration::from_secs(MAX_WAIT_S), false);
+        handle_batch(&mut receiver, &engine, wait).await;
         stakker.run(Instant::now(), false);
     }
-    // Answers that were given last have to leave the process.
-    tokio::time::sleep(Duration::from_millis(LAST_MS)).await;
+    // The last responses still have to be written to their sockets.
+    tokio::time::sleep(Duration::from_millis(LAST_RESPONSES_MS)).await;
 }
 
-/// Time for the last answers to reach their sockets, in milliseconds.
-const LAST_MS: u64 = 20;
+/// Time for the last responses to be written to their sockets, in milliseconds.
+const LAST_RESPONSES_MS: u64 = 20;
 
-/// Queues all waiting inputs for the engine, so that their frames share batches.
-async fn drain(inlet: &mut InboxReceiver, engine: &Actor<Engine>, wait: Duration) {
-    let Ok(Some(first)) = timeout(wait, inlet.recv()).await else { return };
+/// Passes all queued inputs to the engine at once, so that their frames share batches.
+async fn handle_batch(receiver: &mut InboxReceiver, engine: &Actor<Engine>, wait: Duration) {
+    let Ok(Some(first)) = timeout(wait, receiver.recv()).await else { return };
     call!([engine], handle_input(first));
-    for _ in 1..BATCH {
-        let Ok(input) = inlet.try_recv() else { break };
+    for _ in 1..MAX_BATCH {
+        let Ok(input) = receiver.try_recv() else { break };
         call!([engine], handle_input(input));
     }
     call!([engine], finish_batch());
--- a/endivestile/src/fleet/store_client.rs
+++ b/endivestile/src/fleet/store_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the store.
+//! Client of the store.
 
 use std::time::Duration;
 
@@ -10,44 +10,44 @@
 
 use super::http_client::HttpClient;
 
-/// Pages of one reading at most: five hundred keys each.
+/// Largest number of pages of one read; a page holds five hundred keys.
 const MAX_PAGES: usize = 64;
 
-/// The store, one call at a time.
+/// Makes calls to the store.
 #[derive(Debug, Clone)]
 pub(crate) struct StoreClient {
-    /// The client.
+    /// The HTTP client.
     pub(crate) client: HttpClient,
-    /// The translation.
+    /// The platform adapter.
     pub(crate) adapter: &'static Adapter,
     /// Address of the store.
     pub(crate) address: Name,
-    /// Time for one call, in milliseconds.
+    /// Timeout of one call, in milliseconds.
     pub(crate) timeout_ms: u64,
 }
 
 impl StoreClient {
-    /// Reads all keys with a prefix, and the revision from which to watch.
+    /// Reads all keys with a prefix. Returns them with the revision from which to watch.
     pub(crate) async fn range(&self, prefix: &str) -> Result<Page, StoreFault> {
-        let mut whole = Page::default();
+        let mut result = Page::default();
         for _ in 0..MAX_PAGES {
-            let after = whole.items.last().map(|item: &Item| item.key.clone());
+            let after = result.items.last().map(|item: &Item| item.key.clone());
             let request = (self.adapter.range)(prefix, after.as_deref());
             let (status, body) = self.call(request, 0).await?;
             let page = (self.adapter.page)(status, &body)?;
-            // Pages are no snapshot: what changes between two of them shows in
-            // a watch from the revision of the first.
-            if whole.at == 0 {
-                whole.at = page.at;
+            // The pages are not a snapshot: a watch from the revision of the first
+            // page returns what changes between two of them.
+            if result.at == 0 {
+                result.at = page.at;
             }
             let more = page.more && !page.items.is_empty();
-            whole.items.extend(page.items);
+            result.items.extend(page.items);
             if !more {
-                return Ok(whole);
+                return Ok(result);
             }
         }
         log::error!("event=listing_cut step=read-keys prefix={prefix} pages={MAX_PAGES}");
-        Ok(whole)
+        Ok(result)
     }
 
     /// Waits for changes after a revision.
@@ -62,7 +62,7 @@
         (self.adapter.page)(status, &body)
     }
 
-    /// Changes a key under the condition of its revision.
+    /// Writes a key if it has the expected revision. Returns its new revision.
     pub(crate) async fn swap(&self, swap: &Swap) -> Result<u64, StoreFault> {
         let (status, body) = self.call((self.adapter.swap)(swap), 0).await?;
         (self.adapter.swapped)(status, &body)
@@ -73,8 +73,8 @@
         request: Request<Bytes>,
         wait_ms: u64,
     ) -> Result<(StatusCode, Bytes), StoreFault> {
-        let due = Instant::now() + Duration::from_millis(wait_ms + self.timeout_ms);
-        let answer = self.client.call(&self.address, request, due).await;
-        answer.map_err(|_| StoreFault::Lost)
+        let deadline = Instant::now() + Duration::from_millis(wait_ms + self.timeout_ms);
+        let response = self.client.call(&self.address, request, deadline).await;
+        response.map_err(|_| StoreFault::Lost)
     }
 }
--- a/endivestile/src/fleet/worker_client.rs
+++ b/endivestile/src/fleet/worker_client.rs
@@ -10,39 +10,40 @@
 use super::inbox::Inbox;
 use crate::clock::Clock;
 
-/// Makes calls to workers and tells the engine how they ended.
+/// Makes calls to workers and posts their results to the engine.
 #[derive(Debug, Clone)]
 pub(crate) struct WorkerClient {
-    /// The client.
+    /// The HTTP client.
     pub(crate) client: HttpClient,
-    /// The translation.
+    /// The platform adapter.
     pub(crate) adapter: &'static Adapter,
-    /// The engine.
+    /// The engine's inbox.
     pub(crate) inbox: Inbox,
     /// The process's clock.
     pub(crate) clock: Clock,
 }
 
 impl WorkerClient {
-    /// Makes a call, on a task of its own.
+    /// Makes a call in a new task.
     pub(crate) fn call(&self, call: WorkerCall) {
-        let due = self.clock.to_instant(worker_call_deadline(&call, self.clock.now()));
-        let due = due.map_or_else(Instant::now, Instant::from_std);
-        let workers = self.clone();
+        let deadline = self.clock.to_instant(worker_call_deadline(&call, self.clock.now()));
+        let deadline = deadline.map_or_else(Instant::now, Instant::from_std);
+        let worker_client = self.clone();
         tokio::spawn(async move {
-            let event = workers.carry(call, due).await;
-            workers.inbox.post_event(event);
+            let event = worker_client.perform(call, deadline).await;
+            worker_client.inbox.post_event(event);
         });
     }
 
-    async fn carry(&self, call: WorkerCall, due: Instant) -> FleetEvent {
+    async fn perform(&self, call: WorkerCall, deadline: Instant) -> FleetEvent {
         let adapter = self.adapter;
         match call {
             WorkerCall::Start(order) => {
-                let answer = self.client.call(&order.address, (adapter.start)(&order), due).await;
-                let end = match answer {
+                let response =
+                    self.client.call(&order.address, (adapter.start)(&order), deadline).await;
+                let end = match response {
                     Ok((status, body)) => (adapter.started)(status, &body),
-                    Err(fault) => StartResult::Failed(fault.into()),
+                    Err(error) => StartResult::Failed(error.into()),
                 };
                 FleetEvent::StartResult {
                     worker: order.worker,
@@ -52,10 +53,11 @@
                 }
             }
             WorkerCall::Stop(order) => {
-                let answer = self.client.call(&order.address, (adapter.stop)(&order), due).await;
-                let end = match answer {
+                let response =
+                    self.client.call(&order.address, (adapter.stop)(&order), deadline).await;
+                let end = match response {
                     Ok((status, body)) => (adapter.stopped)(status, &body),
-                    Err(fault) => Err(fault.into()),
+                    Err(error) => Err(error.into()),
                 };
                 FleetEvent::StopResult {
                     worker: order.worker,
@@ -65,10 +67,11 @@
                 }
             }
             WorkerCall::Renew(number, order) => {
-                let answer = self.client.call(&order.address, (adapter.hold)(&order), due).await;
-                let end = match answer {
+                let response =
+                    self.client.call(&order.address, (adapter.hold)(&order), deadline).await;
+                let end = match response {
                     Ok((status, body)) => (adapter.held)(status, &body),
-                    Err(fault) => Err(fault.into()),
+                    Err(error) => Err(error.into()),
                 };
                 FleetEvent::RenewalResult { worker: order.worker, number, end }
             }
@@ -77,8 +80,8 @@
 }
 
 impl From<HttpError> for CallError {
-    fn from(fault: HttpError) -> Self {
-        match fault {
+    fn from(error: HttpError) -> Self {
+        match error {
             HttpError::Unreachable => Self::Unreachable,
             HttpError::Lost => Self::Lost,
         }
--- a/endivestile/src/fleet/worker_list.rs
+++ b/endivestile/src/fleet/worker_list.rs
@@ -1,4 +1,4 @@
-//! Keeps up with the workers' registrations.
+//! Follows the workers' registrations in the store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,131 +13,135 @@
 use super::inbox::Inbox;
 use super::prefix_watch::{KeyHandler, NextStep};
 
-/// Pause after a change for a host that owns workers, in milliseconds: while workers
-/// register, each changes its entry with every heartbeat.
-const OWNER_MS: u64 = 150;
-/// Changes of one answer from which on more of them wait: the next watch of an owner
-/// begins without a pause, or it falls behind where changes come faster than it pauses.
-const BEHIND_ITEMS: usize = 400;
-/// Pause after a change for another host, in milliseconds.
-const OTHER_MS: u64 = 1_000;
-/// Changes of one answer from which on a host that owns no workers stops watching: with
-/// every heartbeat a change, its cost would grow with the fleet.
-const BUSY_ITEMS: usize = 50;
-/// Time until such a host reads the list anew, in milliseconds. One that comes to own
-/// workers, or whose zone has lost its owners, reads it at once.
-const REST_MS: u64 = 60_000;
-/// Longest wait of a watch of a host that owns workers, in milliseconds; a connection that
-/// has gone silent must not hide for long that a worker is leaving.
-const OWNER_WAIT_MS: u32 = 900;
-/// The same of another host, which only has to know which workers there are.
-const OTHER_WAIT_MS: u32 = 10_000;
-/// Time after which the list is told again though it has not changed, in milliseconds: a
-/// worker that was given up may be reached again.
-const REPEAT_MS: u64 = 5_000;
-/// Time for which entries may be missing after the store was away, in
-/// milliseconds: workers that live register anew within two seconds.
-const RETURN_MS: u64 = 2_500;
-
-/// Tells how urgently this host needs the list, and when it needs it more than before.
+/// Pause of an owner after a change, in milliseconds: while workers register, each of them
+/// changes its entry with every heartbeat.
+const OWNER_PAUSE_MS: u64 = 150;
+/// Changes in one response from which on an owner watches again without a pause: more are
+/// pending, and with a pause it would fall behind when they arrive faster than it reads.
+const PENDING_CHANGES: usize = 400;
+/// Pause of another host after a change, in milliseconds.
+const OTHER_PAUSE_MS: u64 = 1_000;
+/// Changes in one response from which on a host that owns no workers stops watching: with
+/// a change at every heartbeat, the cost of watching would grow with the fleet.
+const BUSY_CHANGES: usize = 50;
+/// Time until such a host reads the list again, in milliseconds. A host that becomes an
+/// owner, or whose zone has lost its owners, reads it at once.
+const RELOAD_INTERVAL_MS: u64 = 60_000;
+/// Longest wait of one watch of an owner, in milliseconds: an unresponsive connection must
+/// not hide for long that a worker is leaving.
+const OWNER_WATCH_WAIT_MS: u32 = 900;
+/// The same for another host, which only needs to know which workers exist.
+const OTHER_WATCH_WAIT_MS: u32 = 10_000;
+/// Interval at which the list is posted although it has not changed, in milliseconds: a
+/// worker that was given up may be reachable again.
+const REPEAT_INTERVAL_MS: u64 = 5_000;
+/// Time for which missing entries are kept after the store was unavailable, in
+/// milliseconds: live workers register again within two seconds.
+const KEEP_MISSING_MS: u64 = 2_500;
+
+/// The role of this host, which decides how often it reads the list. Signals when the
+/// role becomes more urgent.
 #[derive(Debug, Clone)]
 pub(crate) struct SharedPoolRole {
     role: Arc<watch::Sender<PoolRole>>,
-    changed: Arc<Notify>,
+    raised: Arc<Notify>,
 }
 
 impl Default for SharedPoolRole {
     fn default() -> Self {
         let role = Arc::new(watch::Sender::new(PoolRole::Candidate));
-        Self { role, changed: Arc::default() }
+        Self { role, raised: Arc::default() }
     }
 }
 
 impl SharedPoolRole {
-    /// Sets what this host needs the list for.
+    /// Sets the role of this host.
     pub(crate) fn set(&self, role: PoolRole) {
         let before = self.role.send_replace(role);
         if role > before {
-            self.changed.notify_one();
+            self.raised.notify_one();
         }
     }
 
-    fn role(&self) -> PoolRole {
+    fn get(&self) -> PoolRole {
         *self.role.borrow()
     }
 
-    fn owner(&self) -> bool {
-        self.role() == PoolRole::Owner
+    fn is_owner(&self) -> bool {
+        self.get() == PoolRole::Owner
     }
 }
 
-/// The registrations as last told.
+/// The registered workers as of the last change.
 pub(crate) struct WorkerList {
     adapter: &'static Adapter,
     inbox: Inbox,
-    need: SharedPoolRole,
+    role: SharedPoolRole,
     entries: BTreeMap<String, WorkerEntry>,
-    /// Entries that were missing when the store returned, and until when they count.
+    /// Entries that are missing since the store was unavailable, and until when they are kept.
     missing: BTreeMap<String, Instant>,
-    /// Until when a missing entry may be one that lapsed while the store was away.
-    returning: Instant,
+    /// Until when a missing entry is kept, since it may have expired while the store was
+    /// unavailable.
+    keep_missing_until: Instant,
     changed: bool,
-    /// When an entry was last told.
-    told: Instant,
-    repeat: Instant,
+    /// When an entry last changed.
+    last_change: Instant,
+    next_repeat: Instant,
 }
 
 impl WorkerList {
-    /// Starts with no worker known.
-    pub(crate) fn new(adapter: &'static Adapter, inbox: Inbox, need: SharedPoolRole) -> Self {
+    /// Starts with an empty list.
+    pub(crate) fn new(adapter: &'static Adapter, inbox: Inbox, role: SharedPoolRole) -> Self {
         let now = Instant::now();
         Self {
             adapter,
             inbox,
-            need,
+            role,
             entries: BTreeMap::new(),
             missing: BTreeMap::new(),
-            returning: now,
+            keep_missing_until: now,
             changed: false,
-            told: now,
-            repeat: now,
+            last_change: now,
+            next_repeat: now,
         }
     }
 
-    fn forget(&mut self, id: &str) {
+    fn remove(&mut self, id: &str) {
         self.changed |= self.entries.remove(id).is_some();
     }
 
-    /// Waits until an instant, or until the list is needed more and is read anew.
-    async fn rest(&self, next: NextStep, end: Instant) -> NextStep {
-        match timeout_at(end, self.need.changed.notified()).await {
+    /// Waits until an instant and returns `next`, or `Reload` if the role becomes more
+    /// urgent before.
+    async fn pause_until(&self, next: NextStep, end: Instant) -> NextStep {
+        match timeout_at(end, self.role.raised.notified()).await {
             Ok(()) => NextStep::Reload,
             Err(_) => next,
         }
     }
 
-    fn drop_missing(&mut self, now: Instant) {
-        let due = self.missing.iter().filter(|(_, until)| **until <= now);
-        let ids: Vec<String> = due.map(|(id, _)| id.clone()).collect();
+    fn remove_expired(&mut self, now: Instant) {
+        let expired = self.missing.iter().filter(|(_, until)| **until <= now);
+        let ids: Vec<String> = expired.map(|(id, _)| id.clone()).collect();
         for id in ids {
             self.missing.remove(&id);
-            self.forget(&id);
+            self.remove(&id);
         }
     }
 }
 
 impl KeyHandler for WorkerList {
-    /// Takes one registration over. Registrations may lapse while the store is away; the
-    /// workers serve on, so that a missing entry is kept until they are back.
+    /// Handles one registration. Registrations may expire while the store is unavailable,
+    /// but their workers continue to serve, so missing entries are kept until the workers
+    /// have registered again.
     fn handle_key(&mut self, key: &str, _revision: u64, value: Option<Bytes>) {
         let Some(id) = key.strip_prefix(self.adapter.keys.workers) else { return };
         self.missing.remove(id);
-        self.told = Instant::now();
+        self.last_change = Instant::now();
         let Some(value) = value else {
-            if self.returning > Instant::now() {
-                self.missing.insert(id.to_owned(), self.returning);
+            if self.keep_missing_until > Instant::now() {
+                self.missing.insert(id.to_owned(), self.keep_missing_until);
             } else {
-                self.forget(id);
+                self.remove(id);
             }
             return;
         };
@@ -148,7 +152,7 @@
             }
             None => {
                 log::debug!("event=entry_refused step=read-worker id={id}");
-                self.forget(id);
+                self.remove(id);
             }
         }
     }
@@ -156,43 +160,43 @@
     fn handle_store_state(&mut self, up: bool) {
         let now = Instant::now();
         if !up {
-            self.returning = now + Duration::from_millis(RETURN_MS);
+            self.keep_missing_until = now + Duration::from_millis(KEEP_MISSING_MS);
             return;
         }
-        self.drop_missing(now);
-        if !self.changed && self.repeat > now {
+        self.remove_expired(now);
+        if !self.changed && self.next_repeat > now {
             return;
         }
         self.changed = false;
-        self.repeat = now + Duration::from_millis(REPEAT_MS);
+        self.next_repeat = now + Duration::from_millis(REPEAT_INTERVAL_MS);
         self.inbox.post_event(FleetEvent::Workers(self.entries.values().cloned().collect()));
     }
 
     fn watch_wait_ms(&self) -> u32 {
-        if self.need.owner() { OWNER_WAIT_MS } else { OTHER_WAIT_MS }
+        if self.role.is_owner() { OWNER_WATCH_WAIT_MS } else { OTHER_WATCH_WAIT_MS }
     }
 
-    /// What has been read is told at once: an owner waits for it before it starts tasks.
+    /// Posts the list after every full read: an owner waits for it before it starts tasks.
     fn handle_loaded(&mut self, _revision: u64) {
         self.changed = true;
     }
 
     async fn pause_after(&mut self, changes: usize) -> NextStep {
-        if self.need.owner() {
-            if changes < BEHIND_ITEMS {
-                sleep_until(self.told + Duration::from_millis(OWNER_MS)).await;
+        if self.role.is_owner() {
+            if changes < PENDING_CHANGES {
+                sleep_until(self.last_change + Duration::from_millis(OWNER_PAUSE_MS)).await;
             }
             return NextStep::Watch;
         }
-        if changes >= BUSY_ITEMS && self.need.role() == PoolRole::Observer {
-            let end = Instant::now() + Duration::from_millis(REST_MS);
-            return self.rest(NextStep::Reload, end).await;
+        if changes >= BUSY_CHANGES && self.role.get() == PoolRole::Observer {
+            let end = Instant::now() + Duration::from_millis(RELOAD_INTERVAL_MS);
+            return self.pause_until(NextStep::Reload, end).await;
         }
-        let pause = if self.entries.is_empty() { OWNER_MS } else { OTHER_MS };
-        self.rest(NextStep::Watch, self.told + Duration::from_millis(pause)).await
+        let pause = if self.entries.is_empty() { OWNER_PAUSE_MS } else { OTHER_PAUSE_MS };
+        self.pause_until(NextStep::Watch, self.last_change + Duration::from_millis(pause)).await
     }
 
     async fn reload_requested(&self) {
-        self.need.changed.notified().await;
+        self.role.raised.notified().await;
     }
 }
