--- a/endivestile/tests/platform/mod.rs
+++ b/endivestile/tests/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as processes on the stand-in for the users' platform, and calls to them.
+//! Runs entry hosts as processes on a stand-in for the users' platform, and calls them.
 
 #![allow(
     dead_code,
@@ -15,10 +15,10 @@
 use endivestile_testkit::{Daemon, PlatformHost, PlatformStandIn};
 use serde_json::{Value, json};
 
-/// Longest wait for a condition; reached only by a fault.
+/// Longest wait for a condition; exceeded only if something is broken.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-/// An entry host that listens.
+/// A running entry host with the addresses of its callers' socket and metrics page.
 pub(crate) struct Host {
     pub(crate) process: PlatformHost,
     pub(crate) http: String,
@@ -30,7 +30,7 @@
         Self::start_with(platform, name, zone, &[])
     }
 
-    /// Starts a host with more arguments.
+    /// Starts a host with additional command-line arguments.
     pub(crate) fn start_with(
         platform: &PlatformStandIn,
         name: &str,
@@ -45,20 +45,20 @@
         Self { process, http: http.to_string(), page: page.to_string() }
     }
 
-    /// Makes a call and returns its status and body.
+    /// Makes a call. Returns its status and body.
     pub(crate) fn call(&self, method: &str, path: &str, body: &str) -> (u16, Value) {
         call(&self.http, method, path, body)
     }
 
-    pub(crate) fn logged(&self, part: &str) -> usize {
-        self.process.logged(part)
+    pub(crate) fn logged(&self, text: &str) -> usize {
+        self.process.logged(text)
     }
 }
 
 pub(crate) fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let end = Instant::now() + WAIT_LIMIT;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while !condition() {
-        assert!(Instant::now() < end, "waited in vain until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -75,18 +75,18 @@
     stream
 }
 
-/// Makes a call and returns its status and body.
+/// Makes a call. Returns its status and body.
 pub(crate) fn call(address: &str, method: &str, path: &str, body: &str) -> (u16, Value) {
     let mut stream = send(address, method, path, body);
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
-    let status = text.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0);
+    let status = text.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
     let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     (status, serde_json::from_str(body).unwrap_or(Value::Null))
 }
 
-/// A job of so many tasks that each take `ms` milliseconds; it says so up to
-/// half a second, since a job that cannot end in time is refused.
+/// Returns a job of `tasks` tasks that each take `ms` milliseconds. Its estimate is at
+/// most half a second, since a job that cannot end in time is refused.
 pub(crate) fn job(tasks: u32, ms: u32) -> String {
     let estimate = ms.min(500);
     let step =
@@ -94,7 +94,7 @@
     json!({"Spec": ms.to_string(), "Steps": [step], "BestEffort": true}).to_string()
 }
 
-/// Waits until a host runs jobs.
+/// Waits until a host completes jobs.
 pub(crate) fn wait_until_serving(host: &Host) {
     wait_until("a job is served", || {
         host.call("POST", "/jobs/00000000000000aa", &job(1, 1)).0 == 200
--- a/endivestile/tests/platform_path.rs
+++ b/endivestile/tests/platform_path.rs
@@ -1,5 +1,5 @@
-//! The whole path on the users' platform, as processes over real sockets:
-//! callers, entry hosts, the platform's store and its workers.
+//! End-to-end tests on the users' platform, as processes over real sockets: callers,
+//! entry hosts, the platform's store and its workers.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panic")]
 
@@ -18,7 +18,7 @@
 #[test]
 fn job_completed() {
     let platform = start_platform();
-    // Entries of other writers name no worker to use.
+    // Entries of other writers do not describe usable workers.
     platform.write("servers/other", b"\xff\xfe");
     platform.write("servers/half", br#"{"Service":"service","State":"ready"}"#);
     let host = Host::start(&platform, "a1", "a");
@@ -29,14 +29,14 @@
     assert_eq!(host.call("GET", "/jobs/00000000000000ab", "").0, 410);
     assert_eq!(host.call("GET", "/readiness", "").0, 200);
     assert_eq!(platform.breaches(), Vec::<String>::new());
-    wait_until("the page counts the job", || {
-        let text = page(&host);
+    wait_until("the metrics page counts the job", || {
+        let text = metrics_page(&host);
         text.contains("endivestile_job_done_us_count") && !text.contains("endivestile_jobs_done 0")
     });
 }
 
-/// Returns the page of a host's counts.
-fn page(host: &Host) -> String {
+/// Returns the metrics page of a host.
+fn metrics_page(host: &Host) -> String {
     let mut text = String::new();
     send(&host.page, "GET", "/metrics", "").read_to_string(&mut text).unwrap();
     text
@@ -69,11 +69,11 @@
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &body).0, 413);
 }
 
-/// A host starts before the operator has written any configuration. Whether a
-/// route exists cannot be told yet: a caller that got 404 would believe that
-/// its queue is gone, so it is told to come back.
+/// A host starts before the operator has written any configuration. It cannot know
+/// yet which routes exist: a 404 would mean to the caller that its queue is gone, so
+/// the response is 503.
 #[test]
-fn config_missing_says_come_back() {
+fn config_missing_returns_503() {
     let platform = PlatformStandIn::start(&["a"], 1);
     let host = Host::start(&platform, "a1", "a");
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &job(1, 1)).0, 503);
@@ -82,10 +82,10 @@
     wait_until_serving(&host);
 }
 
-/// A caller closes its connection while its job runs. Nobody wants the work any
-/// more; without a stop it would take the room of others until it ends.
+/// A caller closes its connection while its job runs. Unless its tasks are stopped,
+/// unwanted work would use the capacity of other jobs until it ends.
 #[test]
-fn hangup_stops_work() {
+fn disconnect_stops_tasks() {
     let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
@@ -96,10 +96,10 @@
     wait_until_serving(&host);
 }
 
-/// A worker stops answering while a job runs there. Its lease runs out, and
-/// the job is run elsewhere; the caller waits longer and gets its whole answer.
+/// A worker stops responding while jobs are sent. Its lease expires and its tasks run
+/// elsewhere; callers wait longer and get complete answers.
 #[test]
-fn worker_silent_job_completed() {
+fn worker_unresponsive_job_completed() {
     let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
@@ -111,10 +111,10 @@
     assert_eq!(platform.breaches(), Vec::<String>::new());
 }
 
-/// Operators evacuate a zone while its host serves. Its jobs have to go to the other zone,
-/// and back once the zone is taken back; a value that cannot be read asks for it as well.
+/// Operators evacuate a zone while its host serves. Its jobs have to run in the other zone,
+/// and in the zone again once the evacuation ends; an unreadable value evacuates as well.
 #[test]
-fn zone_evacuated_other_serves() {
+fn zone_evacuated_other_zone_serves() {
     let platform = PlatformStandIn::start(&["a", "b"], 2);
     platform.configure(1);
     let hosts = [Host::start(&platform, "a1", "a"), Host::start(&platform, "b1", "b")];
@@ -124,7 +124,7 @@
         starts.iter().filter(|(id, _)| id.starts_with("a-")).map(|(_, count)| count).sum::<u64>()
     };
     platform.write("op/evacuate/a", b"\xff");
-    wait_until("the evacuation is known", || hosts[0].logged("event=evacuation_started") > 0);
+    wait_until("the evacuation has started", || hosts[0].logged("event=evacuation_started") > 0);
     let before = starts_in_a();
     assert!(before > 0);
     for id in 0..8 {
@@ -132,30 +132,32 @@
         assert_eq!(status, 200);
     }
     assert_eq!(starts_in_a(), before);
-    wait_until("the page shows it", || page(&hosts[0]).contains("endivestile_zones_evacuated 1"));
+    wait_until("the metrics page shows the evacuation", || {
+        metrics_page(&hosts[0]).contains("endivestile_zones_evacuated 1")
+    });
     platform.evacuate("a", false);
-    wait_until("its end is known", || hosts[0].logged("event=evacuation_ended") > 0);
+    wait_until("the evacuation has ended", || hosts[0].logged("event=evacuation_ended") > 0);
     let (status, _) = hosts[0].call("POST", "/jobs/00000000000001f0", &job(2, 5));
     assert_eq!(status, 200);
     assert!(starts_in_a() > before);
     assert_eq!(platform.breaches(), Vec::<String>::new());
 }
 
-/// Starts two hosts of a zone; returns the one that owns its workers, and the other.
-fn owner_and_other(platform: &PlatformStandIn) -> (Host, Host) {
+/// Starts two hosts of a zone. Returns the one that owns its workers, and the other.
+fn start_owner_and_other(platform: &PlatformStandIn) -> (Host, Host) {
     let hosts = ["a1", "a2"].map(|name| Host::start(platform, name, "a"));
     hosts.iter().for_each(wait_until_serving);
     let [first, second] = hosts;
     if first.logged("event=owner_change_ended") > 0 { (first, second) } else { (second, first) }
 }
 
-/// The host that owns the workers is killed while its callers' jobs run. The
-/// other host takes the workers over, stops what runs there, and serves: callers
-/// that send again wait for about a second, and no task runs twice at a time.
+/// The owner of the workers is killed while its callers' jobs run. The other host takes
+/// over the workers, stops their tasks and serves: callers that retry wait for about a
+/// second, and no task runs twice at the same time.
 #[test]
 fn owner_killed_other_serves() {
     let platform = start_platform();
-    let (killed, other) = owner_and_other(&platform);
+    let (killed, other) = start_owner_and_other(&platform);
     let _open = send(&killed.http, "POST", "/jobs/00000000000000ab", &job(2, 60_000));
     wait_until("both tasks run", || platform.running() == 2);
     drop(killed);
@@ -164,7 +166,7 @@
     assert_eq!((status, platform.breaches()), (200, Vec::new()));
 }
 
-/// Kills the owner; the other host serves, and the count of `starts` stays as it was.
+/// Kills the owner, and checks that the other host serves without raising `starts`.
 fn assert_none_started(killed: Host, other: &Host, starts: impl Fn() -> u64) {
     drop(killed);
     let before = starts();
@@ -176,16 +178,16 @@
     assert_eq!(starts(), before);
 }
 
-/// A worker says that it is leaving shortly before its owner dies. The host that takes it
-/// over had read the list before; it must not start anything there by that.
+/// A worker registers as leaving shortly before its owner is killed. The successor has read
+/// the list before that and must not start tasks there because of the stale entry.
 #[test]
 fn owner_killed_leaving_worker_unused() {
     let platform = start_platform();
-    let (killed, other) = owner_and_other(&platform);
-    // The other host has just been told of a change when the next one comes.
+    let (killed, other) = start_owner_and_other(&platform);
+    // The other host has just handled a change when the next one arrives.
     platform.leaves("a-w1", true);
     platform.leaves("a-w1", false);
-    wait_until("the change is told", || {
+    wait_until("the change has been handled", || {
         killed.call("POST", "/jobs/00000000000000ab", &job(1, 1)).0 == 200
     });
     platform.leaves("a-w1", true);
@@ -193,14 +195,14 @@
     assert_none_started(killed, &other, starts);
 }
 
-/// Every heartbeat of a large fleet changes the list of workers, so that a host without
-/// workers reads it seldom. One that takes workers over then must not start tasks by its
-/// old list: a worker may have said meanwhile that it is leaving.
+/// Every heartbeat of a large fleet changes the list of workers, so a host without workers
+/// reads it rarely. When it takes over workers it must not start tasks by its stale list:
+/// meanwhile a worker may have registered as leaving.
 #[test]
-fn owner_killed_busy_list_read_anew() {
+fn owner_killed_changing_list_reloaded() {
     let platform = PlatformStandIn::start(&["a", "b", "c"], 24);
     platform.configure(1);
-    let (killed, other) = owner_and_other(&platform);
+    let (killed, other) = start_owner_and_other(&platform);
     let ids: Vec<String> = platform.workers().into_iter().map(|(id, _)| id).collect();
     for _ in 0..15 {
         ids.iter().for_each(|id| platform.leaves(id, false));
@@ -215,8 +217,8 @@
     assert_none_started(killed, &other, starts);
 }
 
-/// A host is told to stop while a caller's job runs. The caller gets its whole
-/// answer before the process ends by itself.
+/// A host receives the stop signal while a caller's job runs. The caller gets its
+/// complete answer before the process ends by itself.
 #[test]
 fn stop_answers_open_calls() {
     let platform = start_platform();
@@ -231,10 +233,10 @@
     assert!(host.process.wait_end(30).unwrap().success());
 }
 
-/// The store turns every call away for a while. The owner of the workers goes
-/// on under its token, and callers notice nothing.
+/// The store refuses every call for a while. The owner of the workers continues under
+/// its fencing token, and callers are not affected.
 #[test]
-fn store_busy_serves_on() {
+fn store_busy_keeps_serving() {
     let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
@@ -245,10 +247,10 @@
     wait_until("the host notices", || host.logged("event=store_up") > 1);
 }
 
-/// The settings file changes and nobody says so. The host finds out by itself;
-/// without that it would go on under figures that the platform has taken back.
+/// The settings file changes without a signal. The host has to notice, or it would
+/// continue with values that the platform has withdrawn.
 #[test]
-fn reload_unasked() {
+fn reload_on_file_change() {
     let platform = start_platform();
     let path = std::env::temp_dir().join(format!("endivestile-{}.ini", std::process::id()));
     let settings = |grace: u32| format!("[platform]\ngrace-s = {grace}\n");
@@ -259,14 +261,14 @@
     std::fs::write(&path, settings(7)).unwrap();
     wait_until("the host reads its settings", || host.logged("event=reload outcome=applied") > 0);
     std::fs::write(&path, "[platform]\ngrace-s = soon\n").unwrap();
-    wait_until("the host refuses them", || host.logged("event=reload outcome=refused") > 0);
+    wait_until("the host refuses the settings", || host.logged("event=reload outcome=refused") > 0);
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &job(1, 1)).0, 200);
     std::fs::remove_file(&path).unwrap();
 }
 
-/// The settings file changes and the host is told so by a signal.
+/// The host receives the signal to reload its settings.
 #[test]
-fn reload_applied() {
+fn reload_on_signal() {
     let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
@@ -275,12 +277,12 @@
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &job(1, 1)).0, 200);
 }
 
-/// A caller begins a head and then sends nothing more. It is told so after the
-/// time that the configuration grants for a head; without that it would hold a
-/// connection until the much longer idle time, and learn nothing.
+/// A caller sends part of a request head and then nothing more. It gets a 408 after the
+/// configured timeout for heads; otherwise it would hold a connection for the much longer
+/// idle timeout, and get no response.
 #[test_case(""; "first_request")]
 #[test_case("GET /readiness HTTP/1.1\r\nHost: jobs.example\r\n\r\n"; "later_request")]
-fn head_slow(before: &str) {
+fn head_incomplete_gets_408(before: &str) {
     let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
@@ -296,10 +298,10 @@
     assert!(rest.iter().any(|line| line.ends_with("HTTP/1.1 408 Request Timeout")), "{rest:?}");
 }
 
-/// A caller rests between two requests for longer than a head may take. Its
-/// connection stays open; otherwise its next request would be lost on the way.
+/// A connection is idle between two requests for longer than a head may take. It has to
+/// stay open, or the next request could be lost.
 #[test]
-fn connection_rests_between_requests() {
+fn connection_idle_between_requests() {
     let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
