--- a/endivestile/src/counters.rs
+++ b/endivestile/src/counters.rs
@@ -56,9 +56,9 @@
     FrameBytes,
     /// Links that broke or could not be established.
     LinksDown,
-    /// Calls to backend servers whose answer was lost.
+    /// Calls to backend servers or workers whose answer was lost.
     BackendCallsLost,
-    /// Calls to backend servers that could not be reached.
+    /// Calls to backend servers or workers that could not be reached.
     BackendCallsUnreachable,
     /// Reads and watches of the platform's store.
     WatchCalls,
--- a/endivestile/src/fleet/prefix_watch.rs
+++ b/endivestile/src/fleet/prefix_watch.rs
@@ -145,8 +145,8 @@
     }
 
     fn handle_item(&mut self, item: Item) {
-        let known = self.revisions.get(&item.key).copied().unwrap_or(0);
-        if item.revision <= known {
+        let last_revision = self.revisions.get(&item.key).copied().unwrap_or(0);
+        if item.revision <= last_revision {
             return;
         }
         if item.value.is_some() {
