--- a/endivestile/src/fleet/operator_keys.rs
+++ b/endivestile/src/fleet/operator_keys.rs
@@ -1,4 +1,4 @@
-//! Takes what operators write from the store: the configuration, and zones to be evacuated.
+//! Handles the keys that operators write to the store: the configuration and zone evacuations.
 
 use std::sync::Arc;
 
@@ -10,39 +10,39 @@
 use super::inbox::Inbox;
 use super::prefix_watch::KeyHandler;
 
-/// Reads configurations; one that cannot be read leaves the last in force. A zone is
-/// evacuated while its key stands, whatever its value is.
+/// Handles the operators' keys. A configuration that cannot be read leaves the last one
+/// in place. A zone is evacuated while its key exists, whatever its value is.
 #[derive(Debug)]
 pub(crate) struct OperatorKeys {
-    /// The translation.
+    /// The platform adapter.
     pub(crate) adapter: &'static Adapter,
-    /// The engine.
+    /// The engine's inbox.
     pub(crate) inbox: Inbox,
 }
 
 impl KeyHandler for OperatorKeys {
-    fn on_store_state(&mut self, up: bool) {
+    fn handle_store_state(&mut self, up: bool) {
         self.inbox.post_event(FleetEvent::StoreAvailable(up));
     }
 
-    fn on_key(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
+    fn handle_key(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
         let keys = &self.adapter.keys;
         if let Some(zone) = key.strip_prefix(keys.evacuations) {
             let evacuated = value.is_some();
             let state = EvacuationState { zone: Name::from(zone), revision, evacuated };
             self.inbox.post_event(FleetEvent::Evacuation(state));
         } else if key == keys.config {
-            self.config(key, revision, value);
+            self.handle_config(key, revision, value);
         }
     }
 
-    fn on_loaded(&mut self, revision: u64) {
+    fn handle_loaded(&mut self, revision: u64) {
         self.inbox.post_event(FleetEvent::EvacuationsRead(revision));
     }
 }
 
 impl OperatorKeys {
-    fn config(&self, key: &str, revision: u64, value: Option<Bytes>) {
+    fn handle_config(&self, key: &str, revision: u64, value: Option<Bytes>) {
         let Some(value) = value else {
             log::error!("event=config_deleted step=read-config key={key}");
             return;
