--- a/endivestile_kernel/benches/shards.rs
+++ b/endivestile_kernel/benches/shards.rs
@@ -1,4 +1,4 @@
-//! Cost of an admission, and bytes for each remembered id.
+//! Time per admission and memory per recorded id.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -12,13 +12,13 @@
 
 const WALL_S: u64 = 1_800_000_000;
 const SHARDS: u32 = 64;
-/// Ids whose memory is measured.
+/// Number of ids in the memory measurement.
 const IDS: u64 = 1_000_000;
 
-/// A home of every shard and its witness, which hear each other at once.
+/// The home of all shards and their witness, connected without delay.
 struct Pair {
     hosts: Vec<(Shards, View)>,
-    values: BTreeMap<Name, u64>,
+    revisions: BTreeMap<Name, u64>,
     now: Time,
     out: Vec<ShardEffect>,
 }
@@ -26,7 +26,7 @@
 impl Pair {
     fn new() -> Self {
         let hosts = (0..2).map(host).collect();
-        let mut pair = Self { hosts, values: BTreeMap::new(), now: Time::ZERO, out: Vec::new() };
+        let mut pair = Self { hosts, revisions: BTreeMap::new(), now: Time::ZERO, out: Vec::new() };
         while pair.hosts[0].0.status().iter().any(|shard| !shard.synced) {
             pair.now = pair.now.after_ms(10);
             pair.tick();
@@ -52,7 +52,7 @@
                     shards.handle_message(self.now, view, &from, msg, &mut out);
                 }
                 ShardEffect::Store { token, op: StoreOp::Swap { key, .. } } => {
-                    let revision = self.values.entry(key).or_default();
+                    let revision = self.revisions.entry(key).or_default();
                     *revision += 1;
                     shards.handle_store_reply(
                         self.now,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Admits ids at the home, with the witness's answers.
+    /// Admits ids at the home, including the witness's acknowledgements.
     fn admit(&mut self, ids: &[SubmissionId]) {
         let mut out = std::mem::take(&mut self.out);
         for (ticket, id) in ids.iter().enumerate() {
@@ -90,7 +90,7 @@
     shards.configure(&Rules { shards: SHARDS, ..Rules::default() });
     let hosts = (0..2).map(|other| {
         let peer = Peer::new(format!("host{other}"), 1);
-        // The first host ranks first for every shard.
+        // The weight makes the first host rank first for every shard.
         let weight = if other == 0 { u32::MAX } else { 1 };
         let (zone, address) = (Name::from(names[other]), Name::from("127.0.0.1:1"));
         let view = HostView { peer, zone, address, weight, state: HostState::Live };
@@ -100,7 +100,7 @@
     (shards, view)
 }
 
-/// Makes ids of the length of a UUID with its date.
+/// Returns dated ids with the length of a UUID.
 fn ids(from: u64, count: u64) -> Vec<SubmissionId> {
     let text = |number: u64| format!("{WALL_S}:{number:08x}-89ab-4cde-8f01-23456789abcd");
     (from..from + count).map(|n| SubmissionId::parse(&text(n)).expect("an id")).collect()
@@ -126,8 +126,8 @@
     group.finish();
 }
 
-/// Returns the resident bytes of this process.
-fn resident() -> u64 {
+/// Returns the resident memory of this process in bytes.
+fn resident_bytes() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|text| text.parse().ok());
     pages.unwrap_or(0u64) * 4_096
@@ -137,7 +137,7 @@
     let mut pair = Pair::new();
     let home = pair.hosts[0].1.me.clone();
     let (witness, view) = &mut pair.hosts[1];
-    let before = resident();
+    let before = resident_bytes();
     for part in 0..IDS / 1_000 {
         for id in ids(part * 1_000, 1_000) {
             let shard = id.shard(SHARDS);
@@ -147,7 +147,7 @@
         }
     }
     let ids: usize = witness.status().iter().map(|shard| shard.ids).sum();
-    println!("remembered {ids} ids in {} bytes each", (resident() - before) / ids as u64);
+    println!("remembered {ids} ids in {} bytes each", (resident_bytes() - before) / ids as u64);
 }
 
 fn main() {
--- a/endivestile_kernel/src/shard/admission.rs
+++ b/endivestile_kernel/src/shard/admission.rs
@@ -1,4 +1,4 @@
-//! Asking a shard for leave to start.
+//! Decides whether an id is granted, queued, forwarded or refused.
 
 use crate::shard::context::Context;
 use crate::shard::effect::Admission;
@@ -8,7 +8,7 @@
 use crate::{Cause, Class, HostState, Known, SubmissionId};
 
 impl Replica {
-    /// Judges an id dated `secs`; without a digest it is only to be confirmed.
+    /// Admits an id dated `secs`, or without a digest only confirms that it did not run.
     pub(crate) fn admit(
         &mut self,
         cx: &mut Context<'_>,
@@ -17,13 +17,13 @@
         digest: Option<u64>,
         ticket: u64,
     ) -> Admission {
-        let early = if self.fencing.home_epoch != 0 {
+        let decided = if self.fencing.home_epoch != 0 {
             self.check_at_home(cx, id, secs)
         } else {
             self.check_elsewhere(cx)
         };
-        if let Some(admit) = early {
-            return admit;
+        if let Some(admission) = decided {
+            return admission;
         }
         match digest {
             Some(digest) => self.enqueue(cx, id, digest, ticket),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Judges an id at its home; none when it has to be recorded.
+    /// Decides on an id at its home; returns none if the id has to be queued.
     fn check_at_home(&self, cx: &Context<'_>, id: &SubmissionId, secs: u64) -> Option<Admission> {
         if let Some(known) = self.table.get(id) {
             return Some(Admission::Known(known.clone()));
@@ -43,14 +43,15 @@
         self.blocked_cause(cx).map(refused)
     }
 
-    /// Judges an id on a host that is not its home; none when the host is about to be.
+    /// Decides on an id at a host that is not its home; returns none if the host
+    /// is about to become the home.
     fn check_elsewhere(&self, cx: &Context<'_>) -> Option<Admission> {
         let Some(observed) = &self.observed else { return self.check_unowned(cx) };
         let Some(record) = &observed.record else { return Some(refused(Cause::ShardMoving)) };
         let home = cx.view.state(&record.home);
-        let answers = matches!(home, HostState::Live | HostState::Leaving);
-        // Our own fence is above the record: a take-over of ours is under way.
-        if answers && self.fencing.fence <= record.epoch {
+        let reachable = matches!(home, HostState::Live | HostState::Leaving);
+        // A fence above the record means that this host has begun a takeover.
+        if reachable && self.fencing.fence <= record.epoch {
             return Some(Admission::Forward(record.home.clone()));
         }
         if let Some(cause) = self.blocked_cause(cx) {
@@ -59,8 +60,8 @@
         if self.fencing.synced_epoch == record.epoch || self.may_claim(cx) {
             return None;
         }
-        let away = home == HostState::Suspect;
-        Some(refused(if away { Cause::HomeAway } else { Cause::ShardMoving }))
+        let suspected = home == HostState::Suspect;
+        Some(refused(if suspected { Cause::HomeAway } else { Cause::ShardMoving }))
     }
 
     fn check_unowned(&self, cx: &Context<'_>) -> Option<Admission> {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Queues an id, or hands back what an earlier ticket of the same id waits for.
+    /// Queues an id, or returns the entry of an earlier ticket for the same id.
     fn enqueue(
         &mut self,
         cx: &Context<'_>,
@@ -88,10 +89,10 @@
         if let Some(known) = self.find_waiting(cx, id) {
             return Admission::Known(known);
         }
-        let pending = PendingId { digest, ticket: Some(ticket), forget: cx.forget_at() };
-        let old = self.pending.insert(id.clone(), pending);
-        // A withdrawn id keeps its place; with another body it goes out anew.
-        if old.is_none_or(|old| old.digest != digest) {
+        let pending = PendingId { digest, ticket: Some(ticket), forget_at: cx.retention_end() };
+        let previous = self.pending.insert(id.clone(), pending);
+        // A cancelled id is still queued or in flight; another body has to be sent again.
+        if previous.is_none_or(|previous| previous.digest != digest) {
             self.queue.push(id.clone());
         }
         Admission::Wait
@@ -110,14 +111,14 @@
         Admission::Wait
     }
 
-    /// Returns an id that waits on behalf of another ticket.
+    /// Returns the entry of an id for which another ticket is waiting.
     fn find_waiting(&self, cx: &Context<'_>, id: &SubmissionId) -> Option<Known> {
         let pending = self.pending.get(id).filter(|pending| pending.ticket.is_some())?;
         Some(Known {
             id: id.clone(),
             digest: pending.digest,
             runner: cx.shared.me.clone(),
-            forget: pending.forget,
+            forget: pending.forget_at,
         })
     }
 }
--- a/endivestile_kernel/src/shard/balance.rs
+++ b/endivestile_kernel/src/shard/balance.rs
@@ -1,4 +1,4 @@
-//! Handing shards on: to a host that joined, and all of them at a planned stop.
+//! Transfers shards to hosts with too few of them, and all shards before a planned stop.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,11 +7,12 @@
 use crate::shard::replica::Replica;
 use crate::{HostState, HostView, Peer, Shards, Time, View};
 
-/// Period at which a host with too many shards hands one on, in milliseconds.
-const REBALANCE_INTERVAL_MS: u64 = 2_000;
+/// Minimum interval between two transfers by a host with too many shards, in
+/// milliseconds; jitter adds up to as much again.
+const MIN_REBALANCE_MS: u64 = 2_000;
 
 impl Shards {
-    /// Hands one shard on, if this host has more than its share and it is time.
+    /// Periodically transfers one shard if this host has more than its share.
     pub(crate) fn balance(&mut self, now: Time, view: &View, effects: &mut Vec<ShardEffect>) {
         if self.shared.draining {
             return self.transfer_all(now, view, effects);
@@ -21,7 +22,7 @@
             return;
         }
         let mut cx = Env { now, view, effects }.with(&mut self.shared);
-        cx.shared.rebalance_at = cx.jittered(2 * REBALANCE_INTERVAL_MS);
+        cx.shared.rebalance_at = cx.jittered(2 * MIN_REBALANCE_MS);
         cx.shared.wake_at(cx.shared.rebalance_at);
         for replica in &mut self.replicas {
             replica.successor.take_if(|successor| view.state(successor) != HostState::Live);
@@ -30,28 +31,29 @@
             return;
         }
         let underloaded = underloaded_hosts(view, &self.replicas);
-        let found =
+        let candidate =
             self.replicas.iter_mut().find_map(|replica| replica.find_successor(view, &underloaded));
-        if let Some((replica, peer)) = found {
+        if let Some((replica, peer)) = candidate {
             replica.successor = Some(peer);
             replica.reconcile(&mut cx);
         }
     }
 
-    /// Names the witness of every shard its successor.
+    /// Chooses a successor for every shard, or gives up at the drain deadline.
     fn transfer_all(&mut self, now: Time, view: &View, effects: &mut Vec<ShardEffect>) {
         let mut cx = Env { now, view, effects }.with(&mut self.shared);
         for replica in &mut self.replicas {
             replica.choose_successor(&mut cx);
         }
-        let peers = view.live().any(|host| host.peer != view.me);
-        cx.shared.transfer_blocked = !peers || now >= cx.shared.drain_deadline;
+        let has_peers = view.live().any(|host| host.peer != view.me);
+        cx.shared.transfer_blocked = !has_peers || now >= cx.shared.drain_deadline;
         if !cx.shared.transfer_blocked {
             cx.shared.wake_at(cx.shared.drain_deadline);
         }
     }
 
-    /// Returns whether a stopping host is home of no shard that a peer could take.
+    /// Returns whether a draining host is no longer the home of any shard that a
+    /// peer could take over.
     pub fn is_drained(&self) -> bool {
         self.shared.draining
             && (self.shared.transfer_blocked
@@ -60,7 +62,7 @@
 }
 
 impl Replica {
-    /// Names the witness that the shard has, or will have, its successor.
+    /// Makes the witness that the shard has or should have its successor.
     fn choose_successor(&mut self, cx: &mut Context<'_>) {
         if self.fencing.home_epoch == 0 {
             return;
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Returns this shard and, if this host is its home, the first underloaded host in its rank.
+    /// Returns this replica and the first underloaded host in its rank order, if
+    /// this host is the home.
     fn find_successor(
         &mut self,
         view: &View,
@@ -87,7 +90,7 @@
         Some((self, successor.peer.clone()))
     }
 
-    /// Returns the other half of the shard, if this host has one half.
+    /// Returns the witness if `me` is the home, and the home if `me` is the witness.
     pub(crate) fn replica_peer(&self, me: &Peer) -> Option<&Peer> {
         let record = self.record()?;
         if record.home == *me {
@@ -97,23 +100,23 @@
     }
 }
 
-/// Returns the live hosts below their share, if this host is above its own.
+/// Returns the live hosts with less than their share of shards, if this host has
+/// more than its own.
 ///
-/// The rank alone would leave a host with few shards as it is: with 12 shards
-/// on three hosts it gave 7, 4 and 1. By the records every host sees the same
-/// numbers, and a shard only moves from above a share to below one, so that
-/// none moves to and fro.
+/// Rank order alone distributes shards unevenly: 12 shards on three hosts gave
+/// 7, 4 and 1. All hosts count the same records, and a shard only moves from a
+/// host above its share to one below, so that no shard moves back and forth.
 fn underloaded_hosts(view: &View, replicas: &[Replica]) -> BTreeSet<Peer> {
     let mut counts: BTreeMap<&Peer, usize> = BTreeMap::new();
-    for home in replicas.iter().filter_map(Replica::home) {
-        *counts.entry(home).or_default() += 1;
+    for home_peer in replicas.iter().filter_map(Replica::home_peer) {
+        *counts.entry(home_peer).or_default() += 1;
     }
     let total: u64 = view.live().map(weight).sum();
     let shards = replicas.len() as u64;
     let count = |host: &HostView| counts.get(&host.peer).map_or(0, |&count| count as u64);
     let me = view.live().find(|host| host.peer == view.me);
-    let full = me.is_some_and(|me| count(me) > (shards * weight(me)).div_ceil(total));
-    if !full {
+    let overloaded = me.is_some_and(|me| count(me) > (shards * weight(me)).div_ceil(total));
+    if !overloaded {
         return BTreeSet::new();
     }
     let underloaded = view.live().filter(|host| count(host) < shards * weight(host) / total);
--- a/endivestile_kernel/src/shard/context.rs
+++ b/endivestile_kernel/src/shard/context.rs
@@ -1,4 +1,4 @@
-//! What all shards of a host have in common, and the context of one event.
+//! State shared by all shards of a host, and the context of one event.
 
 use std::collections::BTreeMap;
 
@@ -10,58 +10,60 @@
 use crate::shard::record::MAX_CLOCK_SKEW_S;
 use crate::{Cause, Class, Level, Metric, Msg, Note, Peer, SubmissionId, Time, View};
 
-/// Time from the first sight of the store to the first claim of a shard, in
-/// milliseconds: hosts that start together see each other and the records first.
+/// Delay between the first contact with the store and the first claim of a
+/// shard, in milliseconds.
+///
+/// Hosts that start together discover each other and read the records first.
 const STARTUP_CLAIM_DELAY_MS: u64 = 500;
 
-/// A ticket that waits, and where.
+/// A request that waits for admission.
 #[derive(Debug)]
 pub(crate) struct Ticket {
-    /// Shard.
+    /// Shard of the id.
     pub(crate) shard: u32,
-    /// The id to be started; none when only "not run" is to be confirmed.
+    /// Id to start; none for a request to confirm "not run".
     pub(crate) id: Option<SubmissionId>,
 }
 
-/// State that all shards share.
+/// State shared by all shards of a host.
 #[derive(Debug)]
 pub(crate) struct SharedState {
     /// This incarnation.
     pub(crate) me: Peer,
     /// Availability zone of this host.
     pub(crate) zone: Name,
-    /// Seconds since 1970 at [`Time::ZERO`].
+    /// Wall clock at [`Time::ZERO`], in seconds since 1970.
     start_wall_s: u64,
     /// Resubmission window in seconds.
     pub(crate) window_s: u64,
-    /// Where witnesses are kept.
+    /// Zone in which witnesses are preferred.
     pub(crate) witness_zone: WitnessZone,
-    /// Source of write ids and jitter.
+    /// Random numbers for write ids and jitter.
     rng: SmallRng,
-    /// Number of the next store call.
+    /// Token of the last store call.
     last_token: u64,
-    /// Number of the next batch of records.
+    /// Number of the last batch.
     last_batch: u64,
-    /// Open store calls and their shards.
+    /// Shards of the open store calls, by token.
     pub(crate) open_calls: BTreeMap<u64, u32>,
-    /// Waiting tickets.
+    /// Requests that wait for admission, by ticket.
     pub(crate) tickets: BTreeMap<u64, Ticket>,
-    /// Unowned shards are not claimed before it.
+    /// Earliest time to claim a shard without a record.
     pub(crate) first_claim: Time,
-    /// No shard is handed to another host before it.
+    /// Time of the next check for shards to give to other hosts.
     pub(crate) rebalance_at: Time,
-    /// Whether this host is stopping.
+    /// Whether this host is draining before a planned stop.
     pub(crate) draining: bool,
-    /// A stopping host waits for its shards to change hands until then.
+    /// Latest time until which a draining host waits for its shards to be transferred.
     pub(crate) drain_deadline: Time,
-    /// Whether no shard of a stopping host can change hands.
+    /// Whether a draining host has given up transferring its shards.
     pub(crate) transfer_blocked: bool,
-    /// Earliest instant at which something is due.
+    /// Time of the next timer.
     pub(crate) next_wake: Time,
 }
 
 impl SharedState {
-    /// Makes the state of a host that starts.
+    /// Creates the state of a host at startup.
     pub(crate) fn new(setup: ShardSetup) -> Self {
         Self {
             me: setup.me,
@@ -83,48 +85,48 @@
         }
     }
 
-    /// Returns the seconds since 1970 by this host's monotonic clock.
+    /// Returns the wall clock in seconds since 1970, derived from the monotonic clock.
     pub(crate) fn wall_s(&self, now: Time) -> u64 {
         self.start_wall_s + now.as_micros() / 1_000_000
     }
 
-    /// Notes that something is due at `at`.
+    /// Schedules a tick at `at` or earlier.
     pub(crate) fn wake_at(&mut self, at: Time) {
         self.next_wake = self.next_wake.min(at);
     }
 }
 
-/// What comes with every event.
+/// Time, hosts and output list that come with an event.
 pub(crate) struct Env<'a> {
-    /// Now, on this host's clock.
+    /// Current time on this host's clock.
     pub(crate) now: Time,
-    /// The hosts.
+    /// Known hosts and their states.
     pub(crate) view: &'a View,
-    /// What is asked of the kernel.
+    /// Effects for the kernel to carry out.
     pub(crate) effects: &'a mut Vec<ShardEffect>,
 }
 
 impl<'a> Env<'a> {
-    /// Returns the event with the state that it changes.
+    /// Adds the shared state.
     pub(crate) fn with(self, shared: &'a mut SharedState) -> Context<'a> {
         Context { now: self.now, view: self.view, shared, effects: self.effects }
     }
 }
 
-/// One event on its way through the shards.
+/// Context in which a shard handles one event.
 pub(crate) struct Context<'a> {
-    /// Now, on this host's clock.
+    /// Current time on this host's clock.
     pub(crate) now: Time,
-    /// The hosts.
+    /// Known hosts and their states.
     pub(crate) view: &'a View,
-    /// State that all shards share.
+    /// State shared by all shards.
     pub(crate) shared: &'a mut SharedState,
-    /// What is asked of the kernel.
+    /// Effects for the kernel to carry out.
     pub(crate) effects: &'a mut Vec<ShardEffect>,
 }
 
 impl Context<'_> {
-    /// Notes the first sight of the store.
+    /// Starts the delay of the first claim once the store answers.
     pub(crate) fn start_claim_delay(&mut self) {
         if self.view.store && self.shared.first_claim == Time::NEVER {
             self.shared.first_claim = self.now.after_ms(STARTUP_CLAIM_DELAY_MS);
@@ -137,7 +139,7 @@
         self.effects.push(ShardEffect::Send { to, msg });
     }
 
-    /// Counts an event.
+    /// Adds `by` to a counter.
     pub(crate) fn count(&mut self, metric: Metric, by: u64) {
         self.effects.push(ShardEffect::Count(metric, by));
     }
@@ -161,47 +163,47 @@
         }
     }
 
-    /// Refuses a ticket; of its id nothing can be proved.
+    /// Refuses a ticket with class `Unknown`: whether its id has run cannot be determined.
     pub(crate) fn refuse(&mut self, ticket: u64, cause: Cause) {
         if self.shared.tickets.remove(&ticket).is_some() {
             self.effects.push(ShardEffect::Refused { ticket, class: Class::Unknown, cause });
         }
     }
 
-    /// Sends a ticket back for admission.
+    /// Returns a ticket to the kernel, which requests admission again.
     pub(crate) fn readmit(&mut self, ticket: u64) {
         if self.shared.tickets.remove(&ticket).is_some() {
             self.effects.push(ShardEffect::Readmit { ticket });
         }
     }
 
-    /// Returns a number for a store call of a shard.
+    /// Registers a store call of a shard and returns its token.
     pub(crate) fn register_call(&mut self, shard: u32) -> u64 {
         self.shared.last_token += 1;
         self.shared.open_calls.insert(self.shared.last_token, shard);
         self.shared.last_token
     }
 
-    /// Returns a number for a batch.
+    /// Returns the number of a new batch.
     pub(crate) fn next_batch(&mut self) -> u64 {
         self.shared.last_batch += 1;
         self.shared.last_batch
     }
 
-    /// Returns a number that no other write of any host bears, as good as surely.
+    /// Returns a random 64-bit number that identifies a write.
     pub(crate) fn write_id(&mut self) -> u64 {
         self.shared.rng.random()
     }
 
-    /// Returns an instant between half of `millis` and `millis` from now.
+    /// Returns a random time between `millis / 2` and `millis` from now.
     pub(crate) fn jittered(&mut self, millis: u64) -> Time {
         let micros = millis * 1_000;
-        let wait = self.shared.rng.random_range(micros / 2..=micros);
-        self.now.after_us(wait)
+        let delay_us = self.shared.rng.random_range(micros / 2..=micros);
+        self.now.after_us(delay_us)
     }
 
-    /// Returns when an id that arrives now may be forgotten.
-    pub(crate) fn forget_at(&self) -> Time {
+    /// Returns when an id that arrives now may be dropped from the table.
+    pub(crate) fn retention_end(&self) -> Time {
         self.now.after_ms((self.shared.window_s + 2 * MAX_CLOCK_SKEW_S) * 1_000)
     }
 }
--- a/endivestile_kernel/src/shard/effect.rs
+++ b/endivestile_kernel/src/shard/effect.rs
@@ -1,54 +1,54 @@
-//! What enters and leaves the shards' state machine.
+//! Inputs and outputs of the shards' state machine.
 
 use endivestile_config::model::Name;
 use serde::Serialize;
 
 use crate::{Cause, Class, Known, Metric, Msg, Note, Peer, StoreOp};
 
-/// What a host tells its shards at its start.
+/// Parameters of [`crate::Shards`] at the start of a host.
 #[derive(Debug, Clone)]
 pub struct ShardSetup {
     /// This incarnation.
     pub me: Peer,
     /// Its availability zone.
     pub zone: Name,
-    /// Seconds since 1970 at [`crate::Time::ZERO`].
+    /// Wall clock at [`crate::Time::ZERO`], in seconds since 1970.
     pub wall_s: u64,
-    /// Seed of write ids and of the jitter of retries.
+    /// Seed of the random write ids and of the jitter of retries.
     pub seed: u64,
 }
 
-/// What becomes of an id that asks for admission.
+/// Immediate result of a request for admission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// The ticket is answered by an effect, perhaps one of the same call.
+    /// An effect will answer the ticket, possibly one of the same call.
     Wait,
-    /// This peer is the home.
+    /// The request has to go to this peer, the home of the shard.
     Forward(Peer),
-    /// A submission with this id was recorded before; it is never granted again.
+    /// The id was recorded before and is never granted again.
     Known(Known),
-    /// Refused at once.
+    /// The request is refused.
     Refused(Class, Cause),
 }
 
-/// What the shards ask of the kernel.
+/// An action for the kernel to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ShardEffect {
-    /// Send a message on the link to a peer.
+    /// Send a message to a peer.
     Send {
         /// Receiver.
         to: Peer,
         /// Message.
         msg: Msg,
     },
-    /// Call the store.
+    /// Start a call to the platform's store.
     Store {
-        /// Number of the call.
+        /// Token that the reply has to carry.
         token: u64,
-        /// The call.
+        /// Operation.
         op: StoreOp,
     },
-    /// The ticket's id may start, or "not run" of it is true.
+    /// The id of the ticket may start, or is confirmed as not run.
     Granted {
         /// Ticket.
         ticket: u64,
@@ -57,49 +57,49 @@
     Refused {
         /// Ticket.
         ticket: u64,
-        /// What is known of the id.
+        /// Whether the id is known not to have run.
         class: Class,
-        /// Why.
+        /// Cause of the refusal.
         cause: Cause,
     },
-    /// The ticket's shard moved: admit again.
+    /// The home of the ticket's shard changed: request admission again.
     Readmit {
         /// Ticket.
         ticket: u64,
     },
     /// Write a log line.
     Log(Note),
-    /// Count an event.
+    /// Add to a counter.
     Count(Metric, u64),
 }
 
-/// What a host is to a shard.
+/// Role of a host in a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ShardRole {
     /// Starts submissions.
     Home,
-    /// Remembers ids for the home.
+    /// Keeps a copy of the home's ids.
     Witness,
     /// Neither.
     Other,
 }
 
-/// A shard as this host sees it.
+/// State of a shard as seen by this host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ShardStatus {
     /// Number of the shard.
     pub shard: u32,
-    /// Home by the last record seen.
+    /// Home in the last observed record.
     pub home: Option<Peer>,
-    /// Witness by the last record seen.
+    /// Witness in the last observed record.
     pub witness: Option<Peer>,
-    /// Epoch of the last record seen, 0 when none.
+    /// Epoch of the last observed record, 0 without one.
     pub epoch: u64,
     /// This host's role.
     pub role: ShardRole,
-    /// Whether home and witness hold the same table, as far as this host knows.
+    /// Whether the witness has the home's whole table, from this host's point of view.
     pub synced: bool,
-    /// Ids that this host remembers.
+    /// Number of ids in this host's table.
     pub ids: usize,
 }
--- a/endivestile_kernel/src/shard/fencing.rs
+++ b/endivestile_kernel/src/shard/fencing.rs
@@ -1,18 +1,20 @@
-//! The rules that decide who may start, shared with the model checker.
+//! Fencing rules that decide which host may start submissions of a shard.
+//!
+//! The model checker in `tests/shard_model.rs` runs the same code.
 
-/// How the home's table is held a second time.
+/// Replication state of the home's table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum Replication {
-    /// The witness does not hold the whole table yet.
+    /// The witness does not have the whole table yet.
     #[default]
     Syncing,
-    /// The record names no witness.
+    /// There is no witness.
     Unreplicated,
-    /// The witness holds the whole table.
+    /// The witness has the whole table.
     InSync,
 }
 
-/// A host's place in a record.
+/// Role that a record assigns to a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Assignment {
     /// Home, with a witness.
@@ -21,52 +23,53 @@
     SoleHome,
     /// Witness.
     Witness,
-    /// Neither.
+    /// Neither home nor witness.
     Unassigned,
 }
 
-/// What a witness makes of a batch.
+/// A witness's decision on a batch of ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchDecision {
-    /// Remember the ids and acknowledge.
+    /// Store the ids and acknowledge the batch.
     Accept,
-    /// Refuse: this epoch is in force or under way.
+    /// Reject the batch: the witness has seen this later epoch.
     Fenced(u64),
-    /// Say nothing: the table is not whole.
+    /// Ignore the batch: the witness lacks the home's whole table.
     Unsynced,
 }
 
-/// What a witness makes of a part of the home's table.
+/// A witness's decision on a part of the home's table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SyncDecision {
-    /// Refuse: this epoch is in force or under way.
+    /// Reject the part: the witness has seen this later epoch.
     Fenced(u64),
-    /// Take the part in.
+    /// Store the part; more will follow.
     Partial,
-    /// Take the part in; the table is whole.
+    /// Store the part, which completes the table, and acknowledge.
     Complete,
-    /// The table is whole already; only say so again.
+    /// Acknowledge again: the table is already complete.
     Duplicate,
 }
 
-/// What one host may do in one shard: the part of its state that decides starts.
+/// Epochs of one host in one shard, which decide what the host may do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct FencingState {
-    /// Epochs below it are refused.
+    /// Lowest epoch from which messages and records are accepted.
     pub fence: u64,
-    /// Epoch under which this host is the home, 0 when it is not.
+    /// Epoch of this host as home, 0 when it is not the home.
     pub home_epoch: u64,
-    /// How the home's table is held a second time.
+    /// Replication state of the table while this host is the home.
     pub replication: Replication,
-    /// Epoch for which this host, as witness, holds the whole table, 0 when for none.
+    /// Epoch for which this host has the home's whole table as witness, 0 for none.
     pub synced_epoch: u64,
 }
 
 impl FencingState {
-    /// Takes in a record of the store.
+    /// Applies a record read from the store.
     ///
-    /// Records come late and repeated: one below the fence changes nothing,
-    /// or a witness in the middle of a take-over would acknowledge again.
+    /// Records may arrive late or twice. A record below the fence is ignored;
+    /// otherwise a witness that has begun a takeover would acknowledge batches
+    /// of the old home again.
     pub fn observe_record(&mut self, epoch: u64, assignment: Assignment) {
         if epoch < self.fence {
             return;
@@ -88,18 +91,19 @@
         self.replication = replication;
     }
 
-    /// Returns whether the home may start an id that was acknowledged under `acked`.
+    /// Returns whether the home may start an id that the witness acknowledged
+    /// under epoch `acked_epoch`.
     ///
-    /// Without the witness's word a paused former home would start on waking
-    /// what its successor started meanwhile.
-    pub fn may_start(&self, acked: Option<u64>) -> bool {
+    /// Without the acknowledgement a former home that resumes after a pause
+    /// would start ids that its successor has started in the meantime.
+    pub fn may_start(&self, acked_epoch: Option<u64>) -> bool {
         if self.home_epoch == 0 || self.fence > self.home_epoch {
             return false;
         }
         match self.replication {
             Replication::Syncing => false,
             Replication::Unreplicated => true,
-            Replication::InSync => acked == Some(self.home_epoch),
+            Replication::InSync => acked_epoch == Some(self.home_epoch),
         }
     }
 
@@ -110,19 +114,19 @@
             && self.replication == Replication::InSync
     }
 
-    /// Judges a batch that a home sends under `epoch`.
+    /// Decides on a batch that a home sent under `epoch`.
     pub fn check_batch(&self, epoch: u64) -> BatchDecision {
         if epoch < self.fence {
             return BatchDecision::Fenced(self.fence);
         }
-        // A witness that holds only a part would, after a take-over, start again what it never saw.
+        // With a partial table, a takeover by this witness would start missing ids again.
         if self.synced_epoch != epoch {
             return BatchDecision::Unsynced;
         }
         BatchDecision::Accept
     }
 
-    /// Judges a part of the table that a home sends under `epoch`.
+    /// Decides on a part of the table that a home sent under `epoch`.
     pub fn accept_sync(&mut self, epoch: u64, last: bool) -> SyncDecision {
         if epoch < self.fence {
             return SyncDecision::Fenced(self.fence);
@@ -130,8 +134,8 @@
         if self.synced_epoch == epoch {
             return SyncDecision::Duplicate;
         }
-        // A home of the past learns here that it was replaced: the fence stops
-        // it, and it gives the role up with the record.
+        // If this host is a former home that has not seen the new record yet, the
+        // fence stops it; it drops the role when the record arrives.
         self.fence = epoch;
         self.synced_epoch = 0;
         if !last {
@@ -141,23 +145,23 @@
         SyncDecision::Complete
     }
 
-    /// Takes in that the witness holds the whole table under `epoch`.
+    /// Handles the witness's confirmation that it has the whole table of `epoch`.
     pub fn witness_synced(&mut self, epoch: u64) {
         if self.home_epoch == epoch && self.replication == Replication::Syncing {
             self.replication = Replication::InSync;
         }
     }
 
-    /// Takes in that the witness refused, being at `epoch`.
+    /// Raises the fence to `epoch`, at which the witness rejected a message.
     pub fn raise_fence(&mut self, epoch: u64) {
         self.fence = self.fence.max(epoch);
     }
 
-    /// Raises the fence for the take-over of a record at `epoch`, and returns the next epoch.
+    /// Raises the fence for the takeover of a record at `epoch` and returns the next epoch.
     ///
-    /// The fence comes before the swap: the other way round the former home
-    /// could have an id acknowledged after the record had moved. Returns none
-    /// when this host does not hold the whole table for that record.
+    /// The fence has to rise before the record is swapped; otherwise this host
+    /// could still acknowledge ids of the former home after the swap. Returns
+    /// none if this host does not have the whole table of that record's home.
     pub fn begin_takeover(&mut self, epoch: u64) -> Option<u64> {
         if epoch == 0 || self.synced_epoch != epoch || self.fence > epoch + 1 {
             return None;
@@ -166,13 +170,13 @@
         Some(epoch + 1)
     }
 
-    /// Returns the next epoch for the home's own swap on a record at `epoch`.
+    /// Returns the epoch under which the home may replace its own record at `epoch`.
     pub fn renewal_epoch(&self, epoch: u64) -> Option<u64> {
-        let owner = epoch != 0 && self.home_epoch == epoch && self.fence <= epoch + 1;
-        owner.then_some(epoch + 1)
+        let is_home = epoch != 0 && self.home_epoch == epoch && self.fence <= epoch + 1;
+        is_home.then_some(epoch + 1)
     }
 
-    /// Raises the fence for a claim of a shard whose table is lost, and returns the next epoch.
+    /// Raises the fence for the claim of a shard without a table and returns the next epoch.
     pub fn begin_claim(&mut self, epoch: u64) -> u64 {
         self.fence = self.fence.max(epoch + 1);
         self.fence
--- a/endivestile_kernel/src/shard/home.rs
+++ b/endivestile_kernel/src/shard/home.rs
@@ -1,30 +1,32 @@
-//! A home: batches of ids to the witness, and the copy of the table.
+//! Home side of a shard: replicates ids to the witness and grants tickets.
 
 use crate::shard::context::Context;
 use crate::shard::fencing::Replication;
 use crate::shard::replica::Replica;
 use crate::{HostState, Known, Metric, Msg, Peer};
 
-/// Most ids of one batch.
+/// Maximum number of ids in a batch.
 const MAX_BATCH_IDS: usize = 512;
-/// Most ids of one part of a table.
+/// Maximum number of ids in one part of a table.
 const MAX_PART_IDS: usize = 512;
-/// Time that a fenced home leaves to the witness's swap, in milliseconds.
+/// Delay before a fenced home renews its record, in milliseconds.
+///
+/// It gives the witness time to complete the takeover that raised the fence.
 const FENCED_RENEW_DELAY_MS: u64 = 1_000;
 
-/// A batch on its way to the witness.
+/// A batch of ids for the witness.
 #[derive(Debug)]
 pub(crate) struct Batch {
-    /// Number of the batch.
+    /// Number that the acknowledgement carries.
     pub(crate) number: u64,
-    /// The ids.
+    /// Ids to record.
     pub(crate) ids: Vec<Known>,
-    /// Tickets that are only to be confirmed.
+    /// Tickets of requests to confirm "not run".
     pub(crate) confirmations: Vec<u64>,
 }
 
 impl Replica {
-    /// Sends the next batch, or grants what waits when no witness is needed.
+    /// Sends the next batch, or grants all queued tickets if there is no witness.
     pub(crate) fn process_queue(&mut self, cx: &mut Context<'_>) {
         if self.fencing.home_epoch == 0 || (self.queue.is_empty() && self.confirmations.is_empty())
         {
@@ -54,23 +56,23 @@
         self.in_flight = Some(Batch { number, ids, confirmations });
     }
 
-    fn drain_queue(&mut self, me: &Peer, most: usize) -> Vec<Known> {
-        let count = self.queue.len().min(most);
+    fn drain_queue(&mut self, me: &Peer, limit: usize) -> Vec<Known> {
+        let count = self.queue.len().min(limit);
         let mut ids = Vec::with_capacity(count);
         for id in self.queue.drain(..count) {
             let Some(pending) = self.pending.get(&id) else { continue };
-            // Withdrawn before it was sent: nobody else has heard of it.
+            // Cancelled before it was sent, so that no other host has it.
             if pending.ticket.is_none() {
                 self.pending.remove(&id);
                 continue;
             }
-            let (digest, forget) = (pending.digest, pending.forget);
+            let (digest, forget) = (pending.digest, pending.forget_at);
             ids.push(Known { id, digest, runner: me.clone(), forget });
         }
         ids
     }
 
-    /// Takes in the witness's acknowledgement of a batch.
+    /// Handles the witness's acknowledgement of a batch.
     pub(crate) fn handle_recorded(
         &mut self,
         cx: &mut Context<'_>,
@@ -81,27 +83,27 @@
         if !self.is_witness(from) || !self.fencing.may_start(Some(epoch)) {
             return;
         }
-        // An acknowledgement of a batch from before a renewal proves nothing now.
+        // Ignores acknowledgements of batches sent before a renewal of the record.
         if let Some(in_flight) = self.in_flight.take_if(|in_flight| in_flight.number == batch) {
             self.grant_batch(cx, in_flight);
             self.process_queue(cx);
         }
     }
 
-    fn grant_batch(&mut self, cx: &mut Context<'_>, batch: Batch) {
-        for known in batch.ids {
+    fn grant_batch(&mut self, cx: &mut Context<'_>, granted: Batch) {
+        for known in granted.ids {
             self.grant_id(cx, known);
         }
-        for ticket in batch.confirmations {
-            cx.grant(ticket);
+        for confirmation in granted.confirmations {
+            cx.grant(confirmation);
         }
         self.update_stall_timer(cx, true);
     }
 
     fn grant_id(&mut self, cx: &mut Context<'_>, known: Known) {
         let Some(pending) = self.pending.get(&known.id) else { return };
-        // The id was withdrawn and submitted anew with another body: the witness
-        // has the old digest, and the next batch carries the new one.
+        // The ticket was cancelled and the id submitted again with another body. The
+        // witness has the old digest; the next batch replaces it.
         if pending.ticket.is_some() && pending.digest != known.digest {
             return;
         }
@@ -113,16 +115,16 @@
         }
     }
 
-    /// Takes in that the witness is at a later epoch.
+    /// Handles a rejection by a witness that has seen a later epoch.
     ///
-    /// The record has moved or is about to: a home that went on would start
-    /// what its successor starts. It reads the record before anything else.
+    /// The record has changed or is about to. The home stops granting, since
+    /// its successor may start the same ids, and reads the record again.
     pub(crate) fn handle_fenced(&mut self, cx: &mut Context<'_>, from: &Peer, epoch: u64) {
-        let home = self.fencing.home_epoch;
-        if home == 0 || epoch <= home || !self.is_witness(from) {
+        let home_epoch = self.fencing.home_epoch;
+        if home_epoch == 0 || epoch <= home_epoch || !self.is_witness(from) {
             return;
         }
-        if self.fencing.fence <= home {
+        if self.fencing.fence <= home_epoch {
             self.renew_at = cx.now.after_ms(FENCED_RENEW_DELAY_MS);
             self.retry_at = None;
         }
@@ -130,7 +132,7 @@
         self.needs_read = true;
     }
 
-    /// Puts everything that waits back into the queue, after a renewal.
+    /// Returns waiting ids and confirmations to the queue after a renewal.
     pub(crate) fn requeue(&mut self) {
         if let Some(in_flight) = self.in_flight.take() {
             self.confirmations.extend(in_flight.confirmations);
@@ -139,11 +141,11 @@
         self.queue = self.pending.keys().cloned().collect();
     }
 
-    /// Copies the table to a new witness, once an epoch.
+    /// Sends the table to a new witness, once per epoch.
     pub(crate) fn send_table(&mut self, cx: &mut Context<'_>) {
         let epoch = self.fencing.home_epoch;
-        let missing = self.fencing.replication == Replication::Syncing;
-        if epoch == 0 || !missing || self.copied_epoch == epoch || self.fencing.fence > epoch {
+        let syncing = self.fencing.replication == Replication::Syncing;
+        if epoch == 0 || !syncing || self.copied_epoch == epoch || self.fencing.fence > epoch {
             return;
         }
         let Some(to) = self.record().and_then(|record| record.witness.clone()) else { return };
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Takes in that the witness holds the whole table.
+    /// Handles the witness's confirmation that it has the whole table.
     pub(crate) fn handle_synced(&mut self, cx: &mut Context<'_>, from: &Peer, epoch: u64) {
         if self.is_witness(from) {
             self.fencing.witness_synced(epoch);
@@ -170,10 +172,10 @@
         }
     }
 
-    /// Offers the shard to its successor, once an epoch.
+    /// Offers the shard to its successor, once per epoch.
     ///
-    /// The home goes on serving until the successor has raised its fence, so that
-    /// a store outage at this moment costs nothing.
+    /// The home keeps serving until the successor has raised its fence, so that
+    /// a store outage at this point does not interrupt service.
     pub(crate) fn offer_shard(&mut self, cx: &mut Context<'_>) {
         let epoch = self.fencing.home_epoch;
         if self.successor.is_none() || !self.fencing.may_send_batch() || self.offered_epoch == epoch
@@ -190,7 +192,7 @@
         }
     }
 
-    fn is_witness(&self, from: &Peer) -> bool {
-        self.record().is_some_and(|record| record.witness.as_ref() == Some(from))
+    fn is_witness(&self, peer: &Peer) -> bool {
+        self.record().is_some_and(|record| record.witness.as_ref() == Some(peer))
     }
 }
--- a/endivestile_kernel/src/shard/id_table.rs
+++ b/endivestile_kernel/src/shard/id_table.rs
@@ -1,4 +1,4 @@
-//! The ids that a home or witness remembers.
+//! Table of the ids that a home or witness has recorded.
 
 use std::borrow::Borrow;
 use std::collections::HashSet;
@@ -8,37 +8,38 @@
 
 use crate::{Known, SubmissionId, Time};
 
-/// Remembered ids of one shard.
+/// Recorded ids of one shard.
 ///
-/// The hash is fixed, so that a scenario repeats exactly; an entry holds its
-/// id once.
+/// The hash has a fixed seed, so that scenarios are reproducible. A set of
+/// whole entries avoids storing each id a second time as a map key.
 #[derive(Debug, Default)]
 pub(crate) struct IdTable {
     entries: HashSet<Entry, BuildHasherDefault<IdHasher>>,
 }
 
 impl IdTable {
-    /// Returns what is remembered of an id.
+    /// Returns the entry of an id.
     pub(crate) fn get(&self, id: &SubmissionId) -> Option<&Known> {
         self.entries.get(id).map(|entry| &entry.0)
     }
 
-    /// Remembers an id, in place of what was remembered of it.
+    /// Inserts an id, replacing an entry with the same id.
     pub(crate) fn insert(&mut self, known: Known) {
         self.entries.replace(Entry(known));
     }
 
-    /// Forgets every id.
+    /// Removes all ids.
     pub(crate) fn clear(&mut self) {
         self.entries = HashSet::default();
     }
 
-    /// Forgets the ids whose time has come.
+    /// Removes the ids whose retention has ended.
     ///
-    /// An id is kept for the window and two margins after its arrival, on the
-    /// host's own monotonic clock. It was dated at most one margin after its
-    /// arrival, and clocks differ by less than the other: when it is forgotten,
-    /// every home refuses it as expired, so forgetting never means starting again.
+    /// An id is kept for the resubmission window plus twice the maximum clock
+    /// skew after its arrival, measured on the host's monotonic clock. The id
+    /// may be dated one skew after its arrival, and the clocks of two hosts
+    /// differ by less than another. Every home therefore refuses a removed id
+    /// as expired and cannot start it again.
     pub(crate) fn forget(&mut self, now: Time) {
         self.entries.retain(|entry| entry.0.forget > now);
     }
@@ -48,13 +49,13 @@
         self.entries.len()
     }
 
-    /// Returns the remembered ids.
+    /// Iterates over all ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Known> {
         self.entries.iter().map(|entry| &entry.0)
     }
 }
 
-/// An id, compared by its text alone.
+/// An entry that is compared and hashed by its id only.
 #[derive(Debug)]
 struct Entry(Known);
 
@@ -78,7 +79,7 @@
     }
 }
 
-/// Hasher without a random seed.
+/// Hasher with a fixed seed.
 #[derive(Debug, Default)]
 struct IdHasher(u64);
 
--- a/endivestile_kernel/src/shard/mod.rs
+++ b/endivestile_kernel/src/shard/mod.rs
@@ -1,8 +1,9 @@
-//! Who may start a submission whose id is the caller's own.
+//! Admission of submissions with caller-chosen ids, each started at most once.
 //!
-//! Ids are cut into shards. Each shard has a home, which alone starts
-//! submissions, and a witness, which remembers every id before its first task
-//! starts; the platform's store holds who is which, under an epoch.
+//! Ids are partitioned into shards. The home of a shard is the only host that
+//! starts its submissions. The witness keeps a copy of every id before the
+//! first task of that submission starts. A record in the platform's store
+//! names both; each change of the record raises its epoch.
 
 mod admission;
 mod balance;
--- a/endivestile_kernel/src/shard/ownership.rs
+++ b/endivestile_kernel/src/shard/ownership.rs
@@ -1,4 +1,4 @@
-//! What a shard needs of the platform's store next.
+//! Decides when a host claims, takes over or renews the record of a shard.
 
 use endivestile_config::model::WitnessZone;
 
@@ -7,27 +7,27 @@
 use crate::shard::replica::Replica;
 use crate::{HostState, Peer, Time};
 
-/// Time from the loss of a table to a claim, in milliseconds: longer than a
-/// configuration takes to be in force everywhere.
+/// Delay between the loss of a table and a claim, in milliseconds; longer than
+/// a configuration takes to reach every host.
 const CLAIM_DELAY_MS: u64 = 15_000;
 
-/// The next step towards the store.
+/// Next store operation of a shard.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum StoreStep {
-    /// None.
+    /// Nothing to do.
     Idle,
     /// Read the record.
     Read,
-    /// Claim a shard that nobody owns, or whose table is lost.
+    /// Claim a shard that has no record, or whose table is lost.
     Claim,
-    /// Take over as its witness.
+    /// Take the shard over as its witness.
     TakeOver,
-    /// Write the record anew as its home, with this witness.
+    /// Replace the record as its home, with this witness.
     Renew(Option<Peer>),
 }
 
 impl Replica {
-    /// Returns the next step towards the store.
+    /// Returns the next store operation.
     pub(crate) fn next_step(&self, cx: &Context<'_>) -> StoreStep {
         if self.needs_read {
             return StoreStep::Read;
@@ -44,32 +44,34 @@
             return self.home_step(cx, record);
         }
         let home = cx.view.state(&record.home);
-        let silent = matches!(home, HostState::Suspect | HostState::Gone);
-        let holds = self.fencing.synced_epoch == record.epoch;
-        // A fence once raised keeps the home out: the take-over has to be finished
-        // even if the home was suspected wrongly, or the shard would serve nobody.
-        let begun = self.fencing.fence > record.epoch;
-        if holds && (silent || begun || self.yielded_epoch == record.epoch) {
+        let unreachable = matches!(home, HostState::Suspect | HostState::Gone);
+        let has_table = self.fencing.synced_epoch == record.epoch;
+        // A raised fence blocks the home. The takeover has to be completed even if the
+        // home was suspected wrongly, or no host would serve the shard.
+        let takeover_begun = self.fencing.fence > record.epoch;
+        if has_table && (unreachable || takeover_begun || self.yielded_epoch == record.epoch) {
             return StoreStep::TakeOver;
         }
         if self.may_claim(cx) { StoreStep::Claim } else { StoreStep::Idle }
     }
 
     fn unowned_step(&self, cx: &Context<'_>) -> StoreStep {
-        // A home sent its table, so that a record exists.
+        // A home has sent its table, so a record exists.
         if self.fencing.synced_epoch > 0 {
             return self.catch_up_step();
         }
-        let claims = cx.now >= cx.shared.first_claim && self.is_first_ranked(cx);
-        if claims { StoreStep::Claim } else { StoreStep::Idle }
+        let claim_now = cx.now >= cx.shared.first_claim && self.is_first_ranked(cx);
+        if claim_now { StoreStep::Claim } else { StoreStep::Idle }
     }
 
-    /// The watch is behind the home that sent a table. It matters only if this
-    /// host was the home before, or if that home gives up.
+    /// Returns the step when the watch lags behind a home that has sent its table.
+    ///
+    /// The newer record is needed only if this host was the home before, or if
+    /// the new home has offered the shard to it.
     fn catch_up_step(&self) -> StoreStep {
-        let matters =
+        let needed =
             self.fencing.home_epoch != 0 || self.yielded_epoch == self.fencing.synced_epoch;
-        if matters { StoreStep::Read } else { StoreStep::Idle }
+        if needed { StoreStep::Read } else { StoreStep::Idle }
     }
 
     fn home_step(&self, cx: &Context<'_>, record: &ShardRecord) -> StoreStep {
@@ -85,11 +87,11 @@
         }
     }
 
-    /// Notes since when the shard's table is lost for good.
+    /// Starts the claim delay when the shard's table is lost, or resets it.
     ///
-    /// A host whose inventory is some seconds behind takes a host that was
-    /// added meanwhile for one that was taken out, and would claim the shards
-    /// of a pair that lives; it waits until it must have caught up.
+    /// A host whose inventory lags a few seconds treats a newly added host as
+    /// removed and would claim shards of a live pair. The delay gives it time to
+    /// catch up.
     pub(crate) fn update_claim_timer(&mut self, cx: &Context<'_>) {
         if !self.is_table_lost(cx) {
             self.claim_at = Time::NEVER;
@@ -98,32 +100,32 @@
         }
     }
 
-    /// Returns whether the home and whoever holds its table are gone.
+    /// Returns whether the home and every other holder of its table are gone.
     fn is_table_lost(&self, cx: &Context<'_>) -> bool {
         let Some(record) = self.record() else { return false };
-        let holder = match &record.witness {
+        let has_copy = match &record.witness {
             Some(peer) if *peer == cx.shared.me => self.fencing.synced_epoch == record.epoch,
-            // One that is only suspected may be serving on behind a cut.
+            // A suspected witness may still be serving on the other side of a partition.
             Some(peer) => cx.view.state(peer) != HostState::Gone,
             None => false,
         };
-        cx.view.state(&record.home) == HostState::Gone && !holder
+        cx.view.state(&record.home) == HostState::Gone && !has_copy
     }
 
-    /// Returns whether this host is the one to claim a shard whose table is lost.
+    /// Returns whether this host may claim the shard because its table is lost.
     pub(crate) fn may_claim(&self, cx: &Context<'_>) -> bool {
         let witness = self.record().and_then(|record| record.witness.as_ref());
-        let first = || witness == Some(&cx.shared.me) || self.is_first_ranked(cx);
-        cx.now >= self.claim_at && first()
+        let is_candidate = || witness == Some(&cx.shared.me) || self.is_first_ranked(cx);
+        cx.now >= self.claim_at && is_candidate()
     }
 
-    /// Returns whether this host is the one to claim the shard.
+    /// Returns whether this host is first in the shard's rank order and not draining.
     pub(crate) fn is_first_ranked(&self, cx: &Context<'_>) -> bool {
         let first = cx.view.ranked(&self.rank_key()).first().map(|host| &host.peer);
         first == Some(&cx.shared.me) && !cx.shared.draining
     }
 
-    /// Returns the key by which hosts are ranked for the shard.
+    /// Returns the key for rendezvous ranking of hosts for this shard.
     pub(crate) fn rank_key(&self) -> String {
         format!("shard {}", self.shard)
     }
@@ -142,19 +144,19 @@
         self.choose_witness(cx).or(leaving)
     }
 
-    /// Chooses a witness: in the preferred zone if it has a live host, else anywhere.
+    /// Chooses a live host as witness, if possible in the preferred zone.
     fn choose_witness(&self, cx: &Context<'_>) -> Option<Peer> {
         let ranked = cx.view.ranked(&self.rank_key());
         let others = || ranked.iter().filter(|host| host.peer != cx.shared.me);
-        let same = cx.shared.witness_zone == WitnessZone::Same;
-        let preferred = others().find(|host| (host.zone == cx.shared.zone) == same);
+        let same_zone = cx.shared.witness_zone == WitnessZone::Same;
+        let preferred = others().find(|host| (host.zone == cx.shared.zone) == same_zone);
         preferred.or_else(|| others().next()).map(|host| host.peer.clone())
     }
 
-    /// Claims the shard.
+    /// Claims the shard as its new home.
     pub(crate) fn claim(&mut self, cx: &mut Context<'_>) {
-        let old = self.record().map(|record| (record.epoch, record.floor));
-        let (epoch, floor) = match old {
+        let previous = self.record().map(|record| (record.epoch, record.floor));
+        let (epoch, floor) = match previous {
             Some((epoch, floor)) => (epoch, floor.max(floor_after_loss(cx.shared.wall_s(cx.now)))),
             None => (0, 0),
         };
@@ -172,7 +174,7 @@
         self.write_as_home(cx, witness, epoch, floor);
     }
 
-    /// Writes the record anew as its home.
+    /// Replaces the record as its home.
     pub(crate) fn renew(&mut self, cx: &mut Context<'_>, witness: Option<Peer>) {
         let Some(record) = self.record() else { return };
         let (epoch, floor) = (record.epoch, record.floor);
--- a/endivestile_kernel/src/shard/pending.rs
+++ b/endivestile_kernel/src/shard/pending.rs
@@ -1,4 +1,4 @@
-//! Tickets that wait for a shard.
+//! Tickets that wait for admission to a shard.
 
 use std::collections::BTreeSet;
 
@@ -6,31 +6,32 @@
 use crate::shard::replica::Replica;
 use crate::{Cause, HostState, SubmissionId, Time};
 
-/// Longest wait of a ticket without any progress of its shard, in milliseconds.
+/// Maximum time a ticket waits while its shard makes no progress, in milliseconds.
 ///
-/// A change of ownership takes a few store calls; if it takes longer, the
-/// caller is better told at once.
+/// A change of the home takes a few store calls. If it takes longer, a refusal
+/// is more useful to the caller than a longer wait.
 const STALL_TIMEOUT_MS: u64 = 1_000;
 
-/// An id that waits.
+/// An id that waits for admission.
 #[derive(Debug)]
 pub(crate) struct PendingId {
     /// Digest of the submission.
     pub(crate) digest: u64,
-    /// Whom to tell; none when the ticket was withdrawn or refused while the
-    /// id was on its way to the witness.
+    /// Ticket to answer; none if it was cancelled or refused while the id was
+    /// queued or in flight to the witness.
     pub(crate) ticket: Option<u64>,
-    /// When the id may be forgotten.
-    pub(crate) forget: Time,
+    /// When the id may be dropped from the table.
+    pub(crate) forget_at: Time,
 }
 
 impl Replica {
-    /// Returns why a ticket would wait for nothing, if it would.
+    /// Returns the cause if a ticket would wait in vain, else none.
     pub(crate) fn blocked_cause(&self, cx: &Context<'_>) -> Option<Cause> {
         if cx.view.store || self.fencing.may_start(None) {
             return None;
         }
-        // Without the store neither a fence nor a dead witness can be mended.
+        // Without the store the record cannot change, to replace a lost witness or
+        // to resolve a fence.
         if self.fencing.home_epoch == 0 || self.fencing.fence > self.fencing.home_epoch {
             return Some(Cause::ShardMoving);
         }
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Returns why nothing went on.
+    /// Returns the cause of a stall.
     pub(crate) fn stall_cause(&self) -> Cause {
         match self.fencing.home_epoch != 0 && self.fencing.fence <= self.fencing.home_epoch {
             true => Cause::WitnessAway,
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Returns whether any ticket waits.
+    /// Returns whether any id or ticket is waiting.
     pub(crate) fn has_waiting(&self) -> bool {
         !self.pending.is_empty() || !self.confirmations.is_empty() || self.in_flight.is_some()
     }
 
-    /// Notes that something waits, or goes on waiting after progress.
+    /// Starts the stall timer if something waits; `progress` restarts it.
     pub(crate) fn update_stall_timer(&mut self, cx: &mut Context<'_>, progress: bool) {
         if !self.has_waiting() {
             self.stall_at = Time::NEVER;
@@ -66,14 +67,14 @@
 
     /// Refuses every waiting ticket.
     ///
-    /// Ids in a batch on its way stay: the witness may have recorded them.
+    /// Ids in flight stay pending, since the witness may have recorded them.
     pub(crate) fn refuse_waiting(&mut self, cx: &mut Context<'_>, cause: Cause) {
         for ticket in self.take_tickets() {
             cx.refuse(ticket, cause);
         }
     }
 
-    /// Sends every waiting ticket back for admission.
+    /// Returns every waiting ticket to the kernel for another admission.
     pub(crate) fn readmit_waiting(&mut self, cx: &mut Context<'_>) {
         for ticket in self.take_tickets() {
             cx.readmit(ticket);
@@ -82,13 +83,13 @@
         self.pending.clear();
     }
 
-    /// Removes the ticket of an id.
+    /// Cancels the ticket of an id.
     ///
-    /// The id keeps its place in the queue, so that a wave of cancellations
-    /// costs no search each.
+    /// The id stays in the queue; searching it for each of many cancellations
+    /// would be slow.
     pub(crate) fn cancel(&mut self, ticket: u64, id: &SubmissionId) {
         if let Some(pending) = self.pending.get_mut(id) {
-            pending.ticket.take_if(|own| *own == ticket);
+            pending.ticket.take_if(|pending_ticket| *pending_ticket == ticket);
         }
     }
 
@@ -105,7 +106,7 @@
         tickets
     }
 
-    /// Forgets the ids that are in no batch.
+    /// Drops the pending ids that are not in flight.
     fn drop_unsent(&mut self) {
         let sent: BTreeSet<&SubmissionId> = self
             .in_flight
--- a/endivestile_kernel/src/shard/replica.rs
+++ b/endivestile_kernel/src/shard/replica.rs
@@ -1,4 +1,4 @@
-//! One shard on one host.
+//! State of one shard on one host.
 
 use std::collections::BTreeMap;
 
@@ -12,71 +12,71 @@
 use crate::shard::store_call::StoreCall;
 use crate::{Level, Metric, Peer, SubmissionId, Time};
 
-/// Period at which a table is searched for ids to forget, in milliseconds.
+/// Interval at which expired ids are removed from the table, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 60_000;
 
-/// The last record seen.
+/// Last record read or watched.
 #[derive(Debug)]
 pub(crate) struct ObservedRecord {
     /// Revision of the key.
     pub(crate) revision: u64,
-    /// The last record that could be read.
+    /// Last valid record.
     pub(crate) record: Option<ShardRecord>,
-    /// Whether the key was deleted since, or holds something else.
+    /// Whether the key was since deleted or holds an invalid value.
     pub(crate) invalid: bool,
 }
 
-/// One shard on one host.
+/// State of one shard on one host, whatever its role.
 #[derive(Debug)]
 pub(crate) struct Replica {
     /// Number of the shard.
     pub(crate) shard: u32,
-    /// What this host may do.
+    /// Epochs that decide what this host may do.
     pub(crate) fencing: FencingState,
-    /// The last record seen.
+    /// Last record read or watched.
     pub(crate) observed: Option<ObservedRecord>,
-    /// Ids remembered.
+    /// Recorded ids.
     pub(crate) table: IdTable,
-    /// Epoch of the parts of a table received, 0 when none.
+    /// Epoch of the table that this host is receiving as witness, 0 for none.
     pub(crate) syncing_epoch: u64,
-    /// Ids waiting for the witness or for a home.
+    /// Ids that wait for the witness's acknowledgement or for a home.
     pub(crate) pending: BTreeMap<SubmissionId, PendingId>,
-    /// Waiting ids that are in no batch yet.
+    /// Pending ids that are not in a batch yet.
     pub(crate) queue: Vec<SubmissionId>,
-    /// Tickets that wait for a confirmation and are in no batch yet.
+    /// Tickets of requests to confirm "not run" that are not in a batch yet.
     pub(crate) confirmations: Vec<u64>,
-    /// The batch on its way.
+    /// Batch that the witness has not acknowledged yet.
     pub(crate) in_flight: Option<Batch>,
-    /// Epoch under which the table was sent to the witness.
+    /// Epoch under which this host, as home, sent its table to the witness.
     pub(crate) copied_epoch: u64,
-    /// Epoch under which the shard was offered to the witness.
+    /// Epoch under which this host, as home, offered the shard to the witness.
     pub(crate) offered_epoch: u64,
-    /// Epoch under which the home offered the shard to this host.
+    /// Epoch under which the home offered the shard to this host, its witness.
     pub(crate) yielded_epoch: u64,
-    /// The host that is to have the shard.
+    /// Host to which this host, as home, transfers the shard.
     pub(crate) successor: Option<Peer>,
-    /// The open store call.
+    /// Open store call.
     pub(crate) call: Option<StoreCall>,
-    /// No store call is made before it.
+    /// Earliest time of the next store call.
     pub(crate) retry_at: Option<Time>,
-    /// Store calls that failed in a row.
+    /// Number of consecutive failed store calls.
     pub(crate) failures: u32,
-    /// Number of a write whose answer was lost.
+    /// Id of a write whose reply was lost.
     pub(crate) unconfirmed_write: Option<u64>,
-    /// Whether the record has to be read before anything is written.
+    /// Whether the record has to be read before the next write.
     pub(crate) needs_read: bool,
-    /// The shard may be claimed anew from then on, its table being lost.
+    /// When the shard may be claimed because its table is lost.
     pub(crate) claim_at: Time,
-    /// A fenced home writes the record anew at it, if nobody else did.
+    /// When a fenced home renews the record, unless it has changed by then.
     pub(crate) renew_at: Time,
-    /// Waiting tickets are refused at it.
+    /// When waiting tickets are refused.
     pub(crate) stall_at: Time,
-    /// The table is searched for ids to forget at it.
+    /// When expired ids are next removed from the table.
     pub(crate) sweep_at: Time,
 }
 
 impl Replica {
-    /// Makes the state of a shard of which nothing is known.
+    /// Creates the state of a shard whose record has not been read.
     pub(crate) fn new(shard: u32) -> Self {
         Self {
             shard,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Does whatever the state of the shard and of the hosts calls for.
+    /// Takes the actions that the current state of the shard and the hosts requires.
     pub(crate) fn reconcile(&mut self, cx: &mut Context<'_>) {
         if let Some(cause) = self.blocked_cause(cx) {
             self.refuse_waiting(cx, cause);
@@ -117,7 +117,7 @@
         cx.shared.wake_at(self.next_deadline(cx.now));
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due.
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
         self.expire_call(cx);
         if cx.now >= self.sweep_at {
@@ -131,74 +131,76 @@
         self.reconcile(cx);
     }
 
-    /// Returns when something is due, after what was due at `now` was done.
+    /// Returns the earliest timer after the timers due at `now` were handled.
     fn next_deadline(&self, now: Time) -> Time {
-        let claim = if self.claim_at > now { self.claim_at } else { Time::NEVER };
-        let call = match &self.call {
+        let next_claim = if self.claim_at > now { self.claim_at } else { Time::NEVER };
+        let next_call = match &self.call {
             Some(call) => call.expires_at,
             None => self.retry_at.unwrap_or(Time::NEVER),
         };
-        call.min(claim).min(self.stall_at).min(self.sweep_at)
+        next_call.min(next_claim).min(self.stall_at).min(self.sweep_at)
     }
 
-    /// Takes in a record that is later than the last one seen.
+    /// Applies a record that is newer than the observed one.
     pub(crate) fn apply_record(
         &mut self,
         cx: &mut Context<'_>,
         revision: u64,
         record: ShardRecord,
     ) {
-        let before = self.fencing.home_epoch;
-        let home = self.home().cloned();
+        let old_epoch = self.fencing.home_epoch;
+        let old_home = self.home_peer().cloned();
         self.fencing.observe_record(record.epoch, assignment(&record, &cx.shared.me));
         self.observed = Some(ObservedRecord { revision, record: Some(record), invalid: false });
         self.failures = 0;
         self.needs_read = false;
         self.retry_at = None;
         self.renew_at = Time::NEVER;
-        self.apply_role_change(cx, before, home);
+        self.apply_role_change(cx, old_epoch, old_home);
     }
 
-    /// Takes in that the record was deleted or overwritten past the tools.
+    /// Handles a record that was deleted or overwritten with an invalid value.
     ///
-    /// Nobody may claim the shard then, for its home may be serving on; home
-    /// and witness go on by the last record, and operators see the log line.
+    /// No host may claim the shard, since its home may still be serving. Home
+    /// and witness continue with the last valid record, and the log line alerts
+    /// operators.
     pub(crate) fn apply_invalid_record(&mut self, cx: &mut Context<'_>, revision: u64) {
         let record = self.observed.take().and_then(|observed| observed.record);
         self.observed = Some(ObservedRecord { revision, record, invalid: true });
         cx.log(Level::Error, "shard_record_broken", self.shard, Vec::new());
     }
 
-    fn apply_role_change(&mut self, cx: &mut Context<'_>, before: u64, home: Option<Peer>) {
-        let after = self.fencing.home_epoch;
-        if before == 0 && after != 0 {
+    fn apply_role_change(&mut self, cx: &mut Context<'_>, old_epoch: u64, old_home: Option<Peer>) {
+        let new_epoch = self.fencing.home_epoch;
+        if old_epoch == 0 && new_epoch != 0 {
             self.log_record(cx, "shard_gained");
-            if home.is_some() {
+            if old_home.is_some() {
                 cx.count(Metric::Takeovers, 1);
             }
             self.readmit_waiting(cx);
-        } else if before != 0 && after == 0 {
+        } else if old_epoch != 0 && new_epoch == 0 {
             self.log_record(cx, "shard_lost");
             self.successor = None;
             self.readmit_waiting(cx);
-        } else if after != before {
+        } else if new_epoch != old_epoch {
             self.log_record(cx, "shard_renewed");
             self.requeue();
-        } else if after == 0 && home.as_ref() != self.home() {
+        } else if new_epoch == 0 && old_home.as_ref() != self.home_peer() {
             self.readmit_waiting(cx);
         }
-        self.drop_unneeded_table(after);
+        self.drop_unneeded_table(new_epoch);
     }
 
-    /// Drops a table that no role needs.
+    /// Clears the table unless this host is the home, or a witness that has the
+    /// table or is receiving it.
     ///
-    /// A late record of an earlier epoch must not cost a witness the table
-    /// that it got meanwhile: it would take over without knowing any id.
-    fn drop_unneeded_table(&mut self, home: u64) {
+    /// A late record of an earlier epoch must not clear a table that the witness
+    /// has received since; a takeover would then start all its ids again.
+    fn drop_unneeded_table(&mut self, home_epoch: u64) {
         if self.syncing_epoch < self.fencing.fence {
             self.syncing_epoch = 0;
         }
-        if home == 0 && self.fencing.synced_epoch == 0 && self.syncing_epoch == 0 {
+        if home_epoch == 0 && self.fencing.synced_epoch == 0 && self.syncing_epoch == 0 {
             self.table.clear();
         }
     }
@@ -215,17 +217,17 @@
         cx.log(Level::Info, event, self.shard, pairs);
     }
 
-    /// Returns the last record seen.
+    /// Returns the last valid record.
     pub(crate) fn record(&self) -> Option<&ShardRecord> {
         self.observed.as_ref().and_then(|observed| observed.record.as_ref())
     }
 
-    /// Returns the home by the last record seen.
-    pub(crate) fn home(&self) -> Option<&Peer> {
+    /// Returns the home in the last valid record.
+    pub(crate) fn home_peer(&self) -> Option<&Peer> {
         self.record().map(|record| &record.home)
     }
 
-    /// Returns how the shard stands, for `me`.
+    /// Returns the status of the shard on host `me`.
     pub(crate) fn status(&self, me: &Peer) -> ShardStatus {
         let record = self.record();
         let witness = record.and_then(|record| record.witness.clone());
@@ -237,7 +239,7 @@
         let epoch = record.map_or(0, |record| record.epoch);
         ShardStatus {
             shard: self.shard,
-            home: self.home().cloned(),
+            home: self.home_peer().cloned(),
             witness,
             epoch,
             role,
@@ -251,7 +253,7 @@
     }
 }
 
-/// Returns the place of `me` in a record.
+/// Returns the role that a record assigns to `me`.
 fn assignment(record: &ShardRecord, me: &Peer) -> Assignment {
     if record.home == *me {
         return if record.witness.is_some() { Assignment::Home } else { Assignment::SoleHome };
--- a/endivestile_kernel/src/shard/shards.rs
+++ b/endivestile_kernel/src/shard/shards.rs
@@ -1,4 +1,4 @@
-//! All shards of a host.
+//! State machine of all shards of a host.
 
 use std::collections::BTreeSet;
 
@@ -9,13 +9,13 @@
 use crate::shard::replica::Replica;
 use crate::{Cause, Class, Form, Known, Msg, Peer, Stored, SubmissionId, Time, View};
 
-/// Time that a stopping host leaves to its shards to change hands, in milliseconds.
+/// Maximum time a draining host waits for the transfer of its shards, in milliseconds.
 const DRAIN_TIMEOUT_MS: u64 = 10_000;
 
-/// Decides who may start a submission whose id is the caller's own.
+/// Decides which submissions with caller-chosen ids this host may start.
 ///
-/// A state machine without input or output: events go in with the current
-/// instant and the view of the hosts, effects come out.
+/// A state machine that does no I/O: each event comes with the current time
+/// and the view of the hosts, and appends effects to a list.
 #[derive(Debug)]
 pub struct Shards {
     pub(super) shared: SharedState,
@@ -23,12 +23,12 @@
 }
 
 impl Shards {
-    /// Makes the shards of a host that starts; they own nothing.
+    /// Creates the state of a host at startup, which is the home of no shard.
     pub fn new(setup: ShardSetup) -> Self {
         Self { shared: SharedState::new(setup), replicas: Vec::new() }
     }
 
-    /// Takes in the rules; the number of shards is fixed by the first ones.
+    /// Applies the configured rules; only the first call sets the number of shards.
     pub fn configure(&mut self, rules: &Rules) {
         self.shared.window_s = rules.window_s;
         self.shared.witness_zone = rules.witness;
@@ -38,10 +38,10 @@
         }
     }
 
-    /// Asks for leave to start the submission `id`.
+    /// Requests admission of the submission `id`.
     ///
-    /// An id granted once is never granted again; a ticket is answered at most
-    /// once, perhaps among the effects of this very call.
+    /// An id is granted at most once. A ticket is answered at most once,
+    /// possibly by an effect of this call.
     pub fn admit(
         &mut self,
         now: Time,
@@ -54,10 +54,11 @@
         self.request_admission(Env { now, view, effects }, id, Some(digest), ticket)
     }
 
-    /// Asks whether this host is still the home of `id` and nobody recorded it.
+    /// Requests confirmation that this host is still the home of `id` and that
+    /// `id` is not recorded.
     ///
-    /// "Not run" is true of a caller's own id only after the grant of this
-    /// ticket; nothing is recorded.
+    /// Only after the grant of this ticket may a caller be answered "not run".
+    /// Nothing is recorded.
     pub fn confirm_not_run(
         &mut self,
         now: Time,
@@ -71,46 +72,46 @@
 
     fn request_admission(
         &mut self,
-        event: Env<'_>,
+        env: Env<'_>,
         id: &SubmissionId,
         digest: Option<u64>,
         ticket: u64,
     ) -> Admission {
-        let shard = self.shard_of(id);
+        let shard = self.shard_index(id);
         let (Form::Dated(secs), Some(replica)) = (id.form(), self.replicas.get_mut(shard)) else {
             return Admission::Refused(Class::Unknown, Cause::HomeAway);
         };
-        let mut cx = event.with(&mut self.shared);
-        let admit = replica.admit(&mut cx, id, *secs, digest, ticket);
-        if admit == Admission::Wait {
+        let mut cx = env.with(&mut self.shared);
+        let admission = replica.admit(&mut cx, id, *secs, digest, ticket);
+        if admission == Admission::Wait {
             let id = digest.map(|_| id.clone());
             cx.shared.tickets.insert(ticket, Ticket { shard: shard as u32, id });
             replica.update_stall_timer(&mut cx, false);
             replica.reconcile(&mut cx);
         }
-        admit
+        admission
     }
 
-    /// Withdraws a ticket: it is not answered any more.
+    /// Cancels a ticket, which is then not answered any more.
     pub fn cancel(&mut self, ticket: u64) {
-        let Some(waiting) = self.shared.tickets.remove(&ticket) else { return };
-        let Some(id) = waiting.id else { return };
-        if let Some(replica) = self.replicas.get_mut(waiting.shard as usize) {
+        let Some(pending) = self.shared.tickets.remove(&ticket) else { return };
+        let Some(id) = pending.id else { return };
+        if let Some(replica) = self.replicas.get_mut(pending.shard as usize) {
             replica.cancel(ticket, &id);
         }
     }
 
-    /// Returns the home of an id by the last record seen.
+    /// Returns the home of an id according to the last observed record.
     pub fn home_of(&self, id: &SubmissionId) -> Option<&Peer> {
-        self.replicas.get(self.shard_of(id)).and_then(Replica::home)
+        self.replicas.get(self.shard_index(id)).and_then(Replica::home_peer)
     }
 
-    /// Returns what this host remembers of an id.
+    /// Returns this host's entry of an id.
     pub fn lookup(&self, id: &SubmissionId) -> Option<&Known> {
-        self.replicas.get(self.shard_of(id)).and_then(|replica| replica.table.get(id))
+        self.replicas.get(self.shard_index(id)).and_then(|replica| replica.table.get(id))
     }
 
-    /// Takes in a message of a peer about a shard; others are ignored.
+    /// Handles a message of a peer about a shard; ignores other messages.
     pub fn handle_message(
         &mut self,
         now: Time,
@@ -143,7 +144,7 @@
         replica.reconcile(&mut cx);
     }
 
-    /// Takes in the end of a store call.
+    /// Handles the reply to a store call.
     pub fn handle_store_reply(
         &mut self,
         now: Time,
@@ -159,7 +160,7 @@
         replica.reconcile(&mut cx);
     }
 
-    /// Takes in a watched record, which may be stale, repeated or late.
+    /// Handles a watched record, which may be late, stale or repeated.
     pub fn handle_watch_event(
         &mut self,
         now: Time,
@@ -175,7 +176,7 @@
         replica.reconcile(&mut cx);
     }
 
-    /// Takes in a change of the hosts or of the store's reach.
+    /// Handles a change of the hosts' states or of the store's availability.
     pub fn handle_view_change(&mut self, now: Time, view: &View, effects: &mut Vec<ShardEffect>) {
         let mut cx = Env { now, view, effects }.with(&mut self.shared);
         cx.start_claim_delay();
@@ -185,7 +186,7 @@
         self.balance(now, view, effects);
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due.
     pub fn tick(&mut self, now: Time, view: &View, effects: &mut Vec<ShardEffect>) {
         let mut cx = Env { now, view, effects }.with(&mut self.shared);
         cx.start_claim_delay();
@@ -197,16 +198,17 @@
         self.balance(now, view, effects);
     }
 
-    /// Returns when [`Self::tick`] is due.
+    /// Returns when [`Self::tick`] has to be called next.
     pub fn deadline(&self) -> Option<Time> {
         (self.shared.next_wake != Time::NEVER).then_some(self.shared.next_wake)
     }
 
-    /// Starts a planned stop: every shard is offered to its witness.
+    /// Starts to drain the host before a planned stop by offering every shard to
+    /// its witness.
     ///
-    /// While the store is down nothing can change hands. The host then need
-    /// not stay: its witnesses have the tables and take over when the store is
-    /// back, and until then the shards' ids are answered unknown.
+    /// While the store is down no shard can be transferred, but the host need not
+    /// wait for long: its witnesses have the tables and take over once the store
+    /// is back. Until then requests for these shards are answered "unknown".
     pub fn start_drain(&mut self, now: Time, view: &View, effects: &mut Vec<ShardEffect>) {
         if !self.shared.draining {
             self.shared.draining = true;
@@ -215,12 +217,12 @@
         self.tick(now, view, effects);
     }
 
-    /// Returns how every shard stands.
+    /// Returns the status of every shard.
     pub fn status(&self) -> Vec<ShardStatus> {
         self.replicas.iter().map(|replica| replica.status(&self.shared.me)).collect()
     }
 
-    /// Returns the other halves of the shards that this host shares.
+    /// Returns the witnesses of this host's shards and the homes it is a witness of.
     pub fn replica_peers(&self) -> impl Iterator<Item = &Peer> {
         let me = &self.shared.me;
         let peers: BTreeSet<&Peer> =
@@ -228,7 +230,7 @@
         peers.into_iter()
     }
 
-    fn shard_of(&self, id: &SubmissionId) -> usize {
+    fn shard_index(&self, id: &SubmissionId) -> usize {
         id.shard(self.replicas.len() as u32) as usize
     }
 }
--- a/endivestile_kernel/src/shard/store_call.rs
+++ b/endivestile_kernel/src/shard/store_call.rs
@@ -7,32 +7,32 @@
 use crate::shard::replica::Replica;
 use crate::{Level, StoreOp, Stored, Time};
 
-/// Most store calls of all shards of a host at once.
+/// Maximum number of open store calls of a host, over all shards.
 const MAX_OPEN_CALLS: usize = 8;
-/// Pause after a first failed call, in milliseconds; it doubles with each further one.
+/// Backoff after the first failed call, in milliseconds; doubles with each further failure.
 const MIN_RETRY_MS: u64 = 50;
-/// Longest pause after failed calls, in milliseconds.
+/// Maximum backoff after failed calls, in milliseconds.
 const MAX_RETRY_MS: u64 = 3_200;
-/// Time after which a call without an answer counts as lost, in milliseconds.
+/// Timeout of a store call, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 5_000;
-/// Pause after a read that brought no newer, in milliseconds.
+/// Delay after a read that returned no newer record, in milliseconds.
 const READ_INTERVAL_MS: u64 = 100;
-/// Pause when too many calls are open, in milliseconds.
+/// Delay before a retry when too many calls are open, in milliseconds.
 const BUSY_RETRY_MS: u64 = 10;
 
 /// An open call to the store.
 #[derive(Debug)]
 pub(crate) struct StoreCall {
-    /// Number of the call.
+    /// Token that the reply carries.
     token: u64,
-    /// The record that it writes; none when it reads.
+    /// Record that the call writes; none for a read.
     write: Option<ShardRecord>,
-    /// When it counts as lost.
+    /// When the call times out.
     pub(crate) expires_at: Time,
 }
 
 impl Replica {
-    /// Makes the store call that the shard needs next, if any.
+    /// Starts the store call that the shard needs next, if any.
     pub(crate) fn call_store(&mut self, cx: &mut Context<'_>) {
         if self.call.is_some() || self.retry_at.is_some_and(|at| cx.now < at) {
             return;
@@ -76,7 +76,7 @@
         cx.effects.push(ShardEffect::Store { token, op });
     }
 
-    /// Takes in the end of a store call.
+    /// Handles the reply to a store call.
     pub(crate) fn handle_store_reply(&mut self, cx: &mut Context<'_>, token: u64, stored: Stored) {
         let Some(call) = self.call.take_if(|call| call.token == token) else { return };
         match (call.write, stored) {
@@ -89,7 +89,7 @@
             }
             (Some(_), Stored::Raced) => self.back_off(cx),
             (write, _) => {
-                // The write may have taken effect: only the record itself can tell.
+                // A write without a reply may have taken effect, which only a read can show.
                 self.unconfirmed_write =
                     write.map(|record| record.write).or(self.unconfirmed_write);
                 self.back_off(cx);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Gives up a call to which no answer came.
+    /// Gives up a call that has timed out.
     pub(crate) fn expire_call(&mut self, cx: &mut Context<'_>) {
         let Some(call) = &self.call else { return };
         if cx.now < call.expires_at {
@@ -108,7 +108,7 @@
         self.handle_store_reply(cx, token, Stored::Lost);
     }
 
-    /// Takes in a value read or watched.
+    /// Applies a value that was read or watched, if it is newer.
     pub(crate) fn apply_value(&mut self, cx: &mut Context<'_>, revision: u64, value: &[u8]) {
         let newer = self.observed.as_ref().is_none_or(|observed| observed.revision < revision);
         if revision == 0 || !newer {
@@ -120,19 +120,19 @@
         }
     }
 
-    /// Says whether a write whose answer was lost had taken effect.
+    /// Logs whether a write without a reply took effect.
     fn log_unconfirmed_write(&mut self, cx: &mut Context<'_>, value: &[u8]) {
         let Some(write) = self.unconfirmed_write.take() else { return };
-        let found = ShardRecord::decode(value).is_some_and(|record| record.write == write);
-        let pairs = vec![("write", format!("{write:x}")), ("effect", found.to_string())];
+        let applied = ShardRecord::decode(value).is_some_and(|record| record.write == write);
+        let pairs = vec![("write", format!("{write:x}")), ("effect", applied.to_string())];
         cx.log(Level::Info, "shard_write_doubt", self.shard, pairs);
     }
 
-    /// Reads the record next, after a pause that grows with every failure.
+    /// Schedules a read of the record after an exponential backoff.
     fn back_off(&mut self, cx: &mut Context<'_>) {
-        let millis = (MIN_RETRY_MS << self.failures.min(16)).min(MAX_RETRY_MS);
+        let backoff_ms = (MIN_RETRY_MS << self.failures.min(16)).min(MAX_RETRY_MS);
         self.failures += 1;
         self.needs_read = true;
-        self.retry_at = Some(cx.jittered(millis));
+        self.retry_at = Some(cx.jittered(backoff_ms));
     }
 }
--- a/endivestile_kernel/src/shard/witness.rs
+++ b/endivestile_kernel/src/shard/witness.rs
@@ -1,4 +1,4 @@
-//! A witness: remembers ids for a home, and refuses a home of the past.
+//! Witness side of a shard: stores the home's ids and fences off former homes.
 
 use crate::shard::context::Context;
 use crate::shard::fencing::{BatchDecision, SyncDecision};
@@ -6,7 +6,7 @@
 use crate::{Known, Msg, Peer};
 
 impl Replica {
-    /// Takes in a batch of a home.
+    /// Handles a batch of ids from a home.
     pub(crate) fn handle_batch(
         &mut self,
         cx: &mut Context<'_>,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes in a part of a home's table.
+    /// Handles a part of a home's table.
     pub(crate) fn handle_sync(
         &mut self,
         cx: &mut Context<'_>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The home's table is the truth: what is left of an older one goes first.
+    /// Stores a part of the home's table; the first part replaces any older table.
     fn insert_part(&mut self, epoch: u64, ids: Vec<Known>) {
         if self.syncing_epoch != epoch {
             self.syncing_epoch = epoch;
@@ -57,7 +57,7 @@
         ids.into_iter().for_each(|known| self.table.insert(known));
     }
 
-    /// Takes in the home's offer of the shard.
+    /// Handles the home's offer of the shard.
     pub(crate) fn handle_yield(&mut self, epoch: u64) {
         if self.fencing.synced_epoch == epoch {
             self.yielded_epoch = epoch;
--- a/endivestile_kernel/tests/shard_model.rs
+++ b/endivestile_kernel/tests/shard_model.rs
@@ -1,9 +1,9 @@
-//! Exhaustive search of the rules of starting: three hosts, one id, few epochs.
+//! Model checker of the fencing rules: three hosts, one id and three epochs.
 //!
-//! A message once sent may arrive at any time, in any order, repeatedly or
-//! never; swaps take effect late or without an answer; hosts crash, and a host
-//! that is not scheduled is a paused one. Suspicion may be wrong at any time;
-//! only "gone" is true.
+//! A message may arrive at any time, in any order, repeatedly or never. Swaps
+//! may take effect late or without a reply. Hosts crash, and a host that takes
+//! no step is paused. A host may be suspected wrongly, but not declared gone
+//! wrongly.
 
 use endivestile_kernel::{Assignment, BatchDecision, FencingState, Replication, SyncDecision};
 use pathfinding::directed::bfs::{bfs, bfs_reach};
@@ -11,7 +11,7 @@
 const HOSTS: usize = 3;
 const LAST_EPOCH: u64 = 3;
 
-/// A record of the store; with a floor, the id belongs to a lost table.
+/// A record in the store; with a floor, the id belongs to a lost table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Record {
     epoch: u64,
@@ -21,7 +21,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Mail {
+enum Message {
     Record { from: usize, to: usize, epoch: u64 },
     Recorded { to: usize, epoch: u64 },
     Fenced { to: usize, epoch: u64 },
@@ -35,10 +35,10 @@
 struct Host {
     dead: bool,
     fencing: FencingState,
-    seen: Option<Record>,
+    observed: Option<Record>,
     /// Whether the table holds the id.
     known: bool,
-    /// Whether the id waits for the witness.
+    /// Whether the id waits for the witness's acknowledgement.
     pending: bool,
 }
 
@@ -46,12 +46,12 @@
 struct State {
     hosts: [Host; HOSTS],
     store: Record,
-    /// Messages sent, in order.
-    mail: Vec<Mail>,
+    /// Messages sent, sorted and without duplicates.
+    messages: Vec<Message>,
     starts: u8,
 }
 
-/// One step of the search, for the trace of a breach.
+/// One step of the search, printed in the trace of a violation.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Crash(usize),
@@ -60,38 +60,38 @@
     TakeOver(usize, Option<usize>),
     Renew(usize, Option<usize>),
     Claim(usize, Option<usize>),
-    Deliver(Mail),
+    Deliver(Message),
 }
 
 impl State {
     fn initial() -> Self {
         let host = Host::default();
         let store = Record { epoch: 1, home: 0, witness: Some(1), floor: false };
-        let mut state = Self { hosts: [host; HOSTS], store, mail: Vec::new(), starts: 0 };
-        state.see(0, store);
+        let mut state = Self { hosts: [host; HOSTS], store, messages: Vec::new(), starts: 0 };
+        state.observe(0, store);
         state
     }
 
-    /// Sends a message; none when it was sent before.
-    fn post(&mut self, mail: Mail) -> Option<()> {
-        let at = self.mail.binary_search(&mail).err()?;
-        self.mail.insert(at, mail);
+    /// Sends a message; returns none if it was sent before.
+    fn send(&mut self, message: Message) -> Option<()> {
+        let at = self.messages.binary_search(&message).err()?;
+        self.messages.insert(at, message);
         Some(())
     }
 
-    fn see(&mut self, at: usize, record: Record) {
+    fn observe(&mut self, at: usize, record: Record) {
         let host = &mut self.hosts[at];
-        if host.seen.is_some_and(|seen| seen.epoch >= record.epoch) {
+        if host.observed.is_some_and(|observed| observed.epoch >= record.epoch) {
             return;
         }
-        host.fencing.observe_record(record.epoch, seat(record, at));
-        host.seen = Some(record);
+        host.fencing.observe_record(record.epoch, assignment(record, at));
+        host.observed = Some(record);
         if host.fencing.home_epoch == 0 {
             host.pending = false;
             host.known &= host.fencing.synced_epoch != 0;
         } else if let Some(to) = record.witness {
             let (epoch, known) = (record.epoch, host.known);
-            self.post(Mail::Sync { from: at, to, epoch, known });
+            self.send(Message::Sync { from: at, to, epoch, known });
         }
     }
 
@@ -103,7 +103,7 @@
 
     fn submit(&mut self, at: usize) -> Option<()> {
         let host = self.hosts[at];
-        let seen = host.seen.filter(|seen| !seen.floor && !host.known)?;
+        let observed = host.observed.filter(|observed| !observed.floor && !host.known)?;
         if host.fencing.home_epoch == 0 {
             return None;
         }
@@ -112,61 +112,61 @@
             return Some(());
         }
         self.hosts[at].pending = true;
-        let to = seen.witness.filter(|_| host.fencing.may_send_batch())?;
+        let to = observed.witness.filter(|_| host.fencing.may_send_batch())?;
         let epoch = host.fencing.home_epoch;
-        self.post(Mail::Record { from: at, to, epoch })
+        self.send(Message::Record { from: at, to, epoch })
     }
 
     fn swap(&mut self, at: usize, epoch: u64, witness: Option<usize>, floor: bool) -> Option<()> {
         if epoch > LAST_EPOCH {
             return None;
         }
-        let expect = self.hosts[at].seen?.epoch;
+        let expect = self.hosts[at].observed?.epoch;
         let record = Record { epoch, home: at, witness, floor };
-        self.post(Mail::Swap { expect, record })
+        self.send(Message::Swap { expect, record })
     }
 
     fn take_over(&mut self, at: usize, witness: Option<usize>) -> Option<()> {
-        let seen = self.hosts[at].seen.filter(|seen| seen.witness == Some(at))?;
-        let epoch = self.hosts[at].fencing.begin_takeover(seen.epoch)?;
-        self.swap(at, epoch, witness, seen.floor)
+        let observed = self.hosts[at].observed.filter(|observed| observed.witness == Some(at))?;
+        let epoch = self.hosts[at].fencing.begin_takeover(observed.epoch)?;
+        self.swap(at, epoch, witness, observed.floor)
     }
 
     fn renew(&mut self, at: usize, witness: Option<usize>) -> Option<()> {
-        let seen = self.hosts[at].seen?;
-        let epoch = self.hosts[at].fencing.renewal_epoch(seen.epoch)?;
-        self.swap(at, epoch, witness, seen.floor)
+        let observed = self.hosts[at].observed?;
+        let epoch = self.hosts[at].fencing.renewal_epoch(observed.epoch)?;
+        self.swap(at, epoch, witness, observed.floor)
     }
 
     fn claim(&mut self, at: usize, witness: Option<usize>) -> Option<()> {
-        let seen = self.hosts[at].seen?;
-        let spare = |peer: usize| peer == at || self.hosts[peer].dead;
-        if !self.hosts[seen.home].dead || !seen.witness.is_none_or(spare) {
+        let observed = self.hosts[at].observed?;
+        let lost = |peer: usize| peer == at || self.hosts[peer].dead;
+        if !self.hosts[observed.home].dead || !observed.witness.is_none_or(lost) {
             return None;
         }
-        let epoch = self.hosts[at].fencing.begin_claim(seen.epoch);
+        let epoch = self.hosts[at].fencing.begin_claim(observed.epoch);
         self.swap(at, epoch, witness, true)
     }
 
-    fn deliver(&mut self, mail: Mail) {
-        match mail {
-            Mail::Record { from, to, epoch } => self.record(from, to, epoch),
-            Mail::Recorded { to, epoch } => {
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Record { from, to, epoch } => self.record(from, to, epoch),
+            Message::Recorded { to, epoch } => {
                 let host = self.hosts[to];
                 if host.pending && host.fencing.may_start(Some(epoch)) {
                     self.start(to);
                 }
             }
-            Mail::Fenced { to, epoch } => self.hosts[to].fencing.raise_fence(epoch),
-            Mail::Sync { from, to, epoch, known } => self.sync(from, to, epoch, known),
-            Mail::Synced { to, epoch } => self.hosts[to].fencing.witness_synced(epoch),
-            Mail::Swap { expect, record } => {
+            Message::Fenced { to, epoch } => self.hosts[to].fencing.raise_fence(epoch),
+            Message::Sync { from, to, epoch, known } => self.sync(from, to, epoch, known),
+            Message::Synced { to, epoch } => self.hosts[to].fencing.witness_synced(epoch),
+            Message::Swap { expect, record } => {
                 if self.store.epoch == expect {
                     self.store = record;
-                    self.post(Mail::Swapped { record });
+                    self.send(Message::Swapped { record });
                 }
             }
-            Mail::Swapped { record } => self.see(record.home, record),
+            Message::Swapped { record } => self.observe(record.home, record),
         }
     }
 
@@ -174,10 +174,10 @@
         match self.hosts[to].fencing.check_batch(epoch) {
             BatchDecision::Accept => {
                 self.hosts[to].known = true;
-                self.post(Mail::Recorded { to: from, epoch });
+                self.send(Message::Recorded { to: from, epoch });
             }
             BatchDecision::Fenced(epoch) => {
-                self.post(Mail::Fenced { to: from, epoch });
+                self.send(Message::Fenced { to: from, epoch });
             }
             BatchDecision::Unsynced => {}
         }
@@ -186,13 +186,13 @@
     fn sync(&mut self, from: usize, to: usize, epoch: u64, known: bool) {
         match self.hosts[to].fencing.accept_sync(epoch, true) {
             SyncDecision::Fenced(epoch) => {
-                self.post(Mail::Fenced { to: from, epoch });
+                self.send(Message::Fenced { to: from, epoch });
                 return;
             }
             SyncDecision::Duplicate => {}
             SyncDecision::Partial | SyncDecision::Complete => self.hosts[to].known = known,
         }
-        self.post(Mail::Synced { to: from, epoch });
+        self.send(Message::Synced { to: from, epoch });
     }
 
     fn apply(&self, step: Step) -> Option<Self> {
@@ -200,24 +200,24 @@
         match step {
             Step::Crash(at) => next.hosts[at] = Host { dead: true, ..Host::default() },
             Step::Submit(at) => next.submit(at)?,
-            Step::Read(at) => next.see(at, self.store),
+            Step::Read(at) => next.observe(at, self.store),
             Step::TakeOver(at, witness) => next.take_over(at, witness)?,
             Step::Renew(at, witness) => next.renew(at, witness)?,
             Step::Claim(at, witness) => next.claim(at, witness)?,
-            Step::Deliver(mail) => next.deliver(mail),
+            Step::Deliver(message) => next.deliver(message),
         }
         next.prune();
         (next != *self).then_some(next)
     }
 
-    /// Drops the messages that can change nothing any more, whenever they arrive.
+    /// Drops messages that cannot change any state, whenever they arrive.
     fn prune(&mut self) {
         let (hosts, store) = (self.hosts, self.store);
-        self.mail.retain(|&mail| matters(&hosts, store, mail));
+        self.messages.retain(|&message| may_change_state(&hosts, store, message));
     }
 
     fn steps(&self) -> Vec<Step> {
-        // A breach is final: nothing is searched behind it.
+        // The search ends at a violation.
         if self.starts > 1 {
             return Vec::new();
         }
@@ -225,34 +225,34 @@
         for at in (0..HOSTS).filter(|&at| !self.hosts[at].dead) {
             self.host_steps(at, &mut steps);
         }
-        for &mail in &self.mail {
-            if receiver(mail).is_none_or(|to| !self.hosts[to].dead) {
-                steps.push(Step::Deliver(mail));
+        for &message in &self.messages {
+            if receiver(message).is_none_or(|to| !self.hosts[to].dead) {
+                steps.push(Step::Deliver(message));
             }
         }
         steps
     }
 
-    /// Adds the steps of a host that may change something.
+    /// Adds the steps of a host that may change the state.
     fn host_steps(&self, at: usize, steps: &mut Vec<Step>) {
         let host = self.hosts[at];
         steps.push(Step::Crash(at));
-        if host.seen.is_none_or(|seen| seen.epoch < self.store.epoch) {
+        if host.observed.is_none_or(|observed| observed.epoch < self.store.epoch) {
             steps.push(Step::Read(at));
         }
         if host.fencing.home_epoch != 0 && !host.known {
             steps.push(Step::Submit(at));
         }
-        let Some(seen) = host.seen.filter(|seen| seen.epoch < LAST_EPOCH) else { return };
+        let Some(observed) = host.observed.filter(|last| last.epoch < LAST_EPOCH) else { return };
         let others = (0..HOSTS).filter(|&other| other != at).map(Some);
         for witness in others.chain([None]) {
-            if seen.witness == Some(at) {
+            if observed.witness == Some(at) {
                 steps.push(Step::TakeOver(at, witness));
             }
             if host.fencing.home_epoch != 0 {
                 steps.push(Step::Renew(at, witness));
             }
-            if self.hosts[seen.home].dead {
+            if self.hosts[observed.home].dead {
                 steps.push(Step::Claim(at, witness));
             }
         }
@@ -263,7 +263,7 @@
     }
 }
 
-fn seat(record: Record, at: usize) -> Assignment {
+fn assignment(record: Record, at: usize) -> Assignment {
     match record.witness {
         Some(_) if record.home == at => Assignment::Home,
         None if record.home == at => Assignment::SoleHome,
@@ -272,44 +272,44 @@
     }
 }
 
-fn matters(hosts: &[Host; HOSTS], store: Record, mail: Mail) -> bool {
-    let fencing = |at: usize| hosts[at].fencing;
-    match mail {
-        Mail::Swap { expect, .. } => store.epoch == expect,
-        Mail::Swapped { record } => {
+fn may_change_state(hosts: &[Host; HOSTS], store: Record, message: Message) -> bool {
+    let fencing_of = |at: usize| hosts[at].fencing;
+    match message {
+        Message::Swap { expect, .. } => store.epoch == expect,
+        Message::Swapped { record } => {
             let home = hosts[record.home];
-            !home.dead && home.seen.is_none_or(|seen| seen.epoch < record.epoch)
+            !home.dead && home.observed.is_none_or(|observed| observed.epoch < record.epoch)
         }
-        // Whether a stale one matters is for the rules to say.
-        Mail::Recorded { to, .. } => !hosts[to].dead,
-        Mail::Synced { to, epoch } => {
+        // Stale acknowledgements are kept: the rules under test have to reject them.
+        Message::Recorded { to, .. } => !hosts[to].dead,
+        Message::Synced { to, epoch } => {
             !hosts[to].dead
-                && fencing(to).home_epoch == epoch
-                && fencing(to).replication == Replication::Syncing
+                && fencing_of(to).home_epoch == epoch
+                && fencing_of(to).replication == Replication::Syncing
         }
-        Mail::Fenced { to, epoch } => !hosts[to].dead && fencing(to).fence < epoch,
-        Mail::Sync { from, to, epoch, .. } | Mail::Record { from, to, epoch } => {
-            let news = fencing(to).fence <= epoch;
-            let fences = !hosts[from].dead && fencing(from).fence < fencing(to).fence;
-            !hosts[to].dead && (news || fences)
+        Message::Fenced { to, epoch } => !hosts[to].dead && fencing_of(to).fence < epoch,
+        Message::Sync { from, to, epoch, .. } | Message::Record { from, to, epoch } => {
+            let accepted = fencing_of(to).fence <= epoch;
+            let fences_sender = !hosts[from].dead && fencing_of(from).fence < fencing_of(to).fence;
+            !hosts[to].dead && (accepted || fences_sender)
         }
     }
 }
 
-/// Returns the host that a message goes to, none for the store.
-fn receiver(mail: Mail) -> Option<usize> {
-    match mail {
-        Mail::Record { to, .. }
-        | Mail::Recorded { to, .. }
-        | Mail::Fenced { to, .. }
-        | Mail::Sync { to, .. }
-        | Mail::Synced { to, .. } => Some(to),
-        Mail::Swap { .. } => None,
-        Mail::Swapped { record } => Some(record.home),
+/// Returns the receiving host of a message, none for the store.
+fn receiver(message: Message) -> Option<usize> {
+    match message {
+        Message::Record { to, .. }
+        | Message::Recorded { to, .. }
+        | Message::Fenced { to, .. }
+        | Message::Sync { to, .. }
+        | Message::Synced { to, .. } => Some(to),
+        Message::Swap { .. } => None,
+        Message::Swapped { record } => Some(record.home),
     }
 }
 
-/// Returns the steps between the states of a path.
+/// Returns the steps that lead along a path of states.
 fn trace(path: &[State]) -> Vec<Step> {
     let step = |from: &State, to: &State| {
         from.steps().into_iter().find(|&step| from.apply(step).as_ref() == Some(to))
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn standing_never_starts_twice() {
+fn fencing_never_starts_twice() {
     let start = State::initial();
     let mut states = 0;
     for state in bfs_reach(start.clone(), State::successors) {
--- a/endivestile_kernel/tests/shards/main.rs
+++ b/endivestile_kernel/tests/shards/main.rs
@@ -1,4 +1,4 @@
-//! Shards of several hosts over a fake store and fake links.
+//! Tests of the shards of several hosts with a simulated store and links.
 
 mod scenarios;
 mod sequences;
--- a/endivestile_kernel/tests/shards/scenarios.rs
+++ b/endivestile_kernel/tests/shards/scenarios.rs
@@ -1,23 +1,24 @@
-//! What must hold of shards under single faults.
+//! Scenarios with one fault or a few faults at fixed times.
 
 use endivestile_kernel::{MAX_CLOCK_SKEW_S, Peer, ShardRecord, ShardRole, too_far_ahead};
 use test_case::test_case;
 
-use crate::world::{Fate, Run, WALL_S, World, id};
+use crate::world::{ProcessState, TicketResult, WALL_S, World, id};
 
-/// Three hosts in three zones that own one shard.
-fn three() -> World {
+/// Returns three hosts in three zones that serve one shard.
+fn three_hosts() -> World {
     let mut world = World::new(&[0, 1, 2], 1);
     world.advance(1_000);
     world
 }
 
-fn third(world: &World) -> usize {
+/// Returns the host that is neither home nor witness.
+fn bystander(world: &World) -> usize {
     3 - world.home(0) - world.witness(0)
 }
 
-fn fate(world: &World, ticket: u64) -> Option<&Fate> {
-    world.fates.get(&ticket)
+fn result(world: &World, ticket: u64) -> Option<&TicketResult> {
+    world.results.get(&ticket)
 }
 
 #[test]
@@ -29,99 +30,98 @@
         assert_eq!(record.epoch, 1);
         assert_ne!(record.witness.expect("witnessed").host, record.home.host);
     }
-    // Each shard costs one swap, with no read before it.
+    // Each claim takes one swap and no read.
     assert_eq!(world.store_calls, 16);
 }
 
 #[test]
 fn admit_starts_once() {
-    let mut world = three();
+    let mut world = three_hosts();
     let first = world.submit(0, &id(0, 1));
     world.advance(10);
-    assert_eq!(world.starts[0].waited, 2);
+    assert_eq!(world.starts[0].waited_ms, 2);
     let again = world.submit(1, &id(0, 1));
     world.advance(10);
-    assert_eq!(fate(&world, first), Some(&Fate::Started));
-    assert_eq!(fate(&world, again), Some(&Fate::Known));
+    assert_eq!(result(&world, first), Some(&TicketResult::Started));
+    assert_eq!(result(&world, again), Some(&TicketResult::Known));
 }
 
 #[test]
-fn admit_burst_rides_in_two_batches() {
-    let mut world = three();
+fn admit_burst_takes_two_batches() {
+    let mut world = three_hosts();
     let home = world.home(0);
-    let before = world.messages;
+    let before = world.sent_messages;
     let tickets: Vec<u64> = (0..300).map(|n| world.submit(home, &id(0, n))).collect();
     world.advance(10);
-    assert!(tickets.iter().all(|&ticket| fate(&world, ticket) == Some(&Fate::Started)));
-    assert_eq!(world.messages - before, 4);
+    assert!(tickets.iter().all(|&ticket| result(&world, ticket) == Some(&TicketResult::Started)));
+    assert_eq!(world.sent_messages - before, 4);
 }
 
 #[test]
-fn withdraw_never_granted() {
-    let mut world = three();
+fn cancelled_ticket_never_granted() {
+    let mut world = three_hosts();
     let home = world.home(0);
     let ticket = world.submit(home, &id(0, 1));
-    world.withdraw(home, ticket);
+    world.cancel(home, ticket);
     world.advance(2_000);
-    assert_eq!(fate(&world, ticket), None);
+    assert_eq!(result(&world, ticket), None);
     let again = world.submit(home, &id(0, 1));
     world.advance(10);
-    assert_eq!(fate(&world, again), Some(&Fate::Started));
-    let question = world.confirm(home, &id(0, 2));
-    world.withdraw(home, question);
+    assert_eq!(result(&world, again), Some(&TicketResult::Started));
+    let confirmation = world.confirm_not_run(home, &id(0, 2));
+    world.cancel(home, confirmation);
     world.advance(2_000);
-    assert_eq!(fate(&world, question), None);
+    assert_eq!(result(&world, confirmation), None);
 }
 
-// The watch on the store is late, so that a former home does not hear that it
-// was replaced. The new home's fence tells it at once; without it callers
-// would wait a second and learn nothing.
+// A delayed watch keeps a former home from observing that it was replaced. The
+// new home's rejection makes it read the record at once; otherwise callers would
+// wait for the stall timeout.
 #[test]
-fn fence_tells_former_home() {
-    let mut world = three();
+fn fence_redirects_former_home() {
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
-    world.watch_ms = 60_000;
-    world.set_run(home, Run::Paused);
+    world.watch_delay_ms = 60_000;
+    world.set_process(home, ProcessState::Paused);
     world.advance(200);
-    world.set_run(home, Run::Up);
+    world.set_process(home, ProcessState::Running);
     let ticket = world.submit(home, &id(0, 1));
     world.advance(20);
     assert_eq!(world.home(0), witness);
-    assert_eq!(fate(&world, ticket), Some(&Fate::Started));
+    assert_eq!(result(&world, ticket), Some(&TicketResult::Started));
 }
 
-// The home is paused after it has sent an id to its witness. The witness
-// takes the shard over, and the caller, who waits in vain, submits again at
-// the new home, which starts the work. On waking, the old home finds the
-// acknowledgement or submits for another caller; if it started too, two
-// chambers would stand ready for one mirror.
+// The home pauses after it has sent an id to its witness. The witness takes the
+// shard over and starts the id for the caller's second attempt. The old home
+// resumes, receives the late acknowledgement and another request for the id, and
+// must not start it a second time.
 #[test]
 fn fence_paused_home_starts_nothing() {
-    let mut world = three();
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
     world.delay_ms.insert((home, witness), 300);
-    world.watch_ms = 60_000;
+    world.watch_delay_ms = 60_000;
     world.submit(home, &id(0, 1));
-    world.set_run(home, Run::Paused);
+    world.set_process(home, ProcessState::Paused);
     world.advance(200);
     assert_eq!(world.home(0), witness);
-    let elsewhere = world.submit(witness, &id(0, 1));
+    let resubmitted = world.submit(witness, &id(0, 1));
     world.advance(20);
-    assert_eq!(fate(&world, elsewhere), Some(&Fate::Started));
+    assert_eq!(result(&world, resubmitted), Some(&TicketResult::Started));
     world.advance(300);
-    world.set_run(home, Run::Up);
+    world.set_process(home, ProcessState::Running);
     world.submit(home, &id(0, 1));
     world.advance(1_000);
     assert_eq!(world.starts.len(), 1);
 }
 
-// A witness dies and the home names another, which has not got the table yet
-// when the home dies too. If the new witness took over, it would take every
-// id for new and start again what the dead home had started.
+// The witness crashes and the home chooses another, which has not received the
+// table when the home crashes too. A takeover by the new witness would start ids
+// again that the old home had started.
 #[test]
 fn sync_new_witness_without_table_starts_nothing() {
-    let mut world = three();
-    let (home, witness, other) = (world.home(0), world.witness(0), third(&world));
+    let mut world = three_hosts();
+    let (home, witness, other) = (world.home(0), world.witness(0), bystander(&world));
     world.submit(home, &id(0, 1));
     world.advance(20);
     world.delay_ms.insert((home, other), 500);
@@ -132,136 +132,135 @@
     world.advance(200);
     let again = world.submit(other, &id(0, 1));
     world.advance(1_500);
-    assert_eq!(fate(&world, again), Some(&Fate::Unknown));
+    assert_eq!(result(&world, again), Some(&TicketResult::Unknown));
     assert_eq!(world.starts.len(), 1);
 }
 
-// The home starts an id and dies. A home that did not wait for its witness
-// would leave no trace of the id anywhere, and the successor would start it
-// again for the caller who comes back.
+// The home starts an id and crashes. Unless it waited for its witness, no other
+// host has the id, and the successor would start it again on a retry.
 #[test]
-fn witness_knows_ids_of_dead_home() {
-    let mut world = three();
+fn witness_has_ids_of_crashed_home() {
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
     let first = world.submit(home, &id(0, 1));
     world.advance(3);
-    assert_eq!(fate(&world, first), Some(&Fate::Started));
+    assert_eq!(result(&world, first), Some(&TicketResult::Started));
     world.crash(home);
     world.advance(200);
     assert_eq!(world.home(0), witness);
     let again = world.submit(witness, &id(0, 1));
     let fresh = world.submit(witness, &id(0, 2));
     world.advance(20);
-    assert_eq!(fate(&world, again), Some(&Fate::Known));
-    assert_eq!(fate(&world, fresh), Some(&Fate::Started));
+    assert_eq!(result(&world, again), Some(&TicketResult::Known));
+    assert_eq!(result(&world, fresh), Some(&TicketResult::Started));
 }
 
-// A host is killed. Until its witness has taken over, callers are told at once
-// that nothing is known of their ids; they should not have to come back often.
+// After a crash of the home, requests are answered "unknown" until the witness
+// has taken over, which must not take long.
 #[test]
-fn take_over_serves_again_soon() {
-    let mut world = three();
+fn takeover_resumes_service_quickly() {
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
-    let before = world.now;
+    let before = world.now_ms;
     world.crash(home);
     for number in 0..100 {
         world.submit(witness, &id(0, number));
         world.advance(1);
     }
-    let gap = world.starts[0].at - before;
+    let gap = world.starts[0].at_ms - before;
     println!("first start {gap} ms after the crash");
-    // 30 ms of silence, one swap, one table and one batch there and back.
+    // 30 ms until suspicion, one swap, one table transfer and one batch round trip.
     assert!(gap <= 40);
 }
 
-// The store takes the witness's swap and its answer is lost. The witness must
-// read the record back: if it gave up, nobody would serve the shard; if it
-// assumed success, it could serve one that it does not own.
+// The store applies the witness's swap but the reply is lost. The witness must
+// read the record: if it gave up, no host would serve the shard; if it assumed
+// success, it could serve a shard of another home.
 #[test]
-fn take_over_answer_lost() {
-    let mut world = three();
+fn takeover_reply_lost() {
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
-    world.watch_ms = 60_000;
+    world.watch_delay_ms = 60_000;
     world.crash(home);
-    world.lose = 1;
+    world.lost_replies = 1;
     world.advance(400);
     assert_eq!(world.home(0), witness);
     let ticket = world.submit(witness, &id(0, 1));
     world.advance(20);
-    assert_eq!(fate(&world, ticket), Some(&Fate::Started));
+    assert_eq!(result(&world, ticket), Some(&TicketResult::Started));
 }
 
-// A witness takes a slow home for dead and raises its fence, and the store goes
-// down before its swap. The home comes back and finds itself refused: without
-// an end to the take-over, its callers would be answered "unknown".
+// A witness suspects a paused home and raises its fence, and the store fails
+// before the swap. The resumed home is fenced off; unless the takeover is
+// completed later, its callers are answered "unknown" forever.
 #[test]
-fn take_over_begun_is_finished() {
-    let mut world = three();
+fn takeover_begun_is_completed() {
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
-    world.set_run(home, Run::Paused);
+    world.set_process(home, ProcessState::Paused);
     world.advance(31);
     world.store_up = false;
     world.advance(5);
-    world.set_run(home, Run::Up);
+    world.set_process(home, ProcessState::Running);
     world.advance(1_000);
     world.store_up = true;
     world.advance(500);
     assert_eq!(world.home(0), witness);
     let ticket = world.submit(home, &id(0, 1));
     world.advance(20);
-    assert_eq!(fate(&world, ticket), Some(&Fate::Started));
+    assert_eq!(result(&world, ticket), Some(&TicketResult::Started));
 }
 
-// Home and witness are cut from each other while both reach the store: each
-// takes the other for dead and swaps. One swap wins, and the loser must not
-// go on under the old epoch.
+// Home and witness are partitioned but both reach the store, so each suspects
+// the other and tries a swap. One swap wins; the loser must not continue under
+// the old epoch.
 #[test]
-fn cut_pair_one_home_left() {
-    let mut world = three();
+fn partitioned_pair_keeps_one_home() {
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
-    world.set_cut(home, witness, true);
+    world.set_partition(home, witness, true);
     for round in 0..20 {
         world.submit(home, &id(0, round));
         world.submit(witness, &id(0, round));
         world.advance(20);
     }
-    world.set_cut(home, witness, false);
+    world.set_partition(home, witness, false);
     world.advance(1_000);
     let ticket = world.submit(home, &id(0, 99));
     world.advance(20);
-    assert_eq!(fate(&world, ticket), Some(&Fate::Started));
+    assert_eq!(result(&world, ticket), Some(&TicketResult::Started));
     assert_eq!(world.record(0).expect("owned").epoch, 2);
 }
 
-// The store is down for long. Callers must notice nothing as long as home and
-// witness live; once one of them dies they are told at once.
+// During a long store outage requests must be served as long as home and witness
+// are live. After one of them crashes, requests must be refused at once.
 #[test]
-fn store_down_pair_serves_on() {
-    let mut world = three();
+fn store_down_pair_keeps_serving() {
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
     world.store_up = false;
     world.advance(60_000);
     let ticket = world.submit(home, &id(60_000, 1));
     world.advance(3);
-    assert_eq!(fate(&world, ticket), Some(&Fate::Started));
+    assert_eq!(result(&world, ticket), Some(&TicketResult::Started));
     world.crash(witness);
     world.advance(100);
     let refused = world.submit(home, &id(60_000, 2));
-    assert_eq!(fate(&world, refused), Some(&Fate::Unknown));
+    assert_eq!(result(&world, refused), Some(&TicketResult::Unknown));
     world.store_up = true;
     world.advance(200);
     let served = world.submit(home, &id(60_000, 3));
     world.advance(20);
-    assert_eq!(fate(&world, served), Some(&Fate::Started));
+    assert_eq!(result(&world, served), Some(&TicketResult::Started));
 }
 
-// Home and witness die together. Nobody else knows what they started, so ids
-// of that time stay unknown, and only ids dated later are served again. While
-// the two are only suspected they may be serving on behind a cut.
+// Home and witness crash together. No other host has their ids, so older ids stay
+// "unknown" and only ids dated after the floor are served. As long as the two are
+// only suspected they may still be serving behind a partition.
 #[test]
 fn both_lost_old_ids_unknown() {
-    let mut world = three();
-    let (home, witness, other) = (world.home(0), world.witness(0), third(&world));
+    let mut world = three_hosts();
+    let (home, witness, other) = (world.home(0), world.witness(0), bystander(&world));
     world.submit(home, &id(0, 1));
     world.advance(10);
     world.crash(home);
@@ -275,26 +274,26 @@
     world.advance(200);
     assert_eq!(world.home(0), other);
     let again = world.submit(other, &id(0, 1));
-    assert_eq!(fate(&world, again), Some(&Fate::Unknown));
+    assert_eq!(result(&world, again), Some(&TicketResult::Unknown));
     assert!(world.record(0).expect("owned").floor > WALL_S);
     world.advance(130_000);
-    let fresh = world.submit(other, &id(world.now, 2));
+    let fresh = world.submit(other, &id(world.now_ms, 2));
     world.advance(20);
-    assert_eq!(fate(&world, fresh), Some(&Fate::Started));
+    assert_eq!(result(&world, fresh), Some(&TicketResult::Started));
 }
 
-// A host's only peers die. With nobody to witness, it serves alone by a record
-// that says so; a peer that comes back is made witness again.
+// All peers of the home crash. It serves without a witness under a record that
+// names none, and chooses a restarted peer as witness again.
 #[test]
-fn alone_serves_and_takes_witness() {
-    let mut world = three();
+fn sole_home_serves_and_gets_witness() {
+    let mut world = three_hosts();
     let home = world.home(0);
-    let others = [world.witness(0), third(&world)];
+    let others = [world.witness(0), bystander(&world)];
     others.iter().for_each(|&other| world.crash(other));
     world.advance(200);
     assert_eq!(world.record(0).expect("owned").witness, None);
     let ticket = world.submit(home, &id(0, 1));
-    assert_eq!(fate(&world, ticket), Some(&Fate::Started));
+    assert_eq!(result(&world, ticket), Some(&TicketResult::Started));
     world.restart(others[0]);
     world.advance(300);
     assert_eq!(world.witness(0), others[0]);
@@ -302,35 +301,35 @@
     world.advance(200);
     let again = world.submit(others[0], &id(0, 1));
     world.advance(20);
-    assert_eq!(fate(&world, again), Some(&Fate::Known));
+    assert_eq!(result(&world, again), Some(&TicketResult::Known));
 }
 
-// "Not run" from a host that has lost the shard without knowing it would be a
-// lie: its successor may have started the id.
+// A home that was replaced during a pause must not confirm "not run", since its
+// successor may have started the id.
 #[test]
-fn confirm_paused_home_moved() {
-    let mut world = three();
+fn confirm_at_replaced_home() {
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
-    let fresh = world.confirm(home, &id(0, 1));
+    let fresh = world.confirm_not_run(home, &id(0, 1));
     world.advance(10);
-    assert_eq!(fate(&world, fresh), Some(&Fate::NotRun));
-    world.set_run(home, Run::Paused);
+    assert_eq!(result(&world, fresh), Some(&TicketResult::NotRun));
+    world.set_process(home, ProcessState::Paused);
     world.advance(200);
     world.submit(witness, &id(0, 1));
     world.advance(20);
-    world.set_run(home, Run::Up);
-    let late = world.confirm(home, &id(0, 1));
+    world.set_process(home, ProcessState::Running);
+    let late = world.confirm_not_run(home, &id(0, 1));
     world.advance(100);
-    assert_eq!(fate(&world, late), Some(&Fate::Known));
+    assert_eq!(result(&world, late), Some(&TicketResult::Known));
 }
 
-// A host is stopped on purpose. Its callers must not notice: ids that come in
-// the middle of the handing over start, once, at the old home or the new one.
+// During a planned stop of a host every id that is submitted while its shards are
+// transferred must start once, at the old home or the new one, without long waits.
 #[test]
-fn leave_hands_every_shard_on() {
+fn drain_transfers_every_shard() {
     let mut world = World::new(&[0, 1, 2], 8);
     world.advance(1_500);
-    world.leave(0);
+    world.drain(0);
     let mut tickets = Vec::new();
     for number in 0..100 {
         tickets.push(world.submit(number % 3, &id(0, number)));
@@ -338,25 +337,25 @@
     }
     world.advance(500);
     assert!(world.shards(0).is_drained());
-    assert!(tickets.iter().all(|&ticket| fate(&world, ticket) == Some(&Fate::Started)));
-    let longest = world.starts.iter().map(|start| start.waited).max();
+    assert!(tickets.iter().all(|&ticket| result(&world, ticket) == Some(&TicketResult::Started)));
+    let longest = world.starts.iter().map(|start| start.waited_ms).max();
     println!("longest wait for a start {longest:?} ms");
     assert!(longest < Some(30));
     let roles = world.shards(0).status();
     assert!(roles.iter().all(|shard| shard.role == ShardRole::Other), "{roles:?}");
 }
 
-// A planned stop while the store is down: nothing can change hands yet. If the
-// process ended at once, and its witness with it, their shards would have no
-// home when the store is back; but it must not wait for a long outage to end.
+// While the store is down a draining host cannot transfer its shards. It must wait
+// for the drain timeout, since its witness may be stopping too, but not for the
+// end of the outage.
 #[test]
-fn leave_store_down_idle_in_time() {
-    let mut world = three();
+fn drain_store_down_ends_in_time() {
+    let mut world = three_hosts();
     let home = world.home(0);
     let witness = world.witness(0);
     world.store_up = false;
     world.advance(10);
-    world.leave(home);
+    world.drain(home);
     world.advance(9_000);
     assert!(!world.shards(home).is_drained());
     world.advance(1_100);
@@ -378,30 +377,31 @@
     assert_eq!(homes, 4);
     let ticket = world.submit(0, &id(60_000, 1));
     world.advance(20);
-    assert_eq!(fate(&world, ticket), Some(&Fate::Started));
+    assert_eq!(result(&world, ticket), Some(&TicketResult::Started));
 }
 
 #[test]
-fn lose_host_costs_few_store_calls() {
+fn lost_host_costs_few_store_calls() {
     let mut world = World::new(&[0, 0, 1, 1, 2, 2], 64);
     world.advance(3_000);
-    let halves = world.shards(0).status().iter().filter(|s| s.role != ShardRole::Other).count();
+    let replicas =
+        world.shards(0).status().iter().filter(|replica| replica.role != ShardRole::Other).count();
     let before = world.store_calls;
     world.crash(0);
     world.advance(200);
     let calls = world.store_calls - before;
-    println!("store calls {calls} for {halves} halves lost");
-    assert!(calls <= halves + halves / 4, "{calls} store calls for {halves} halves");
+    println!("store calls {calls} for {replicas} replicas lost");
+    assert!(calls <= replicas + replicas / 4, "{calls} store calls for {replicas} replicas");
 }
 
-// A table must shrink again, and an id that it forgot must not pass for a new
-// one: the caller would get a second chamber.
+// Expired ids must be removed from the table, and a removed id must not be started
+// again as a new one.
 #[test]
-fn table_forgets_after_window() {
+fn table_drops_expired_ids() {
     let mut world = World::with_window(&[0, 1, 2], 1, 10);
     world.advance(1_000);
     let home = world.home(0);
-    let ids: Vec<_> = (0..10).map(|number| id(world.now, number)).collect();
+    let ids: Vec<_> = (0..10).map(|number| id(world.now_ms, number)).collect();
     for id in &ids {
         world.submit(home, id);
     }
@@ -410,23 +410,23 @@
     world.advance(62_000);
     assert_eq!(world.shards(home).status()[0].ids, 0);
     let late = world.submit(home, &ids[0]);
-    assert_eq!(fate(&world, late), Some(&Fate::Unknown));
+    assert_eq!(result(&world, late), Some(&TicketResult::Unknown));
 }
 
-// Somebody overwrites a record past the tools. Nobody may take that for an
-// unowned shard, for its home serves on.
+// A record is overwritten with an invalid value. No host may treat the shard as
+// unowned, since its home keeps serving.
 #[test]
-fn record_broken_pair_serves_on() {
-    let mut world = three();
+fn invalid_record_pair_keeps_serving() {
+    let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
-    let other = third(&world);
+    let other = bystander(&world);
     let good = world.record(0).expect("owned").encode();
-    world.put(0, "junk".into());
+    world.overwrite_record(0, "junk".into());
     world.advance(1_000);
     let ticket = world.submit(other, &id(0, 1));
     world.advance(10);
-    assert_eq!(fate(&world, ticket), Some(&Fate::Started));
-    world.put(0, good);
+    assert_eq!(result(&world, ticket), Some(&TicketResult::Started));
+    world.overwrite_record(0, good);
     world.advance(100);
     world.crash(home);
     world.advance(100);
@@ -434,9 +434,9 @@
 }
 
 #[test_case(0, false; "now")]
-#[test_case(MAX_CLOCK_SKEW_S, false; "one margin ahead")]
-#[test_case(MAX_CLOCK_SKEW_S + 1, true; "beyond the margin")]
-fn too_early_ahead(ahead: u64, refused: bool) {
+#[test_case(MAX_CLOCK_SKEW_S, false; "one clock skew ahead")]
+#[test_case(MAX_CLOCK_SKEW_S + 1, true; "beyond the clock skew")]
+fn too_far_ahead_limit(ahead: u64, refused: bool) {
     assert_eq!(too_far_ahead(WALL_S + ahead, WALL_S), refused);
 }
 
@@ -453,16 +453,16 @@
     assert_eq!(ShardRecord::decode(b"{}"), None);
 }
 
-// The store is back before the wait is over: the shards change hands, and none
-// is left without a home.
+// The store recovers before the drain timeout: the draining host must transfer its
+// shard, and not leave it without a home.
 #[test]
-fn leave_store_back_hands_over() {
-    let mut world = three();
+fn drain_store_back_transfers_shard() {
+    let mut world = three_hosts();
     let home = world.home(0);
     let witness = world.witness(0);
     world.store_up = false;
     world.advance(10);
-    world.leave(home);
+    world.drain(home);
     world.advance(2_000);
     world.store_up = true;
     world.advance(3_000);
--- a/endivestile_kernel/tests/shards/world/store.rs
+++ b/endivestile_kernel/tests/shards/world/store.rs
@@ -1,22 +1,22 @@
-//! The fake store: swaps, reads and watches, with answers lost or late.
+//! Simulated store: compare-and-swap, reads and watches, with delayed or lost replies.
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
 use endivestile_kernel::{ShardRecord, StoreOp, Stored};
 
-use crate::world::{Run, World};
+use crate::world::{ProcessState, World};
 
-/// A watched record on its way to a host.
-pub(super) struct Watched {
-    pub(super) at: u64,
+/// A watch event in flight to a host.
+pub(super) struct WatchEvent {
+    pub(super) at_ms: u64,
     pub(super) node: usize,
     pub(super) shard: u32,
     pub(super) revision: u64,
     pub(super) value: Bytes,
 }
 
-pub(super) struct Call {
-    pub(super) at: u64,
+pub(super) struct StoreCall {
+    pub(super) at_ms: u64,
     pub(super) node: usize,
     pub(super) birth: u64,
     pub(super) token: u64,
@@ -25,15 +25,15 @@
 
 impl World {
     pub(super) fn serve_store(&mut self) {
-        let now = self.now;
+        let now = self.now_ms;
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.calls).into_iter().partition(|call| call.at <= now);
-        self.calls = rest;
+            std::mem::take(&mut self.due_calls).into_iter().partition(|call| call.at_ms <= now);
+        self.due_calls = rest;
         for call in due {
             let stored = if self.store_up { self.serve(call.op) } else { Stored::Lost };
             let node = &self.nodes[call.node];
-            if node.run == Run::Up && node.peer.birth == call.birth {
-                self.event(call.node, |shards, now, view, out| {
+            if node.process == ProcessState::Running && node.peer.birth == call.birth {
+                self.handle(call.node, |shards, now, view, out| {
                     shards.handle_store_reply(now, view, call.token, stored, out);
                 });
             }
@@ -41,21 +41,22 @@
         if !self.store_up {
             return;
         }
-        let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.watch).into_iter().partition(|watched| watched.at <= now);
-        self.watch = rest;
-        for watched in due {
-            self.watched(watched);
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.watch_events)
+            .into_iter()
+            .partition(|event| event.at_ms <= now);
+        self.watch_events = rest;
+        for event in due {
+            self.deliver_watch(event);
         }
     }
 
-    fn watched(&mut self, watched: Watched) {
-        if self.nodes[watched.node].run != Run::Up {
-            self.watch.push(watched);
+    fn deliver_watch(&mut self, event: WatchEvent) {
+        if self.nodes[event.node].process != ProcessState::Running {
+            self.watch_events.push(event);
             return;
         }
-        let Watched { node, shard, revision, value, .. } = watched;
-        self.event(node, |shards, now, view, out| {
+        let WatchEvent { node, shard, revision, value, .. } = event;
+        self.handle(node, |shards, now, view, out| {
             shards.handle_watch_event(now, view, shard, revision, &value, out);
         });
     }
@@ -63,35 +64,42 @@
     fn serve(&mut self, op: StoreOp) -> Stored {
         let stored = match op {
             StoreOp::Get { key } => {
-                let (revision, value) = self.values.get(&key).cloned().unwrap_or_default();
+                let (revision, value) = self.records.get(&key).cloned().unwrap_or_default();
                 Stored::Value { revision, value }
             }
             StoreOp::Swap { key, revision, value } => self.swap(key, revision, value),
         };
-        if self.lose > 0 {
-            self.lose -= 1;
+        if self.lost_replies > 0 {
+            self.lost_replies -= 1;
             return Stored::Lost;
         }
         stored
     }
 
-    /// Overwrites a record past the tools.
-    pub(crate) fn put(&mut self, shard: u32, value: Bytes) {
+    /// Overwrites a record without the shards' compare-and-swap.
+    pub(crate) fn overwrite_record(&mut self, shard: u32, value: Bytes) {
         let key = ShardRecord::key(shard);
-        let revision = self.values.get(&key).map_or(0, |entry| entry.0);
+        let revision = self.records.get(&key).map_or(0, |entry| entry.0);
         self.swap(key, revision, value);
     }
 
     fn swap(&mut self, key: Name, revision: u64, value: Bytes) -> Stored {
-        if self.values.get(&key).map_or(0, |entry| entry.0) != revision {
+        if self.records.get(&key).map_or(0, |entry| entry.0) != revision {
             return Stored::Raced;
         }
         self.revision += 1;
-        self.values.insert(key.clone(), (self.revision, value.clone()));
+        self.records.insert(key.clone(), (self.revision, value.clone()));
         let shard = key.rsplit('/').next().and_then(|text| text.parse().ok()).expect("a shard");
         for node in 0..self.nodes.len() {
-            let (at, revision) = (self.now + self.watch_ms + node as u64, self.revision);
-            self.watch.push(Watched { at, node, shard, revision, value: value.clone() });
+            let (at_ms, revision) =
+                (self.now_ms + self.watch_delay_ms + node as u64, self.revision);
+            self.watch_events.push(WatchEvent {
+                at_ms,
+                node,
+                shard,
+                revision,
+                value: value.clone(),
+            });
         }
         Stored::Swapped(self.revision)
     }
