--- a/endivestile_kernel/src/shard/balance.rs
+++ b/endivestile_kernel/src/shard/balance.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Chooses a successor for every shard, or gives up at the drain deadline.
+    /// Chooses a successor for every shard and checks whether transfers are still possible.
     fn transfer_all(&mut self, now: Time, view: &View, effects: &mut Vec<ShardEffect>) {
         let mut cx = Env { now, view, effects }.with(&mut self.shared);
         for replica in &mut self.replicas {
--- a/endivestile_kernel/src/shard/context.rs
+++ b/endivestile_kernel/src/shard/context.rs
@@ -56,7 +56,8 @@
     pub(crate) draining: bool,
     /// Latest time until which a draining host waits for its shards to be transferred.
     pub(crate) drain_deadline: Time,
-    /// Whether a draining host has given up transferring its shards.
+    /// Whether a draining host cannot transfer its shards: it has no live peer, or
+    /// the deadline has passed.
     pub(crate) transfer_blocked: bool,
     /// Time of the next timer.
     pub(crate) next_wake: Time,
@@ -190,7 +191,7 @@
         self.shared.last_batch
     }
 
-    /// Returns a random 64-bit number that identifies a write.
+    /// Returns a random number that identifies a write, practically unique across hosts.
     pub(crate) fn write_id(&mut self) -> u64 {
         self.shared.rng.random()
     }
--- a/endivestile_kernel/src/shard/effect.rs
+++ b/endivestile_kernel/src/shard/effect.rs
@@ -23,7 +23,7 @@
 pub enum Admission {
     /// An effect will answer the ticket, possibly one of the same call.
     Wait,
-    /// The request has to go to this peer, the home of the shard.
+    /// The request has to go to this peer, which is the home or will claim the shard.
     Forward(Peer),
     /// The id was recorded before and is never granted again.
     Known(Known),
--- a/endivestile_kernel/src/shard/fencing.rs
+++ b/endivestile_kernel/src/shard/fencing.rs
@@ -32,7 +32,7 @@
 pub enum BatchDecision {
     /// Store the ids and acknowledge the batch.
     Accept,
-    /// Reject the batch: the witness has seen this later epoch.
+    /// Reject the batch: the fence is at this later epoch.
     Fenced(u64),
     /// Ignore the batch: the witness lacks the home's whole table.
     Unsynced,
@@ -41,7 +41,7 @@
 /// A witness's decision on a part of the home's table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SyncDecision {
-    /// Reject the part: the witness has seen this later epoch.
+    /// Reject the part: the fence is at this later epoch.
     Fenced(u64),
     /// Store the part; more will follow.
     Partial,
--- a/endivestile_kernel/src/shard/home.rs
+++ b/endivestile_kernel/src/shard/home.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Handles a rejection by a witness that has seen a later epoch.
+    /// Handles a rejection by a witness whose fence is at a later epoch.
     ///
     /// The record has changed or is about to. The home stops granting, since
     /// its successor may start the same ids, and reads the record again.
@@ -153,7 +153,7 @@
             return;
         }
         self.copied_epoch = epoch;
-        self.table.forget(cx.now);
+        self.table.remove_expired(cx.now);
         let ids: Vec<Known> = self.table.iter().cloned().collect();
         let parts: Vec<&[Known]> =
             if ids.is_empty() { vec![&[]] } else { ids.chunks(MAX_PART_IDS).collect() };
--- a/endivestile_kernel/src/shard/id_table.rs
+++ b/endivestile_kernel/src/shard/id_table.rs
@@ -40,7 +40,7 @@
     /// may be dated one skew after its arrival, and the clocks of two hosts
     /// differ by less than another. Every home therefore refuses a removed id
     /// as expired and cannot start it again.
-    pub(crate) fn forget(&mut self, now: Time) {
+    pub(crate) fn remove_expired(&mut self, now: Time) {
         self.entries.retain(|entry| entry.0.forget > now);
     }
 
--- a/endivestile_kernel/src/shard/ownership.rs
+++ b/endivestile_kernel/src/shard/ownership.rs
@@ -140,8 +140,8 @@
         if current.as_ref().is_some_and(|peer| is_live(cx, peer)) {
             return current;
         }
-        let leaving = current.filter(|peer| cx.view.state(peer) == HostState::Leaving);
-        self.choose_witness(cx).or(leaving)
+        let leaving_witness = current.filter(|peer| cx.view.state(peer) == HostState::Leaving);
+        self.choose_witness(cx).or(leaving_witness)
     }
 
     /// Chooses a live host as witness, if possible in the preferred zone.
@@ -191,7 +191,7 @@
     ) {
         let write = cx.write_id();
         let home = cx.shared.me.clone();
-        self.write(cx, ShardRecord { home, witness, epoch, floor, write });
+        self.write_record(cx, ShardRecord { home, witness, epoch, floor, write });
     }
 }
 
--- a/endivestile_kernel/src/shard/pending.rs
+++ b/endivestile_kernel/src/shard/pending.rs
@@ -30,8 +30,7 @@
         if cx.view.store || self.fencing.may_start(None) {
             return None;
         }
-        // Without the store the record cannot change, to replace a lost witness or
-        // to resolve a fence.
+        // Without the store no lost witness can be replaced and no fence resolved.
         if self.fencing.home_epoch == 0 || self.fencing.fence > self.fencing.home_epoch {
             return Some(Cause::ShardMoving);
         }
--- a/endivestile_kernel/src/shard/record.rs
+++ b/endivestile_kernel/src/shard/record.rs
@@ -24,7 +24,7 @@
     pub home: Peer,
     /// Incarnation that keeps a copy of the home's ids, if any.
     pub witness: Option<Peer>,
-    /// Increases with every change of the record.
+    /// Increases with every change of the record, usually by one.
     pub epoch: u64,
     /// Ids dated at or before this second since 1970 belong to a lost table and are refused.
     pub floor: u64,
--- a/endivestile_kernel/src/shard/replica.rs
+++ b/endivestile_kernel/src/shard/replica.rs
@@ -57,7 +57,7 @@
     pub(crate) successor: Option<Peer>,
     /// Open store call.
     pub(crate) call: Option<StoreCall>,
-    /// Earliest time of the next store call.
+    /// Earliest time of the next store call; none if there is no delay.
     pub(crate) retry_at: Option<Time>,
     /// Number of consecutive failed store calls.
     pub(crate) failures: u32,
@@ -121,7 +121,7 @@
     pub(crate) fn tick(&mut self, cx: &mut Context<'_>) {
         self.expire_call(cx);
         if cx.now >= self.sweep_at {
-            self.table.forget(cx.now);
+            self.table.remove_expired(cx.now);
             self.sweep_at = cx.jittered(SWEEP_INTERVAL_MS);
         }
         if cx.now >= self.stall_at {
--- a/endivestile_kernel/src/shard/store_call.rs
+++ b/endivestile_kernel/src/shard/store_call.rs
@@ -48,19 +48,19 @@
         }
         match step {
             StoreStep::Idle => {}
-            StoreStep::Read => self.read(cx),
+            StoreStep::Read => self.read_record(cx),
             StoreStep::Claim => self.claim(cx),
             StoreStep::TakeOver => self.take_over(cx),
             StoreStep::Renew(witness) => self.renew(cx, witness),
         }
     }
 
-    fn read(&mut self, cx: &mut Context<'_>) {
+    fn read_record(&mut self, cx: &mut Context<'_>) {
         let op = StoreOp::Get { key: ShardRecord::key(self.shard) };
         self.start_call(cx, op, None);
     }
 
-    pub(crate) fn write(&mut self, cx: &mut Context<'_>, record: ShardRecord) {
+    pub(crate) fn write_record(&mut self, cx: &mut Context<'_>, record: ShardRecord) {
         let op = StoreOp::Swap {
             key: ShardRecord::key(self.shard),
             revision: self.observed.as_ref().map_or(0, |observed| observed.revision),
--- a/endivestile_kernel/tests/mutations/check.sh
+++ b/endivestile_kernel/tests/mutations/check.sh
@@ -1,5 +1,8 @@
 #!/usr/bin/env bash
-# Applies each mutation to a scratch copy and expects the shards' tests to fail.
+# Applies each mutation to a scratch copy and checks that the tests of shards fail.
+#
+# Usage: check.sh [NAME]      mutation to try (a glob), all without an argument
+# KEEP=DIR                    directory to which the test logs are copied
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 root=$(cd "$here/../../.." && pwd)
--- a/endivestile_kernel/tests/shards/scenarios.rs
+++ b/endivestile_kernel/tests/shards/scenarios.rs
@@ -76,7 +76,7 @@
 
 // A delayed watch keeps a former home from observing that it was replaced. The
 // new home's rejection makes it read the record at once; otherwise callers would
-// wait for the stall timeout.
+// wait one second for a refusal.
 #[test]
 fn fence_redirects_former_home() {
     let mut world = three_hosts();
@@ -345,9 +345,9 @@
     assert!(roles.iter().all(|shard| shard.role == ShardRole::Other), "{roles:?}");
 }
 
-// While the store is down a draining host cannot transfer its shards. It must wait
-// for the drain timeout, since its witness may be stopping too, but not for the
-// end of the outage.
+// While the store is down a draining host cannot transfer its shards. If it stopped
+// at once and its witness too, the shards would have no home after the outage. It
+// must not wait for the end of a long outage either.
 #[test]
 fn drain_store_down_ends_in_time() {
     let mut world = three_hosts();
@@ -420,13 +420,13 @@
     let mut world = three_hosts();
     let (home, witness) = (world.home(0), world.witness(0));
     let other = bystander(&world);
-    let good = world.record(0).expect("owned").encode();
+    let valid = world.record(0).expect("owned").encode();
     world.overwrite_record(0, "junk".into());
     world.advance(1_000);
     let ticket = world.submit(other, &id(0, 1));
     world.advance(10);
     assert_eq!(result(&world, ticket), Some(&TicketResult::Started));
-    world.overwrite_record(0, good);
+    world.overwrite_record(0, valid);
     world.advance(100);
     world.crash(home);
     world.advance(100);
