--- a/endivestile_kernel/benches/shards.rs
+++ b/endivestile_kernel/benches/shards.rs
@@ -74,8 +74,8 @@
         let mut out = std::mem::take(&mut self.out);
         for (ticket, id) in ids.iter().enumerate() {
             let (shards, view) = &mut self.hosts[0];
-            let admit = shards.admit(self.now, view, id, 7, ticket as u64, &mut out);
-            debug_assert_eq!(admit, Admission::Wait);
+            let admission = shards.admit(self.now, view, id, 7, ticket as u64, &mut out);
+            debug_assert_eq!(admission, Admission::Wait);
         }
         self.apply(0, out);
     }
--- a/endivestile_kernel/tests/shards/world.rs
+++ b/endivestile_kernel/tests/shards/world.rs
@@ -83,7 +83,7 @@
     pub(crate) lost_replies: u32,
     records: BTreeMap<Name, (u64, Bytes)>,
     revision: u64,
-    due_calls: Vec<StoreCall>,
+    open_calls: Vec<StoreCall>,
     watch_events: Vec<WatchEvent>,
     requests: BTreeMap<u64, Request>,
     last_ticket: u64,
@@ -115,7 +115,7 @@
             lost_replies: 0,
             records: BTreeMap::new(),
             revision: 0,
-            due_calls: Vec::new(),
+            open_calls: Vec::new(),
             watch_events: Vec::new(),
             requests: BTreeMap::new(),
             last_ticket: 0,
@@ -250,14 +250,14 @@
             return;
         }
         let (id, digest) = (self.requests[&ticket].id.clone(), self.requests[&ticket].digest);
-        let mut admit = Admission::Wait;
+        let mut admission = Admission::Wait;
         self.handle(node, |shards, now, view, out| {
-            admit = match digest {
+            admission = match digest {
                 Some(digest) => shards.admit(now, view, &id, digest, ticket, out),
                 None => shards.confirm_not_run(now, view, &id, ticket, out),
             };
         });
-        match admit {
+        match admission {
             Admission::Wait => {}
             Admission::Known(_) => self.resolve(ticket, TicketResult::Known),
             Admission::Refused(class, _) => self.resolve(ticket, result(class)),
@@ -319,7 +319,7 @@
             ShardEffect::Store { token, op } => {
                 let birth = self.nodes[node].peer.birth;
                 self.store_calls += 1;
-                self.due_calls.push(StoreCall {
+                self.open_calls.push(StoreCall {
                     at_ms: self.now_ms + STORE_CALL_MS,
                     node,
                     birth,
@@ -360,7 +360,7 @@
     /// Returns the next time at which anything can happen, in milliseconds.
     fn next_event(&self) -> u64 {
         let next = self.now_ms + 1;
-        let idle = self.due_calls.is_empty() && self.watch_events.is_empty();
+        let idle = self.open_calls.is_empty() && self.watch_events.is_empty();
         if !idle || self.links.values().any(|link| !link.is_empty()) || self.has_open_suspicion() {
             return next;
         }
--- a/endivestile_kernel/tests/shards/world/store.rs
+++ b/endivestile_kernel/tests/shards/world/store.rs
@@ -27,8 +27,8 @@
     pub(super) fn serve_store(&mut self) {
         let now = self.now_ms;
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.due_calls).into_iter().partition(|call| call.at_ms <= now);
-        self.due_calls = rest;
+            std::mem::take(&mut self.open_calls).into_iter().partition(|call| call.at_ms <= now);
+        self.open_calls = rest;
         for call in due {
             let stored = if self.store_up { self.serve(call.op) } else { Stored::Lost };
             let node = &self.nodes[call.node];
