--- a/endivestile_kernel/src/fleet/completion.rs
+++ b/endivestile_kernel/src/fleet/completion.rs
@@ -25,7 +25,7 @@
             self.time_order(now, worker, id);
         }
         let past =
-            self.drivers.get_mut(worker).and_then(|driver| driver.start_answered(now, id, end));
+            self.drivers.get_mut(worker).and_then(|driver| driver.handle_start(now, id, end));
         self.handle_ended(now, worker, past.into_iter().collect());
     }
 
@@ -46,7 +46,7 @@
         end: Result<u64, CallError>,
     ) {
         if let Some(driver) = self.drivers.get_mut(worker) {
-            driver.stop_answered(now, id, end);
+            driver.handle_stop(now, id, end);
         }
     }
 
@@ -60,7 +60,7 @@
     ) {
         let Some(driver) = self.drivers.get_mut(worker) else { return };
         let usable = driver.usable(now);
-        let past = driver.renewal_answered(now, number, end);
+        let past = driver.handle_renewal(now, number, end);
         let changed = usable != driver.usable(now);
         if changed || !past.is_empty() {
             self.dirty = true;
--- a/endivestile_kernel/src/fleet/placement/tick.rs
+++ b/endivestile_kernel/src/fleet/placement/tick.rs
@@ -33,7 +33,7 @@
         self.pass_deadlines(now);
         self.return_forwarded(now);
         self.judge_runs(now);
-        self.resume_parked(now);
+        self.resume_deferred(now);
         self.shed(now);
         self.dirty |= self.queues.values().any(|queue| queue.len() > 0);
     }
--- a/endivestile_kernel/src/fleet/workers/driver.rs
+++ b/endivestile_kernel/src/fleet/workers/driver.rs
@@ -245,7 +245,7 @@
     }
 
     /// Takes in how a start ended.
-    pub(crate) fn start_answered(
+    pub(crate) fn handle_start(
         &mut self,
         now: Time,
         id: &RunId,
@@ -286,7 +286,7 @@
     }
 
     /// Takes in how a stop ended.
-    pub(crate) fn stop_answered(&mut self, now: Time, id: &RunId, end: Result<u64, CallError>) {
+    pub(crate) fn handle_stop(&mut self, now: Time, id: &RunId, end: Result<u64, CallError>) {
         match end {
             Ok(clock) => {
                 self.tell_clock(now, clock);
--- a/endivestile_kernel/src/fleet/workers/driver/renewal.rs
+++ b/endivestile_kernel/src/fleet/workers/driver/renewal.rs
@@ -7,7 +7,7 @@
 
 impl Driver {
     /// Takes in the answer to a hold; returns the runs that are over.
-    pub(crate) fn renewal_answered(
+    pub(crate) fn handle_renewal(
         &mut self,
         now: Time,
         number: u64,
--- a/endivestile_kernel/src/fleet/workers/owned.rs
+++ b/endivestile_kernel/src/fleet/workers/owned.rs
@@ -54,7 +54,7 @@
     }
 
     /// Lets jobs go on that waited for workers to be cleared.
-    pub(crate) fn resume_parked(&mut self, now: Time) {
+    pub(crate) fn resume_deferred(&mut self, now: Time) {
         let parked = |(number, state): (&u64, &JobState)| state.deferred.then_some(*number);
         let numbers: Vec<u64> = self.jobs.iter().filter_map(parked).collect();
         if numbers.is_empty() || !self.cleared(now) {
