--- a/endivestile_kernel/src/fleet/admission/mod.rs
+++ b/endivestile_kernel/src/fleet/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Which jobs wait, in which order, and which are refused.
+//! Queueing order of waiting tasks, and load shedding.
 
 pub(crate) mod order;
 pub(crate) mod queue;
--- a/endivestile_kernel/src/fleet/admission/order.rs
+++ b/endivestile_kernel/src/fleet/admission/order.rs
@@ -1,54 +1,56 @@
-//! In which order waiting tasks get room.
+//! Ranking of waiting tasks.
 //!
-//! The load that this answers: for seconds more comes than fits. If the latest start went
-//! first, every job would be begun just as it turns late; if the least work alone did, the
-//! largest jobs would never go.
+//! Matters in bursts of more work than the workers can do. Ordered by latest start time
+//! alone, every job would be started just as it becomes late; ordered by least work alone,
+//! the largest jobs would starve.
 
 use endivestile_config::{Mechanism, Policy};
 
 use crate::Time;
 
-/// Part of a job's remaining work, in percent, that jobs which came later may go before
-/// it. Served well in a burst, in virtual time: 64.3% of all jobs with 10, 70.8 with 60,
-/// 71.2 with 100; the largest tenth of a kind is done 0.77 times as often as its kind with 60.
+/// Share of a job's remaining work, in percent, by which its rank is delayed past its arrival.
+///
+/// In a simulated burst 64.3% of all jobs meet their objective with 10, 70.8% with 60 and
+/// 71.2% with 100. With 60, jobs in the largest tenth of their kind complete 0.77 times as
+/// often as the kind does.
 const WORK_PERCENT: u64 = 60;
 
-/// What a task's place in the queue depends on.
+/// Inputs of a waiting task's rank.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WaitingTask {
-    /// The operators' priority of its route, 0 first.
+    /// Priority of the route, 0 first.
     pub(crate) priority: u32,
-    /// When its job came.
+    /// Arrival of the job.
     pub(crate) arrived: Time,
-    /// Until when its job's caller is served well.
+    /// Instant by which the job should be done.
     pub(crate) objective: Time,
-    /// What it is expected to take, in microseconds.
+    /// Expected run time, in microseconds.
     pub(crate) run_us: u64,
-    /// Tasks of its job that have not ended.
+    /// Unfinished tasks of the job.
     pub(crate) remaining: u64,
-    /// Whether a task of its job has been started.
+    /// Whether any task of the job has been started.
     pub(crate) started: bool,
 }
 
 impl WaitingTask {
-    /// Returns whether its job can no longer be served well, and its rank among such, or
-    /// among those that can.
+    /// Returns whether the job can no longer meet its objective, and its rank among the
+    /// tasks for which this is the same. The lowest rank goes first.
     pub(crate) fn rank(&self, now: Time, policy: Policy) -> (bool, (u32, Time)) {
         let priority = if policy.has(Mechanism::Priority) { self.priority } else { 0 };
-        // What has begun is finished: left to the late ones it would wait to its
-        // deadline in a burst, and what its other tasks did would be lost.
-        let begun = self.started && policy.has(Mechanism::BegunFirst);
-        let late = !begun && now.after_us(self.run_us) > self.objective;
+        // A started job never counts as late: in a burst it would wait among the late ones
+        // until its deadline, and the work of its other tasks would be wasted.
+        let on_time = self.started && policy.has(Mechanism::BegunFirst);
+        let late = !on_time && now.after_us(self.run_us) > self.objective;
         if policy.has(Mechanism::LeastWork) {
-            return (late, (priority, self.behind()));
+            return (late, (priority, self.delayed_arrival()));
         }
-        let latest = self.objective.as_micros().saturating_sub(self.run_us);
-        let rank = if late { self.arrived } else { Time::from_micros(latest) };
+        let latest_start = self.objective.as_micros().saturating_sub(self.run_us);
+        let rank = if late { self.arrived } else { Time::from_micros(latest_start) };
         (late, (priority, rank))
     }
 
-    /// Returns the instant of its arrival, put off by a part of the work that is left.
-    fn behind(&self) -> Time {
+    /// Returns the arrival, delayed by a share of the remaining work.
+    fn delayed_arrival(&self) -> Time {
         self.arrived.after_us(self.remaining * self.run_us * WORK_PERCENT / 100)
     }
 }
--- a/endivestile_kernel/src/fleet/admission/queue.rs
+++ b/endivestile_kernel/src/fleet/admission/queue.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait for room, in the order in which they are served.
+//! Priority queue of the tasks that wait for free capacity.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -6,27 +6,28 @@
 use crate::Time;
 use crate::fleet::workers::run::TaskRef;
 
-/// Place of a task in the queue; the lowest goes first.
+/// Position of a task in the queue; the lowest goes first.
 ///
-/// A job that can still be served well goes before one that cannot: under
-/// load, serving the late ones first makes every job late.
+/// Jobs that can still meet their objective go before late ones: under overload, serving
+/// late jobs first would make every job late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
-    /// Whether its job can no longer be served well.
+    /// Whether the job can no longer meet its objective.
     pub(crate) late: bool,
-    /// Among these, the job that comes first: by the instant at which it has
-    /// to start, or by priority and arrival once it is late.
+    /// Rank among tasks with the same `late`, see [`WaitingTask::rank`].
+    ///
+    /// [`WaitingTask::rank`]: crate::fleet::admission::order::WaitingTask::rank
     pub(crate) rank: (u32, Time),
-    /// Among equals, the one that came first.
+    /// Insertion number; breaks ties first in, first out.
     pub(crate) seq: u64,
 }
 
 impl QueueKey {
-    /// Lies before every late task and behind all others.
+    /// Sorts before all late tasks and after all others.
     const FIRST_LATE: Self = Self { late: true, rank: (0, Time::ZERO), seq: 0 };
 }
 
-/// Queue of one service.
+/// Waiting tasks of one service.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     tasks: BTreeMap<QueueKey, TaskRef>,
@@ -34,7 +35,7 @@
 }
 
 impl Queue {
-    /// Queues a task; returns its place.
+    /// Adds a task and returns its position.
     pub(crate) fn push(&mut self, late: bool, rank: (u32, Time), task: TaskRef) -> QueueKey {
         self.seq += 1;
         let key = QueueKey { late, rank, seq: self.seq };
@@ -42,24 +43,24 @@
         key
     }
 
-    /// Takes a task out.
+    /// Removes the task at a position, if any.
     pub(crate) fn remove(&mut self, key: &QueueKey) {
         self.tasks.remove(key);
     }
 
-    /// Returns the first task behind a place, or the first of all.
+    /// Returns the first task after a position, or the first one without a position.
     pub(crate) fn next_after(&self, key: Option<QueueKey>) -> Option<(QueueKey, TaskRef)> {
         let from = key.map_or(Bound::Unbounded, Bound::Excluded);
         let first = self.tasks.range((from, Bound::Unbounded)).next();
         first.map(|(key, task)| (*key, *task))
     }
 
-    /// Returns the tasks of late jobs, in their order.
+    /// Returns the tasks of late jobs in queue order.
     pub(crate) fn late_tasks(&self) -> impl Iterator<Item = (&QueueKey, &TaskRef)> {
         self.tasks.range(QueueKey::FIRST_LATE..)
     }
 
-    /// Returns how many tasks wait.
+    /// Returns the number of waiting tasks.
     pub(crate) fn len(&self) -> usize {
         self.tasks.len()
     }
