--- a/endivestile_kernel/src/fleet/workers/call.rs
+++ b/endivestile_kernel/src/fleet/workers/call.rs
@@ -1,30 +1,29 @@
-//! Calls to workers, and by when they have to be answered.
+//! Calls to workers and their timeouts.
 
 use crate::Time;
 use crate::fleet::workers::protocol::{RenewRequest, StartRequest, StopRequest};
 
-/// Time for the answer to a hold beyond that wait, in milliseconds; a
-/// connection that has gone silent costs one renewal and no lease.
+/// Time for the reply to a lease renewal beyond the wait that it asks for, in milliseconds.
+/// Short enough that a dead connection costs one renewal and not the lease.
 pub(crate) const RENEW_MARGIN_MS: u64 = 120;
-/// Time for the answer to a start or stop, in milliseconds: fifty round trips
-/// between zones.
+/// Time for the reply to a start or stop, in milliseconds: fifty round trips between zones.
 pub(crate) const REQUEST_TIMEOUT_MS: u64 = 100;
 
-/// A call to the worker that is to be made now.
+/// A call to a worker, to be sent now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerCall {
     /// Start a task.
     Start(StartRequest),
     /// Stop a run.
     Stop(StopRequest),
-    /// Renew the lease and look.
+    /// Renew the lease and list the runs; the number identifies the reply.
     Renew(u64, RenewRequest),
 }
 
-/// Returns by when a call has to be answered.
+/// Returns when a call that is sent now times out.
 pub fn worker_call_deadline(call: &WorkerCall, now: Time) -> Time {
     match call {
-        WorkerCall::Renew(_, order) => now.after_ms(u64::from(order.wait_ms) + RENEW_MARGIN_MS),
+        WorkerCall::Renew(_, request) => now.after_ms(u64::from(request.wait_ms) + RENEW_MARGIN_MS),
         WorkerCall::Start(_) | WorkerCall::Stop(_) => now.after_ms(REQUEST_TIMEOUT_MS),
     }
 }
--- a/endivestile_kernel/src/fleet/workers/driver.rs
+++ b/endivestile_kernel/src/fleet/workers/driver.rs
@@ -1,10 +1,9 @@
-//! One worker as its owner drives it: its lease, its runs and its room.
+//! Drives one owned worker: its lease, its runs and its free capacity.
 //!
-//! An order to a worker may get no answer and still be carried out, also later.
-//! So room is counted as taken from the moment an order is sent until the
-//! worker itself shows that the run is over, or until no lease can cover it
-//! any more. Counting by guesses would overload a worker that starts whatever
-//! it is told to start.
+//! A request to a worker may get no reply and still be executed, also later. Capacity
+//! therefore counts as occupied from the moment a start is sent until the worker reports
+//! the run as ended, or until every lease that could cover it has expired. Assuming less
+//! would overload workers that start whatever they are asked to.
 
 mod renewal;
 
@@ -21,93 +20,98 @@
 };
 use crate::{Need, Time};
 
-/// Longest wait of a worker for an end before it answers a hold, in
-/// milliseconds: four renewals fit into one lease, so that two may be lost.
-const HOLD_WAIT_MS: u64 = 150;
-/// Time within which an order to start has to reach its worker, in milliseconds: twice
-/// as long as its answer is waited for. A worker refuses it from then on, and one that
-/// is not listed by then runs nowhere. With the whole lease in its place a task whose
-/// order was held up waits 650 ms.
-const START_MS: u64 = 2 * REQUEST_TIMEOUT_MS;
-/// Pause between two looks at a worker whose room waits for them, in
-/// milliseconds; a stop takes up to fifty.
-const LOOK_MS: u64 = 10;
-/// Pause after a hold that failed, in milliseconds.
-const RETRY_MS: u64 = 60;
-/// Longest pause after holds that failed, in milliseconds.
-const RETRY_MAX_MS: u64 = 500;
-/// Part of the lease, in percent, that a slow clock of a worker adds, and a
-/// reserve for the way of the order.
-const LEASE_RESERVE: u64 = 4;
-/// Longest such wait while nothing runs there, in milliseconds: no lease has to be renewed,
-/// and the holds of idle workers would be most of what a large fleet costs.
+/// Long-poll time of the lease renewals of a busy worker, in milliseconds. Four renewals fit
+/// into a lease, so that two may be lost.
+const RENEW_WAIT_MS: u64 = 150;
+/// Time within which a start has to reach its worker, in milliseconds: twice the timeout of
+/// its reply. Afterwards the worker refuses it, so a run that is not listed by then does not
+/// exist. With the whole lease instead, a task whose start was delayed would wait 650 ms.
+const START_WITHIN_MS: u64 = 2 * REQUEST_TIMEOUT_MS;
+/// Poll interval while capacity waits for a worker's next reply, in milliseconds. A stop
+/// takes up to 50 ms.
+const POLL_MS: u64 = 10;
+/// Backoff after the first failed renewal, doubled with each further one, in milliseconds;
+/// also the pause between the timeout of a stop and its repetition.
+const BACKOFF_MS: u64 = 60;
+/// Upper bound of twice the backoff after failed renewals, in milliseconds.
+const BACKOFF_MAX_MS: u64 = 500;
+/// Margin on a lease, in percent, for a slow clock of the worker and the delay of the request.
+const LEASE_MARGIN_PERCENT: u64 = 4;
+/// Limit of the long-poll time for an idle worker, in milliseconds. It has no lease to keep
+/// alive, and renewals of idle workers would be most of the cost of a large fleet.
 const IDLE_WAIT_MS: u64 = 450;
-/// Time beyond a hold's wait without an answer from which on nothing new is started there,
-/// in milliseconds.
-const QUIET_MS: u64 = RENEW_MARGIN_MS + 60;
+/// Time without a reply, beyond the long-poll time of a renewal, after which a worker counts
+/// as unresponsive and gets no new tasks, in milliseconds.
+const UNRESPONSIVE_MS: u64 = RENEW_MARGIN_MS + 60;
 
-/// How far the owner's token is in force.
+/// How far ownership under the current token is established.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// The worker has not answered under this token.
-    Asking,
+    /// The worker has not replied under this token.
+    Claiming,
     /// Runs of a former owner are being stopped.
     Clearing,
-    /// The worker is the owner's alone.
+    /// No run of a former owner is left.
     Owned,
-    /// Somebody else's higher token is in force.
+    /// The worker has accepted a higher token of another owner.
     Fenced,
 }
 
-/// A hold on its way.
+/// A renewal in flight.
 #[derive(Debug, Clone, Copy)]
-struct Flight {
+struct Renewal {
     number: u64,
     sent: Time,
-    /// How long the worker may wait before it answers, in milliseconds.
-    wait: u64,
+    /// Long-poll time, in milliseconds.
+    wait_ms: u64,
 }
 
-/// One worker.
+/// Owner's state of one worker.
 #[derive(Debug)]
 pub(crate) struct Driver {
-    /// As it registered itself.
+    /// Registration.
     pub(crate) entry: WorkerEntry,
-    /// The pool that it belongs to.
+    /// Pool that it belongs to.
     pub(crate) pool: Name,
-    /// Whether its registration stands.
+    /// Whether it is still registered.
     pub(crate) registered: bool,
-    /// Whether another host owns it by now: nothing is ordered any more, and
-    /// its runs count until their lease has surely run out.
+    /// Whether another host owns it now: no more requests are sent, and its runs count
+    /// until their lease has expired.
     pub(crate) abandoned: bool,
-    /// Whether its pool is about to go to another owner: nothing new is started there.
+    /// Whether its pool is being transferred to another owner; no new tasks are started.
     pub(crate) transferring: bool,
-    /// Whether its zone is being evacuated: nothing new is started there.
+    /// Whether its zone is evacuated; no new tasks are started.
     pub(crate) evacuated: bool,
-    /// What takes its room.
+    /// Runs that occupy its capacity.
     pub(crate) runs: BTreeMap<RunId, Run>,
-    /// Length of a lease in milliseconds, a setting.
+    /// Length of a lease, in milliseconds.
     pub(crate) lease_ms: u64,
     token: u64,
-    /// Since when it is driven under this token.
-    since: Time,
+    /// When the current token was set.
+    token_since: Time,
     stage: Stage,
+    /// Worker's clock, in milliseconds, and when it was received.
     clock: Option<(u64, Time)>,
     incarnation: u64,
+    /// Number of the last ended run that was handled.
     observed: u64,
-    flight: Option<Flight>,
+    in_flight: Option<Renewal>,
+    /// Number of the last renewal.
     number: u64,
-    due: Time,
-    faults: u32,
-    /// Until when its last answer counts.
-    heard_until: Time,
+    /// When to send the next renewal.
+    next_renewal: Time,
+    /// Failed renewals in a row.
+    failures: u32,
+    /// Until when it counts as responsive.
+    responsive_until: Time,
     /// When it last had a run.
-    busy_at: Time,
-    covered: Time,
+    last_busy: Time,
+    /// When every lease granted so far has expired.
+    lease_end: Time,
 }
 
 impl Driver {
-    /// Starts to drive a worker under a token.
+    /// Starts driving a worker under a fencing token.
     pub(crate) fn new(
         now: Time,
         entry: WorkerEntry,
@@ -126,46 +130,46 @@
             runs: BTreeMap::new(),
             lease_ms,
             token,
-            since: now,
-            stage: Stage::Asking,
+            token_since: now,
+            stage: Stage::Claiming,
             clock: None,
             observed: 0,
-            flight: None,
+            in_flight: None,
             number: 0,
-            due: now,
-            faults: 0,
-            heard_until: Time::ZERO,
-            busy_at: now,
-            covered: now,
+            next_renewal: now,
+            failures: 0,
+            responsive_until: Time::ZERO,
+            last_busy: now,
+            lease_end: now,
         }
     }
 
-    /// Returns the fencing token under which it is driven.
+    /// Returns the current fencing token.
     pub(crate) fn token(&self) -> u64 {
         self.token
     }
 
-    /// Goes on under a later token of the same owner; its own runs stay.
+    /// Continues under a later token of the same owner, keeping its runs.
     pub(crate) fn set_token(&mut self, now: Time, token: u64) {
         self.token = token;
-        self.since = now;
+        self.token_since = now;
         self.abandoned = false;
-        self.stage = Stage::Asking;
-        self.flight = None;
-        self.due = now;
+        self.stage = Stage::Claiming;
+        self.in_flight = None;
+        self.next_renewal = now;
     }
 
-    /// Returns whether a higher token is in force there.
+    /// Returns whether the worker has accepted a higher token of another owner.
     pub(crate) fn fenced(&self) -> bool {
         self.stage == Stage::Fenced
     }
 
-    /// Returns whether the worker answers.
+    /// Returns whether the worker has replied recently.
     pub(crate) fn responsive(&self, now: Time) -> bool {
-        self.heard_until > now
+        self.responsive_until > now
     }
 
-    /// Returns whether new tasks may be started there.
+    /// Returns whether new tasks may be started on the worker.
     pub(crate) fn usable(&self, now: Time) -> bool {
         self.registered
             && !self.abandoned
@@ -174,10 +178,10 @@
             && !self.entry.leaving
             && self.stage == Stage::Owned
             && self.responsive(now)
-            && !self.must_lapse(now)
+            && !self.withholds_lease(now)
     }
 
-    /// Returns the room that nothing takes.
+    /// Returns the capacity that no run occupies.
     pub(crate) fn free_capacity(&self) -> Need {
         let mut free = self.entry.capacity;
         for run in self.runs.values() {
@@ -188,20 +192,20 @@
         free
     }
 
-    /// Returns the worker's clock, at most as far as it has come.
+    /// Returns a lower bound of the worker's clock, in milliseconds.
     fn clock_at(&self, now: Time) -> Option<u64> {
         let (clock, at) = self.clock?;
         Some(clock + now.since(at).as_millis() as u64)
     }
 
-    /// Returns the end of a lease that starts now, on the worker's clock.
-    fn lease(&mut self, now: Time) -> Option<u64> {
-        let until = self.clock_at(now)? + self.lease_ms;
-        self.covered = self.covered.max(now.after_ms(self.longest()));
-        Some(until)
+    /// Grants a lease from now on; returns its end on the worker's clock.
+    fn grant_lease(&mut self, now: Time) -> Option<u64> {
+        let lease_until = self.clock_at(now)? + self.lease_ms;
+        self.lease_end = self.lease_end.max(now.after_ms(self.max_lease_ms()));
+        Some(lease_until)
     }
 
-    /// Orders a start; none while the worker's clock is not known.
+    /// Requests a start; `None` while the worker's clock is unknown.
     pub(crate) fn start(
         &mut self,
         now: Time,
@@ -210,15 +214,15 @@
         need: Need,
         spec: &Name,
     ) -> Option<WorkerCall> {
-        let until = self.clock_at(now)? + START_MS;
-        self.covered = self.covered.max(now.after_ms(self.longest()));
-        let order = StartRequest {
+        let start_by = self.clock_at(now)? + START_WITHIN_MS;
+        self.lease_end = self.lease_end.max(now.after_ms(self.max_lease_ms()));
+        let request = StartRequest {
             worker: self.entry.id.clone(),
             address: self.entry.address.clone(),
             task: id.task.clone(),
             run: id.run,
             spec: spec.clone(),
-            lease_until: until,
+            lease_until: start_by,
             token: self.token,
         };
         let run = Run {
@@ -229,22 +233,22 @@
             seen: now,
             stopping: false,
             phase: Phase::Sent,
-            start_by: until,
+            start_by,
             stopped_clock: None,
             next_stop: Time::NEVER,
             stop_deadline: Time::NEVER,
         };
         self.runs.insert(id, run);
-        self.busy_at = now;
-        // The order carries a short lease, and a hold that waits renews it too late.
-        if self.flight.is_some_and(|flight| flight.wait > HOLD_WAIT_MS) {
-            self.flight = None;
-            self.due = now;
+        self.last_busy = now;
+        // The start carries a short lease, which would expire before a longer poll ends.
+        if self.in_flight.is_some_and(|renewal| renewal.wait_ms > RENEW_WAIT_MS) {
+            self.in_flight = None;
+            self.next_renewal = now;
         }
-        Some(WorkerCall::Start(order))
+        Some(WorkerCall::Start(request))
     }
 
-    /// Takes in how a start ended.
+    /// Handles the result of a start; returns the run if it has ended.
     pub(crate) fn handle_start(
         &mut self,
         now: Time,
@@ -258,16 +262,16 @@
                     run.phase = Phase::Running;
                     run.seen = now;
                 }
-                self.tell_clock(now, clock);
+                self.set_clock(now, clock);
                 None
             }
             StartResult::Failed(CallError::Lost) => {
                 run.phase = Phase::Unconfirmed;
-                // A worker that is not heard at all must not have its lease renewed.
+                // The lease of an unresponsive worker must not be renewed.
                 run.stop_deadline = now.after_ms(STOP_TIMEOUT_MS);
-                // The hold on its way may wait for an end; a new one looks at once.
-                self.flight = None;
-                self.due = now;
+                // The renewal in flight may wait for a run to end; a new one polls at once.
+                self.in_flight = None;
+                self.next_renewal = now;
                 None
             }
             StartResult::Failed(CallError::Fenced) => {
@@ -278,34 +282,34 @@
         }
     }
 
-    /// Asks for the end of a run; its room is free once the worker shows it.
+    /// Stops a run; its capacity is free once the worker confirms the end.
     pub(crate) fn stop_run(&mut self, now: Time, id: &RunId) {
         if let Some(run) = self.runs.get_mut(id) {
             run.request_stop(now);
         }
     }
 
-    /// Takes in how a stop ended.
+    /// Handles the result of a stop.
     pub(crate) fn handle_stop(&mut self, now: Time, id: &RunId, end: Result<u64, CallError>) {
         match end {
             Ok(clock) => {
-                self.tell_clock(now, clock);
+                self.set_clock(now, clock);
                 if let Some(run) = self.runs.get_mut(id) {
                     run.stopped_clock = Some(clock);
                     run.next_stop = Time::NEVER;
                     run.stop_deadline = Time::NEVER;
                 }
-                // The hold on its way may wait for an end that does not come.
-                self.due = self.due.min(now);
+                // The renewal in flight may wait for an end that does not come.
+                self.next_renewal = self.next_renewal.min(now);
             }
             Err(CallError::Fenced) => self.stage = Stage::Fenced,
             Err(_) => {}
         }
     }
 
-    /// Takes the latest word on the worker's clock. An answer that was overtaken
-    /// makes the estimate too early, which shortens a lease and harms nothing.
-    fn tell_clock(&mut self, now: Time, clock: u64) {
+    /// Updates the worker's clock. A delayed reply makes it too early, which only shortens
+    /// leases.
+    fn set_clock(&mut self, now: Time, clock: u64) {
         self.clock = Some((clock, now));
     }
 
@@ -319,33 +323,33 @@
         runs.into_iter().map(|(id, run)| EndedRun { id, run, outcome }).collect()
     }
 
-    /// Does what is due: renews the lease, repeats stops, gives up runs that no
-    /// lease covers any more.
+    /// Sends due renewals and stops; returns the runs whose leases have all expired.
     pub(crate) fn tick(&mut self, now: Time, out: &mut Vec<WorkerCall>) -> Vec<EndedRun> {
-        let lost = self.abandoned || self.stage == Stage::Fenced;
-        let lapsed = self.covered <= now && !self.runs.is_empty();
-        let past = if lapsed && (lost || !self.responsive(now)) {
+        let not_owner = self.abandoned || self.stage == Stage::Fenced;
+        let expired = self.lease_end <= now && !self.runs.is_empty();
+        let ended = if expired && (not_owner || !self.responsive(now)) {
             self.end_all_runs(RunOutcome::Vanished)
         } else {
             Vec::new()
         };
-        if lost {
-            return past;
+        if not_owner {
+            return ended;
         }
-        self.repeat_stops(now, out);
-        if self.flight.is_none() && self.due <= now {
+        self.send_stops(now, out);
+        if self.in_flight.is_none() && self.next_renewal <= now {
             self.renew_lease(now, out);
         }
-        past
+        ended
     }
 
-    fn repeat_stops(&mut self, now: Time, out: &mut Vec<WorkerCall>) {
+    /// Sends the stops that are due, also again while they are not confirmed.
+    fn send_stops(&mut self, now: Time, out: &mut Vec<WorkerCall>) {
         let (token, worker, address) = (self.token, &self.entry.id, &self.entry.address);
         for (id, run) in &mut self.runs {
             if !run.stopping || run.next_stop > now {
                 continue;
             }
-            run.next_stop = now.after_ms(REQUEST_TIMEOUT_MS + RETRY_MS);
+            run.next_stop = now.after_ms(REQUEST_TIMEOUT_MS + BACKOFF_MS);
             out.push(WorkerCall::Stop(StopRequest {
                 worker: worker.clone(),
                 address: address.clone(),
@@ -358,63 +362,66 @@
 
     fn renew_lease(&mut self, now: Time, out: &mut Vec<WorkerCall>) {
         self.number += 1;
-        let wait = self.wait(now);
-        self.flight = Some(Flight { number: self.number, sent: now, wait });
-        if self.faults == 0 && self.responsive(now) {
-            self.heard_until = self.heard_until.max(now.after_ms(wait + QUIET_MS));
+        let wait_ms = self.next_wait_ms(now);
+        self.in_flight = Some(Renewal { number: self.number, sent: now, wait_ms });
+        if self.failures == 0 && self.responsive(now) {
+            self.responsive_until =
+                self.responsive_until.max(now.after_ms(wait_ms + UNRESPONSIVE_MS));
         }
         let clearing = self.stage != Stage::Owned;
-        let lapse = clearing || self.must_lapse(now);
-        let until = if lapse { None } else { self.lease(now) };
+        let withhold = clearing || self.withholds_lease(now);
+        let lease_until = if withhold { None } else { self.grant_lease(now) };
         out.push(WorkerCall::Renew(
             self.number,
             RenewRequest {
                 worker: self.entry.id.clone(),
                 address: self.entry.address.clone(),
-                lease_until: until,
+                lease_until,
                 token: self.token,
                 observed: self.observed,
-                wait_ms: wait as u32,
+                wait_ms: wait_ms as u32,
             },
         ));
     }
 
-    /// Returns how long the worker may wait for an end before it answers the next hold, in
-    /// milliseconds: the longer the longer it has been idle.
-    fn wait(&mut self, now: Time) -> u64 {
+    /// Returns the long-poll time of the next renewal, in milliseconds; it grows with the time
+    /// for which the worker has been idle.
+    fn next_wait_ms(&mut self, now: Time) -> u64 {
         if !self.runs.is_empty() {
-            self.busy_at = now;
+            self.last_busy = now;
         }
-        if self.in_haste() {
+        if self.needs_poll() {
             return 0;
         }
-        let idle_ms = now.since(self.busy_at).as_millis() as u64;
-        (idle_ms / 2).clamp(HOLD_WAIT_MS, IDLE_WAIT_MS)
+        let idle_ms = now.since(self.last_busy).as_millis() as u64;
+        (idle_ms / 2).clamp(RENEW_WAIT_MS, IDLE_WAIT_MS)
     }
 
-    /// Returns whether a run there could not be told to stop.
-    fn must_lapse(&self, now: Time) -> bool {
+    /// Returns whether the lease must expire, since a run could not be stopped or confirmed
+    /// in time.
+    fn withholds_lease(&self, now: Time) -> bool {
         self.runs.values().any(|run| run.stop_deadline <= now)
     }
 
-    /// Returns whether nothing that a former owner ordered can run there: it
-    /// has been cleared, or every lease from before has run out.
+    /// Returns whether no run of a former owner can be left: they were stopped, or all their
+    /// leases have expired.
     pub(crate) fn cleared(&self, now: Time) -> bool {
-        self.stage == Stage::Owned || self.since.after_ms(self.longest()) <= now
+        self.stage == Stage::Owned || self.token_since.after_ms(self.max_lease_ms()) <= now
     }
 
-    /// Returns how long a lease may last by our clock, in milliseconds.
-    fn longest(&self) -> u64 {
-        self.lease_ms + self.lease_ms * LEASE_RESERVE / 100
+    /// Returns the longest duration of a lease by our clock, in milliseconds.
+    fn max_lease_ms(&self) -> u64 {
+        self.lease_ms + self.lease_ms * LEASE_MARGIN_PERCENT / 100
     }
 
-    /// Returns whether room waits for nothing but the worker's word.
-    fn in_haste(&self) -> bool {
-        let open = |run: &Run| run.stopped_clock.is_some() || run.phase == Phase::Unconfirmed;
-        self.stage != Stage::Owned || self.runs.values().any(open)
+    /// Returns whether capacity waits only for the worker's next reply.
+    fn needs_poll(&self) -> bool {
+        let unresolved = |run: &Run| run.stopped_clock.is_some() || run.phase == Phase::Unconfirmed;
+        self.stage != Stage::Owned || self.runs.values().any(unresolved)
     }
 
-    /// Returns whether nothing runs and nothing is expected there any more.
+    /// Returns whether the driver can be dropped: it has no runs, and the worker is abandoned or
+    /// unresponsive.
     pub(crate) fn removable(&self, now: Time) -> bool {
         self.runs.is_empty() && (self.abandoned || !self.responsive(now))
     }
--- a/endivestile_kernel/src/fleet/workers/driver/renewal.rs
+++ b/endivestile_kernel/src/fleet/workers/driver/renewal.rs
@@ -1,36 +1,38 @@
-//! What a worker's answer to a hold shows of its runs.
+//! Replies to lease renewals: which runs go on, which have ended.
 
-use super::{Driver, Flight, HOLD_WAIT_MS, LOOK_MS, QUIET_MS, RETRY_MAX_MS, RETRY_MS, Stage};
+use super::{
+    BACKOFF_MAX_MS, BACKOFF_MS, Driver, POLL_MS, RENEW_WAIT_MS, Renewal, Stage, UNRESPONSIVE_MS,
+};
 use crate::Time;
 use crate::fleet::workers::protocol::{CallError, EndRecord, RenewReply, RunStatus};
 use crate::fleet::workers::run::{EndedRun, Phase, Run, RunId, RunOutcome, STOP_TIMEOUT_MS};
 
 impl Driver {
-    /// Takes in the answer to a hold; returns the runs that are over.
+    /// Handles the result of a renewal; returns the runs that have ended.
     pub(crate) fn handle_renewal(
         &mut self,
         now: Time,
         number: u64,
         end: Result<RenewReply, CallError>,
     ) -> Vec<EndedRun> {
-        let Some(flight) = self.flight.filter(|flight| flight.number == number) else {
+        let Some(renewal) = self.in_flight.filter(|renewal| renewal.number == number) else {
             return Vec::new();
         };
-        self.flight = None;
+        self.in_flight = None;
         match end {
-            Ok(held) => self.look(now, flight, held),
-            Err(fault) => self.fault(now, fault),
+            Ok(reply) => self.apply_reply(now, renewal, reply),
+            Err(error) => self.renewal_failed(now, error),
         }
     }
 
-    fn fault(&mut self, now: Time, fault: CallError) -> Vec<EndedRun> {
-        self.faults += 1;
-        self.stop_unsure(now);
-        let pause = (RETRY_MS << self.faults.min(4)).min(RETRY_MAX_MS) / 2;
-        self.due = now.after_ms(pause);
-        match fault {
+    fn renewal_failed(&mut self, now: Time, error: CallError) -> Vec<EndedRun> {
+        self.failures += 1;
+        self.stop_unconfirmed(now);
+        let backoff = (BACKOFF_MS << self.failures.min(4)).min(BACKOFF_MAX_MS) / 2;
+        self.next_renewal = now.after_ms(backoff);
+        match error {
             CallError::Fenced => self.stage = Stage::Fenced,
-            // Somebody else answers at the address: this life has ended.
+            // Another worker answers at the address, so this one has ended.
             CallError::OtherIncarnation => {
                 self.registered = false;
                 return self.end_all_runs(RunOutcome::Vanished);
@@ -40,73 +42,74 @@
         Vec::new()
     }
 
-    fn look(&mut self, now: Time, flight: Flight, held: RenewReply) -> Vec<EndedRun> {
-        self.faults = 0;
-        self.heard_until = now.after_ms(HOLD_WAIT_MS + QUIET_MS);
-        self.due = now;
-        let mut past = Vec::new();
-        if held.incarnation != 0 && self.incarnation != 0 && held.incarnation != self.incarnation {
-            self.reborn(now);
+    fn apply_reply(&mut self, now: Time, renewal: Renewal, reply: RenewReply) -> Vec<EndedRun> {
+        self.failures = 0;
+        self.responsive_until = now.after_ms(RENEW_WAIT_MS + UNRESPONSIVE_MS);
+        self.next_renewal = now;
+        let mut ended_runs = Vec::new();
+        if reply.incarnation != 0 && self.incarnation != 0 && reply.incarnation != self.incarnation
+        {
+            self.worker_restarted(now);
         }
-        if held.incarnation != 0 {
-            self.incarnation = held.incarnation;
+        if reply.incarnation != 0 {
+            self.incarnation = reply.incarnation;
         }
-        self.tell_clock(now, held.clock);
-        for row in &held.ended {
-            past.extend(self.ended(row));
+        self.set_clock(now, reply.clock);
+        for record in &reply.ended {
+            ended_runs.extend(self.apply_end(record));
         }
-        for row in &held.running {
-            self.running(now, row);
+        for status in &reply.running {
+            self.apply_status(now, status);
         }
-        past.extend(self.absent(flight, &held));
-        self.stop_unsure(now);
-        self.settle_stage();
-        if self.in_haste() {
-            self.due = now.after_ms(LOOK_MS);
+        ended_runs.extend(self.drop_absent(renewal, &reply));
+        self.stop_unconfirmed(now);
+        self.update_stage();
+        if self.needs_poll() {
+            self.next_renewal = now.after_ms(POLL_MS);
         }
-        past
+        ended_runs
     }
 
-    /// The worker has started again under its id. Runs that it does not list
-    /// are gone with its former life, but an order that was sent before this
-    /// was known may run in the new one.
-    fn reborn(&mut self, now: Time) {
+    /// Handles a restart of the worker under the same id. Runs that it does not list ended
+    /// with the old process, but a start sent before the restart was known may run in the new
+    /// one.
+    fn worker_restarted(&mut self, now: Time) {
         self.observed = 0;
-        self.stage = Stage::Asking;
+        self.stage = Stage::Claiming;
         for run in self.runs.values_mut().filter(|run| run.stopping) {
-            // The new life knows nothing of a stop that the former one answered.
+            // The new process has not seen a stop that the old one confirmed.
             run.stopped_clock = None;
             run.next_stop = now;
         }
     }
 
-    fn ended(&mut self, row: &EndRecord) -> Option<EndedRun> {
-        if row.number <= self.observed {
+    fn apply_end(&mut self, record: &EndRecord) -> Option<EndedRun> {
+        if record.number <= self.observed {
             return None;
         }
-        self.observed = row.number;
-        let id = RunId { task: row.task.clone(), run: row.run };
-        self.end_run(&id, RunOutcome::Ended(row.end))
+        self.observed = record.number;
+        let id = RunId { task: record.task.clone(), run: record.run };
+        self.end_run(&id, RunOutcome::Ended(record.end))
     }
 
-    fn running(&mut self, now: Time, row: &RunStatus) {
-        let id = RunId { task: row.task.clone(), run: row.run };
+    fn apply_status(&mut self, now: Time, status: &RunStatus) {
+        let id = RunId { task: status.task.clone(), run: status.run };
         if let Some(run) = self.runs.get_mut(&id) {
-            run.percent = row.percent;
+            run.percent = status.percent;
             run.seen = now;
-            // The answer to the order was lost, not the order.
+            // The reply to the start was lost, not the request.
             if run.phase == Phase::Unconfirmed && !run.stopping {
                 run.stop_deadline = Time::NEVER;
             }
             run.phase = Phase::Running;
             return;
         }
-        // A former owner's run: nothing is known of what it takes.
+        // A former owner's run; its need is unknown, so it occupies the whole worker.
         let run = Run {
             task: None,
             need: self.entry.capacity,
             sent: now,
-            percent: row.percent,
+            percent: status.percent,
             seen: now,
             stopping: true,
             phase: Phase::Running,
@@ -118,34 +121,39 @@
         self.runs.insert(id, run);
     }
 
-    /// Drops runs that the worker shows to be over by not listing them: those
-    /// stopped before it looked, those whose start came too late, and those
-    /// that it had before the hold was even sent.
-    fn absent(&mut self, flight: Flight, held: &RenewReply) -> Vec<EndedRun> {
-        let lists =
-            |id: &RunId| held.running.iter().any(|row| row.run == id.run && row.task == id.task);
-        let gone = |id: &RunId, run: &Run| match run.phase {
+    /// Drops runs that must have ended, since the worker does not list them: stopped before
+    /// the reply, not started in time, or confirmed before the renewal was even sent.
+    fn drop_absent(&mut self, renewal: Renewal, reply: &RenewReply) -> Vec<EndedRun> {
+        let lists = |id: &RunId| {
+            reply.running.iter().any(|status| status.run == id.run && status.task == id.task)
+        };
+        let absent = |id: &RunId, run: &Run| match run.phase {
             _ if lists(id) => false,
-            _ if run.stopped_clock.is_some_and(|clock| held.clock > clock) => true,
-            Phase::Unconfirmed => held.clock > run.start_by,
-            Phase::Running => run.seen < flight.sent && run.sent < flight.sent,
+            _ if run.stopped_clock.is_some_and(|clock| reply.clock > clock) => true,
+            Phase::Unconfirmed => reply.clock > run.start_by,
+            Phase::Running => run.seen < renewal.sent && run.sent < renewal.sent,
             Phase::Sent => false,
         };
-        let ids: Vec<RunId> =
-            self.runs.iter().filter(|(id, run)| gone(id, run)).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<RunId> = self
+            .runs
+            .iter()
+            .filter(|(id, run)| absent(id, run))
+            .map(|(id, _)| id.clone())
+            .collect();
         ids.iter().filter_map(|id| self.end_run(id, RunOutcome::Vanished)).collect()
     }
 
-    /// Stops runs whose orders got no answer and that the worker does not list: they
-    /// may yet start. Those that it lists go on; on links that lose packets these are
-    /// most, and to stop them would make a third of the jobs late.
-    fn stop_unsure(&mut self, now: Time) {
-        let unsure = self.runs.values_mut().filter(|run| run.phase == Phase::Unconfirmed);
-        unsure.for_each(|run| run.request_stop(now));
+    /// Stops unconfirmed runs that the worker does not list, since they may still start.
+    ///
+    /// Listed ones go on: on links that lose packets most unconfirmed runs are listed, and
+    /// stopping them would make a third of the jobs late.
+    fn stop_unconfirmed(&mut self, now: Time) {
+        let unconfirmed = self.runs.values_mut().filter(|run| run.phase == Phase::Unconfirmed);
+        unconfirmed.for_each(|run| run.request_stop(now));
     }
 
-    fn settle_stage(&mut self) {
-        if self.stage != Stage::Asking && self.stage != Stage::Clearing {
+    fn update_stage(&mut self) {
+        if self.stage != Stage::Claiming && self.stage != Stage::Clearing {
             return;
         }
         let foreign = self.runs.values().any(|run| run.start_by == 0);
--- a/endivestile_kernel/src/fleet/workers/evacuation.rs
+++ b/endivestile_kernel/src/fleet/workers/evacuation.rs
@@ -1,4 +1,4 @@
-//! What a placer does about evacuated zones.
+//! Evacuation of the owned workers of a zone.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 use crate::fleet::scheduler::Scheduler;
 
 impl Scheduler {
-    /// Starts nothing more in these zones, and again in all others.
+    /// Replaces the set of evacuated zones, in which no task is started.
     pub(crate) fn set_evacuated(&mut self, now: Time, zones: BTreeSet<Name>) {
         for driver in self.drivers.values_mut() {
             driver.evacuated = zones.contains(&driver.entry.zone);
@@ -24,36 +24,36 @@
         self.return_unservable(now);
     }
 
-    /// Returns whether this host owns workers on which tasks may be started.
+    /// Returns whether this host owns workers outside evacuated zones.
     pub(crate) fn has_open_workers(&self) -> bool {
         self.drivers.values().any(|driver| !driver.abandoned && !driver.evacuated)
     }
 
-    /// Returns how many runs the workers of a zone have.
+    /// Returns the number of runs on the workers of a zone.
     pub(crate) fn runs_in_zone(&self, zone: &str) -> usize {
-        let there = self.drivers.values().filter(|driver| *driver.entry.zone == *zone);
-        there.map(|driver| driver.runs.len()).sum()
+        let in_zone = self.drivers.values().filter(|driver| *driver.entry.zone == *zone);
+        in_zone.map(|driver| driver.runs.len()).sum()
     }
 
-    /// Returns the evacuated zones in which the last run has ended since the last call.
+    /// Returns the evacuated zones whose last run has ended since the previous call.
     pub(crate) fn take_drained_zones(&mut self) -> Vec<Name> {
-        let emptied = self.draining_zones.iter().filter(|zone| self.runs_in_zone(zone) == 0);
-        let emptied: Vec<Name> = emptied.cloned().collect();
-        for zone in &emptied {
+        let drained = self.draining_zones.iter().filter(|zone| self.runs_in_zone(zone) == 0);
+        let drained: Vec<Name> = drained.cloned().collect();
+        for zone in &drained {
             self.draining_zones.remove(zone);
         }
-        emptied
+        drained
     }
 
-    /// Gives jobs of which nothing has run back to their hosts, to be placed elsewhere, once
-    /// no worker of this host may start them.
+    /// Sends jobs with no started task back to their hosts, to be placed elsewhere, if all
+    /// workers of this host are evacuated.
     pub(crate) fn return_unservable(&mut self, now: Time) {
         if !self.owns_workers() || self.has_open_workers() {
             return;
         }
-        let waits = |state: &JobState| !state.may_have_run() && state.ending.is_none();
-        let untouched = self.jobs.iter().filter(|(_, state)| waits(state));
-        let numbers: Vec<u64> = untouched.map(|(number, _)| *number).collect();
+        let untouched = |state: &JobState| !state.may_have_run() && state.ending.is_none();
+        let returned = self.jobs.iter().filter(|(_, state)| untouched(state));
+        let numbers: Vec<u64> = returned.map(|(number, _)| *number).collect();
         let end = JobEnd::NotRun { reason: Reason::NoPlacer, retry: now };
         for number in numbers {
             self.close(now, number, end, true);
--- a/endivestile_kernel/src/fleet/workers/mod.rs
+++ b/endivestile_kernel/src/fleet/workers/mod.rs
@@ -1,4 +1,4 @@
-//! The workers that this host owns: their leases, runs and room.
+//! Workers owned by this host: their leases, runs and free capacity.
 
 pub(crate) mod call;
 pub(crate) mod driver;
--- a/endivestile_kernel/src/fleet/workers/owned.rs
+++ b/endivestile_kernel/src/fleet/workers/owned.rs
@@ -1,4 +1,4 @@
-//! The workers that a placer owns, as a whole.
+//! The set of workers that a scheduler owns.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,23 +10,23 @@
 use crate::fleet::workers::protocol::WorkerEntry;
 use crate::{Peer, Time};
 
-/// Speed below which a worker's places count for late jobs only, 1 for the usual:
-/// hardly any job meets an objective of one and a half times its work there.
+/// Speed, 1 for the usual, below which a worker's capacity counts for late jobs only: hardly
+/// any job meets an objective of one and a half times its work there.
 pub(crate) const SLOW_SPEED: f64 = 0.4;
 
 impl Scheduler {
-    /// Takes over the listed workers of the pools that this host owns, each
-    /// with its pool and token. Workers of other pools are let go; jobs are given
-    /// back when none is left.
+    /// Replaces the registered workers of the owned pools, each with its pool and token.
+    ///
+    /// Workers of other pools are abandoned. Jobs are returned when no worker is left.
     pub(crate) fn set_workers(
         &mut self,
         now: Time,
         workers: &[(WorkerEntry, Name, u64)],
         pools: &BTreeSet<Name>,
     ) {
-        let known: BTreeSet<&Name> = workers.iter().map(|(entry, ..)| &entry.id).collect();
+        let ids: BTreeSet<&Name> = workers.iter().map(|(entry, ..)| &entry.id).collect();
         for driver in self.drivers.values_mut() {
-            driver.registered = known.contains(&driver.entry.id);
+            driver.registered = ids.contains(&driver.entry.id);
             driver.abandoned = !pools.contains(&driver.pool);
         }
         for (entry, pool, token) in workers {
@@ -39,24 +39,24 @@
         self.return_unservable(now);
     }
 
-    /// Returns whether this host owns workers.
+    /// Returns whether this host owns any worker.
     pub(crate) fn owns_workers(&self) -> bool {
         self.drivers.values().any(|driver| !driver.abandoned)
     }
 
-    /// Returns whether nothing that a former owner ordered can run any more.
+    /// Returns whether no run of a former owner can be left on any owned worker.
     ///
-    /// A job that is sent again because its placer was lost must wait for that:
-    /// its tasks may still run on a worker that has not been cleared yet.
+    /// A job that is resubmitted after its scheduler was lost has to wait for this: its
+    /// tasks may still run on a worker that has not been cleared.
     pub(crate) fn cleared(&self, now: Time) -> bool {
-        let own = self.drivers.values().filter(|driver| !driver.abandoned);
-        own.into_iter().all(|driver| driver.cleared(now))
+        let owned = self.drivers.values().filter(|driver| !driver.abandoned);
+        owned.into_iter().all(|driver| driver.cleared(now))
     }
 
-    /// Lets jobs go on that waited for workers to be cleared.
+    /// Queues the deferred jobs once all workers are cleared.
     pub(crate) fn resume_deferred(&mut self, now: Time) {
-        let parked = |(number, state): (&u64, &JobState)| state.deferred.then_some(*number);
-        let numbers: Vec<u64> = self.jobs.iter().filter_map(parked).collect();
+        let deferred = |(number, state): (&u64, &JobState)| state.deferred.then_some(*number);
+        let numbers: Vec<u64> = self.jobs.iter().filter_map(deferred).collect();
         if numbers.is_empty() || !self.cleared(now) {
             return;
         }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Puts another lease of workers in force, in milliseconds.
+    /// Sets the length of worker leases, in milliseconds.
     pub(crate) fn set_worker_lease(&mut self, lease_ms: u64) {
         self.lease_ms = lease_ms;
         for driver in self.drivers.values_mut() {
@@ -76,26 +76,26 @@
         }
     }
 
-    /// Returns whether any worker of a zone answers this host as its owner.
+    /// Returns whether any owned worker of a zone is responsive.
     pub(crate) fn reaches_zone(&self, now: Time, zone: &str) -> bool {
-        let mut own = self.drivers.values().filter(|driver| &*driver.entry.zone == zone);
-        own.any(|driver| !driver.abandoned && driver.responsive(now))
+        let mut owned = self.drivers.values().filter(|driver| &*driver.entry.zone == zone);
+        owned.any(|driver| !driver.abandoned && driver.responsive(now))
     }
 
-    /// Returns the pools of which a worker refused our token.
+    /// Returns the pools of which a worker has rejected our fencing token.
     pub(crate) fn fenced_pools(&self) -> BTreeSet<Name> {
         let fenced = self.drivers.values().filter(|driver| driver.fenced() && !driver.abandoned);
         fenced.map(|driver| driver.pool.clone()).collect()
     }
 
-    /// Returns the other hosts for which jobs are held.
+    /// Returns the other hosts whose jobs are scheduled here.
     pub(crate) fn fronts(&self) -> Vec<Peer> {
-        let others = self.jobs.values().filter(|state| state.sender != self.me);
-        let peers: BTreeSet<&Peer> = others.map(|state| &state.sender).collect();
+        let remote = self.jobs.values().filter(|state| state.sender != self.me);
+        let peers: BTreeSet<&Peer> = remote.map(|state| &state.sender).collect();
         peers.into_iter().cloned().collect()
     }
 
-    /// Returns the hosts to which tasks are forwarded.
+    /// Returns the hosts that run forwarded tasks.
     pub(crate) fn forward_targets(&self) -> Vec<Peer> {
         let peers: BTreeSet<&Peer> = self.forwards.values().map(|(peer, _)| peer).collect();
         peers.into_iter().cloned().collect()
@@ -116,7 +116,8 @@
         self.drivers.insert(entry.id.clone(), driver);
     }
 
-    /// Starts nothing more on the workers of a pool, and opens any other again.
+    /// Marks the pool that is being transferred, on whose workers no task is started;
+    /// unmarks any other.
     pub(crate) fn set_transferring(&mut self, pool: Option<&Name>) {
         self.transferring = pool.cloned();
         for driver in self.drivers.values_mut() {
@@ -125,37 +126,38 @@
         self.dirty = true;
     }
 
-    /// Returns how many runs the workers of a pool have.
+    /// Returns the number of runs on the workers of a pool.
     pub(crate) fn runs_in_pool(&self, pool: &str) -> usize {
-        let there = self.drivers.values().filter(|driver| &*driver.pool == pool);
-        there.map(|driver| driver.runs.len()).sum()
+        let in_pool = self.drivers.values().filter(|driver| &*driver.pool == pool);
+        in_pool.map(|driver| driver.runs.len()).sum()
     }
 
-    /// Returns whether nothing runs on the workers of a pool.
+    /// Returns whether the workers of a pool have no runs.
     pub(crate) fn pool_idle(&self, pool: &str) -> bool {
         self.runs_in_pool(pool) == 0
     }
 
-    /// Returns whether jobs in time may be given to a worker: it is not out, and not slow.
+    /// Returns whether jobs that are not late may use a worker: it is neither ejected nor slow.
     pub(crate) fn healthy(&self, now: Time, worker: &str) -> bool {
         self.health.allows(now, worker, false) && self.durations.speed(worker) >= SLOW_SPEED
     }
 
-    /// Returns the room for usual tasks by service, and what waits.
+    /// Returns for each service how many tasks of average size fit on healthy workers, and
+    /// how many tasks wait.
     pub(crate) fn load_by_service(&self, now: Time) -> BTreeMap<Name, (u32, u32)> {
-        let mut rooms: BTreeMap<Name, (u32, u32)> = BTreeMap::new();
+        let mut loads: BTreeMap<Name, (u32, u32)> = BTreeMap::new();
         for driver in self.drivers.values().filter(|driver| driver.usable(now)) {
             let service = &driver.entry.service;
-            let usual = self.usual_cpu.get(service).copied().unwrap_or(1_000.0).max(1.0);
-            let places = (f64::from(driver.free_capacity().cpu_milli) / usual) as u32;
-            let room = rooms.entry(service.clone()).or_default();
+            let usual_cpu = self.usual_cpu.get(service).copied().unwrap_or(1_000.0).max(1.0);
+            let slots = (f64::from(driver.free_capacity().cpu_milli) / usual_cpu) as u32;
+            let load = loads.entry(service.clone()).or_default();
             if self.healthy(now, &driver.entry.id) {
-                room.0 += places;
+                load.0 += slots;
             }
         }
         for (service, queue) in &self.queues {
-            rooms.entry(service.clone()).or_default().1 = queue.len() as u32;
+            loads.entry(service.clone()).or_default().1 = queue.len() as u32;
         }
-        rooms
+        loads
     }
 }
--- a/endivestile_kernel/src/fleet/workers/protocol.rs
+++ b/endivestile_kernel/src/fleet/workers/protocol.rs
@@ -1,15 +1,15 @@
-//! What is said to and heard from workers.
+//! Requests to workers and their replies.
 
 use endivestile_config::model::Name;
 
 use crate::Need;
 
-/// A worker as it registered itself.
+/// Registration of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// Id of this life of the worker, unless `incarnation` tells another.
+    /// Id of the worker; a restarted worker may keep it and change its `incarnation`.
     pub id: Name,
-    /// Service that it belongs to.
+    /// Service whose tasks it runs.
     pub service: Name,
     /// Address, `IP:port`.
     pub address: Name,
@@ -17,15 +17,15 @@
     pub zone: Name,
     /// Labels: its kind and its rack.
     pub labels: Vec<Name>,
-    /// What it can run at once.
+    /// Total resources for its runs.
     pub capacity: Need,
-    /// Whether it is about to leave.
+    /// Whether it is draining and takes no new tasks.
     pub leaving: bool,
-    /// Start of this life, in milliseconds since 1970; 0 when it does not tell.
+    /// Start time of the worker process, in milliseconds since 1970; 0 if unknown.
     pub incarnation: u64,
 }
 
-/// Tells a worker to start a task.
+/// Request to start a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartRequest {
     /// Worker.
@@ -36,15 +36,16 @@
     pub task: Name,
     /// Number of the run.
     pub run: u32,
-    /// The work.
+    /// Work description, opaque to this system.
     pub spec: Name,
-    /// Instant on the worker's clock until which its runs may go on, in milliseconds.
+    /// End of the run's first lease on the worker's clock, in milliseconds; a start that
+    /// arrives later is refused.
     pub lease_until: u64,
     /// Fencing token.
     pub token: u64,
 }
 
-/// Tells a worker to stop a run.
+/// Request to stop a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopRequest {
     /// Worker.
@@ -59,42 +60,43 @@
     pub token: u64,
 }
 
-/// Prolongs the lease of all runs of a worker and asks what runs and what ended.
+/// Request to renew the lease of all runs of a worker and to list its running and ended runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RenewRequest {
     /// Worker.
     pub worker: Name,
     /// Its address.
     pub address: Name,
-    /// Instant on the worker's clock until which its runs may go on; none asks only.
+    /// End of the lease on the worker's clock, in milliseconds; `None` only lists runs.
     pub lease_until: Option<u64>,
     /// Fencing token.
     pub token: u64,
-    /// Ends up to this number have been taken note of.
+    /// Ended runs up to this number are acknowledged and not listed again.
     pub observed: u64,
-    /// How long the worker may wait for an end before it answers, in milliseconds.
+    /// Long poll: how long the worker may wait for a run to end before it replies, in
+    /// milliseconds.
     pub wait_ms: u32,
 }
 
-/// How a call to a worker ended other than by its proper answer.
+/// Why a call to a worker got no regular reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection was made: nothing was sent.
+    /// No connection could be made; nothing was sent.
     Unreachable,
-    /// Something was sent and no whole answer came: the order may be carried out, also later.
+    /// Sent, but no complete reply arrived; the worker may still act on it, also later.
     Lost,
-    /// Another incarnation answers at the address.
+    /// Another worker process answers at the address.
     OtherIncarnation,
-    /// A higher fencing token is in force.
+    /// The worker has accepted a higher fencing token.
     Fenced,
     /// The worker is unhealthy and did nothing.
     Unhealthy,
-    /// The worker refused the order as wrong.
+    /// The worker rejected the request as invalid.
     Refused,
 }
 
 impl CallError {
-    /// Returns the word for logs.
+    /// Returns the label used in logs.
     pub fn label(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
@@ -107,51 +109,51 @@
     }
 }
 
-/// How a start ended.
+/// Result of a start request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartResult {
-    /// It runs; the worker's clock in milliseconds.
+    /// The task runs; with the worker's clock in milliseconds.
     Started(u64),
-    /// A run at least as high has ended or was stopped there.
+    /// A run of this task with the same or a higher number has ended or was stopped there.
     Superseded,
-    /// The lease in the order had passed when it arrived.
+    /// The request's lease had expired on arrival.
     Expired,
-    /// The worker has no room.
+    /// The worker has no free capacity.
     Full,
-    /// It did not come to that.
+    /// The call failed.
     Failed(CallError),
 }
 
 /// How a run ended at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It did its work.
+    /// Completed successfully.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// Failed, because of the task or of the worker.
     Failed,
-    /// It was told to stop.
+    /// Stopped on request.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     Expired,
-    /// Another member of its gang ended, or the gang never came together.
+    /// Another member of its gang ended, or the gang was never complete.
     Broken,
 }
 
-/// A run that goes on.
+/// Status of a run in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunStatus {
     /// Name of the task.
     pub task: Name,
     /// Number of the run.
     pub run: u32,
-    /// How much of its work is done, in percent.
+    /// Progress, in percent.
     pub percent: u8,
 }
 
-/// A run that ended.
+/// Record of an ended run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndRecord {
-    /// Number of the end at this life of the worker, from 1.
+    /// Sequence number within the worker's incarnation, from 1.
     pub number: u64,
     /// Name of the task.
     pub task: Name,
@@ -161,15 +163,15 @@
     pub end: RunEnd,
 }
 
-/// What a worker answers to a hold.
+/// Reply to a lease renewal.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RenewReply {
     /// The worker's clock, in milliseconds.
     pub clock: u64,
-    /// Start of the worker's life, in milliseconds since 1970; 0 when it does not tell.
+    /// Start time of the worker process, in milliseconds since 1970; 0 if unknown.
     pub incarnation: u64,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<RunStatus>,
-    /// What ended since the last end taken note of.
+    /// Runs that ended since the last acknowledged one.
     pub ended: Vec<EndRecord>,
 }
--- a/endivestile_kernel/src/fleet/workers/run.rs
+++ b/endivestile_kernel/src/fleet/workers/run.rs
@@ -1,73 +1,74 @@
-//! One run of a task at a worker, as the worker's owner knows it.
+//! State of a run on a worker, as its owner tracks it.
 
 use endivestile_config::model::Name;
 
 use crate::fleet::workers::protocol::{RunEnd, StartResult};
 use crate::{Need, Time};
 
-/// Time for the answer to a stop before the worker's lease is not renewed any
-/// more, in milliseconds, twice that for an order: a run that cannot be told to
-/// stop has to lapse.
+/// Time for the reply to a stop, in milliseconds, two request timeouts. After it the lease
+/// of the whole worker is no longer renewed, so that a run that cannot be stopped expires.
 pub(crate) const STOP_TIMEOUT_MS: u64 = 200;
 
-/// Names a task of a job at its placer.
+/// Reference to a task of a job in the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct TaskRef {
-    /// Number of the job.
+    /// Number of the job in the scheduler.
     pub(crate) job: u64,
     /// Index of the task in the job.
     pub(crate) task: u32,
 }
 
-/// Names a run at a worker.
+/// Identifies a run on a worker.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RunId {
-    /// Name of the task.
+    /// Name of the task on workers.
     pub(crate) task: Name,
     /// Number of the run.
     pub(crate) run: u32,
 }
 
-/// What is known of an order to start.
+/// Progress of a start request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// On its way.
+    /// Sent, no reply yet.
     Sent,
-    /// The worker has it.
+    /// Confirmed by the worker.
     Running,
-    /// No answer came: it may run, or may yet start.
+    /// The reply was lost: the run may exist or may still start.
     Unconfirmed,
 }
 
-/// One run that takes room.
+/// A run that occupies capacity.
 #[derive(Debug, Clone)]
 pub(crate) struct Run {
-    /// The task that it works for; none once nobody wants it.
+    /// The task that it runs; `None` for a run that a former owner started.
     pub(crate) task: Option<TaskRef>,
-    /// What it takes; nothing is known of a former owner's runs.
+    /// Resources that it occupies; the whole worker for a former owner's run.
     pub(crate) need: Need,
-    /// When it was ordered.
+    /// When the start was sent.
     pub(crate) sent: Time,
-    /// How much of its work was done when the worker last told.
+    /// Last reported progress, in percent.
     pub(crate) percent: u8,
-    /// When the worker last told.
+    /// When the worker last reported it.
     pub(crate) seen: Time,
-    /// Whether it is to be stopped.
+    /// Whether a stop was requested.
     pub(crate) stopping: bool,
-    /// What is known of the order.
+    /// Progress of the start request.
     pub(crate) phase: Phase,
-    /// On the worker's clock: from here on a late start is refused.
+    /// Worker's clock, in milliseconds, from which on the worker refuses the start; 0 for a
+    /// former owner's run.
     pub(crate) start_by: u64,
-    /// On the worker's clock: when a stop had been carried out.
+    /// Worker's clock, in milliseconds, when it confirmed a stop.
     pub(crate) stopped_clock: Option<u64>,
-    /// When the stop is sent again.
+    /// When to send the stop next.
     pub(crate) next_stop: Time,
-    /// From when on an unanswered stop holds back the lease of the whole worker.
+    /// When the worker's lease stops being renewed because of this run: its stop or its
+    /// start was not confirmed.
     pub(crate) stop_deadline: Time,
 }
 
 impl Run {
-    /// Asks for its end.
+    /// Marks the run to be stopped.
     pub(crate) fn request_stop(&mut self, now: Time) {
         if !self.stopping {
             self.stopping = true;
@@ -77,24 +78,25 @@
     }
 }
 
-/// Why a run takes no room any more.
+/// Why a run no longer occupies capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunOutcome {
-    /// The worker listed its end.
+    /// The worker reported its end.
     Ended(RunEnd),
-    /// It never started and never will.
+    /// It did not start and never will.
     NotStarted(StartResult),
-    /// No lease covers it any more, or the worker lives another life.
+    /// Its end was not reported: the worker no longer lists it, its lease has expired, or
+    /// the worker was restarted.
     Vanished,
 }
 
-/// A run that is over.
+/// An ended run.
 #[derive(Debug, Clone)]
 pub(crate) struct EndedRun {
     /// The run.
     pub(crate) id: RunId,
-    /// What was known of it.
+    /// Its last state.
     pub(crate) run: Run,
-    /// How it ended.
+    /// Why it ended.
     pub(crate) outcome: RunOutcome,
 }
