--- a/endivestile_kernel/src/fleet/placement/dispatch.rs
+++ b/endivestile_kernel/src/fleet/placement/dispatch.rs
@@ -156,7 +156,7 @@
             objective: state.objective,
             deadline: state.job.deadline,
             run_us,
-            fast: self.durations.fast_speed(),
+            fast_speed: self.durations.fast_speed(),
         };
         Goal::new(now, &timing, self.policy)
     }
--- a/endivestile_kernel/src/fleet/placement/goal.rs
+++ b/endivestile_kernel/src/fleet/placement/goal.rs
@@ -26,7 +26,7 @@
     /// Expected run time at speed 1, in microseconds.
     pub(crate) run_us: f64,
     /// Speed that the fastest fifth of the workers reaches.
-    pub(crate) fast: f64,
+    pub(crate) fast_speed: f64,
 }
 
 /// Time limit that a worker has to meet to get a task.
@@ -45,7 +45,7 @@
         if !policy.has(Mechanism::Fitting) {
             return Self { end_by: Time::from_micros(u64::MAX), factor: 1.0, late: false };
         }
-        let min_us = timing.run_us / timing.fast;
+        let min_us = timing.run_us / timing.fast_speed;
         if now.after_us(min_us as u64) > timing.objective {
             return Self { end_by: timing.deadline, factor: 1.0, late: true };
         }
--- a/endivestile_kernel/src/fleet/placement/tick.rs
+++ b/endivestile_kernel/src/fleet/placement/tick.rs
@@ -100,12 +100,12 @@
             self.durations.record_slowdown(&worker, factor);
             self.health.record_stall(now, &worker);
             self.out.push(Output::Count(Count::RunsStalled));
-            let more = [
+            let fields = [
                 ("worker", worker.to_string()),
                 ("task", task.task.to_string()),
                 ("slower", format!("{factor:.1}")),
             ];
-            self.log_job(Level::Info, "run_stalled", task.job, &more);
+            self.log_job(Level::Info, "run_stalled", task.job, &fields);
             if let Some(state) = self.jobs.get_mut(&task.job) {
                 state.stats.stalled += 1;
             }
--- a/endivestile_kernel/src/fleet/workers/driver.rs
+++ b/endivestile_kernel/src/fleet/workers/driver.rs
@@ -253,10 +253,10 @@
         &mut self,
         now: Time,
         id: &RunId,
-        end: StartResult,
+        result: StartResult,
     ) -> Option<EndedRun> {
         let run = self.runs.get_mut(id)?;
-        match end {
+        match result {
             StartResult::Started(clock) => {
                 if run.phase == Phase::Sent {
                     run.phase = Phase::Running;
@@ -276,9 +276,9 @@
             }
             StartResult::Failed(CallError::Fenced) => {
                 self.stage = Stage::Fenced;
-                self.end_run(id, RunOutcome::NotStarted(end))
+                self.end_run(id, RunOutcome::NotStarted(result))
             }
-            _ => self.end_run(id, RunOutcome::NotStarted(end)),
+            _ => self.end_run(id, RunOutcome::NotStarted(result)),
         }
     }
 
@@ -290,8 +290,8 @@
     }
 
     /// Handles the result of a stop.
-    pub(crate) fn handle_stop(&mut self, now: Time, id: &RunId, end: Result<u64, CallError>) {
-        match end {
+    pub(crate) fn handle_stop(&mut self, now: Time, id: &RunId, result: Result<u64, CallError>) {
+        match result {
             Ok(clock) => {
                 self.set_clock(now, clock);
                 if let Some(run) = self.runs.get_mut(id) {
--- a/endivestile_kernel/src/fleet/workers/driver/renewal.rs
+++ b/endivestile_kernel/src/fleet/workers/driver/renewal.rs
@@ -13,13 +13,13 @@
         &mut self,
         now: Time,
         number: u64,
-        end: Result<RenewReply, CallError>,
+        result: Result<RenewReply, CallError>,
     ) -> Vec<EndedRun> {
         let Some(renewal) = self.in_flight.filter(|renewal| renewal.number == number) else {
             return Vec::new();
         };
         self.in_flight = None;
-        match end {
+        match result {
             Ok(reply) => self.apply_reply(now, renewal, reply),
             Err(error) => self.renewal_failed(now, error),
         }
