--- a/endivestile_kernel/src/fleet/placement/health.rs
+++ b/endivestile_kernel/src/fleet/placement/health.rs
@@ -8,7 +8,7 @@
 use crate::Time;
 
 /// Consecutive failures that eject a worker. Tasks that fail by themselves fail on other
-/// workers too, and rarely several of them run on one worker in a row.
+/// workers too, and rarely three of them run on one worker in a row.
 const EJECTION_FAILURES: u32 = 2;
 /// Length of the first ejection, in milliseconds; doubled with each failed probe.
 const EJECTION_MS: u64 = 400;
