--- a/endivestile_kernel/src/fleet/admission/shedding.rs
+++ b/endivestile_kernel/src/fleet/admission/shedding.rs
@@ -115,7 +115,8 @@
             let Some(state) = self.jobs.get(&task.job).filter(|state| !state.may_have_run()) else {
                 continue;
             };
-            let wait_s = WAIT_FACTOR * f64::from(ahead) / self.start_rates.late_rate(service, key.rank.0);
+            let wait_s =
+                WAIT_FACTOR * f64::from(ahead) / self.start_rates.late_rate(service, key.rank.0);
             let step = state.step(task.task as usize);
             let run_us = self.durations.min_us(&state.job, step.estimate_ms);
             let end = now.after_us((wait_s * 1e6 + run_us) as u64);
