--- a/endivestile_kernel/benches/place.rs
+++ b/endivestile_kernel/benches/place.rs
@@ -118,13 +118,13 @@
             left: 1,
             task: self.task.clone(),
         };
-        self.placer.order(self.now, &self.me, order, &mut self.out);
+        self.placer.handle_order(self.now, &self.me, order, &mut self.out);
         self.collect();
     }
 
     fn end(&mut self) {
         let Some(attempt) = self.open.pop_front() else { return };
-        self.placer.end(self.now, attempt, End::Answered(Bytes::new()), &mut self.out);
+        self.placer.handle_end(self.now, attempt, End::Answered(Bytes::new()), &mut self.out);
         self.collect();
     }
 
@@ -202,7 +202,7 @@
         (0..=load.run).map(|run| TaskKey { run, index: 0, attempt: 0 }).collect();
     let start = Instant::now();
     for key in keys {
-        load.placer.drop_task(load.now, &load.me, key, &mut load.out);
+        load.placer.handle_drop(load.now, &load.me, key, &mut load.out);
     }
     start.elapsed()
 }
@@ -227,8 +227,7 @@
     placer.configure(Time::ZERO, &config, &view, &mut out);
     let mut group = c.benchmark_group("view");
     group.sample_size(20).measurement_time(Duration::from_millis(800));
-    group
-        .bench_function("changed", |b| b.iter(|| placer.view_changed(Time::ZERO, &view, &mut out)));
+    group.bench_function("changed", |b| b.iter(|| placer.handle_view(Time::ZERO, &view, &mut out)));
     group.bench_function("configure", |b| {
         b.iter(|| placer.configure(Time::ZERO, &config, &view, &mut out));
     });
--- a/endivestile_kernel/src/kernel.rs
+++ b/endivestile_kernel/src/kernel.rs
@@ -143,7 +143,7 @@
             self.passed.deadline(),
             self.replacing.first().map(|&(due, _)| due),
             self.shards.deadline(),
-            self.placer.deadline(),
+            self.placer.next_timer(),
             Some(self.survey_due),
         ]
         .into_iter()
@@ -174,7 +174,7 @@
             Event::Frame(frame) => self.frame(now, frame),
             Event::LinkDown(peer) => self.link_down(now, &peer),
             Event::End { attempt, end } => {
-                self.placer.end(now, attempt, end, &mut self.place_effects);
+                self.placer.handle_end(now, attempt, end, &mut self.place_effects);
             }
             Event::Stored { token, stored } => {
                 let view = self.hosts.view();
--- a/endivestile_kernel/src/kernel/link.rs
+++ b/endivestile_kernel/src/kernel/link.rs
@@ -65,8 +65,10 @@
                 self.ask(now, waiter, id, ask, hops);
             }
             Msg::Reply { call, answer } => self.replied(call, answer),
-            Msg::Place(order) => self.placer.order(now, from, order, &mut self.place_effects),
-            Msg::Drop(key) => self.placer.drop_task(now, from, key, &mut self.place_effects),
+            Msg::Place(order) => {
+                self.placer.handle_order(now, from, order, &mut self.place_effects)
+            }
+            Msg::Drop(key) => self.placer.handle_drop(now, from, key, &mut self.place_effects),
             Msg::Placed { key, outcome } => self.placed(now, from, key, outcome),
             Msg::WantConfig(revision) => self.give_config(from, revision),
             Msg::Config { text, .. } => self.out.push(Effect::Offer(text)),
--- a/endivestile_kernel/src/kernel/stop.rs
+++ b/endivestile_kernel/src/kernel/stop.rs
@@ -48,13 +48,13 @@
     pub(super) fn platform(&mut self, now: Time, name: &str, state: Option<PlatformState>) {
         let changed = self.hosts.platform(now, name, state);
         let leaving = matches!(state, Some(PlatformState::Leaving | PlatformState::Gone));
-        self.placer.leaving(now, name, leaving, &mut self.place_effects);
+        self.placer.set_leaving(now, name, leaving, &mut self.place_effects);
         self.viewed(now, changed || *name == *self.setup.me.host);
     }
 
     pub(super) fn planned_stop(&mut self, now: Time, name: &str, stop: bool) {
         let changed = self.hosts.stop(now, name, stop);
-        self.placer.leaving(now, name, stop, &mut self.place_effects);
+        self.placer.set_leaving(now, name, stop, &mut self.place_effects);
         self.viewed(now, changed || *name == *self.setup.me.host);
     }
 
@@ -105,6 +105,6 @@
             channel.backlog() > 0 && matches!(state, HostState::Live | HostState::Leaving)
         });
         let calls = self.runs.active() + self.passed.len();
-        calls > 0 || owed || !self.placer.idle() || !self.shards.is_drained()
+        calls > 0 || owed || !self.placer.is_idle() || !self.shards.is_drained()
     }
 }
--- a/endivestile_kernel/src/kernel/task.rs
+++ b/endivestile_kernel/src/kernel/task.rs
@@ -57,7 +57,7 @@
         for (task, count) in targets.into_values() {
             // Shares tell of two classes of needs only: each would pass on what fits no
             // worker at all, and its caller would wait while they try in turn.
-            if !Placer::can_ever(config, &task.target) {
+            if !Placer::can_ever_run(config, &task.target) {
                 return Err(Cause::NoBackend);
             }
             let Some(route) = self.route(now, task, &[]) else {
@@ -77,9 +77,9 @@
     /// a wrong belief about their run time is corrected.
     fn may_try(&self, now: Time, task: &Task, count: u64, deadline: Time) -> bool {
         if count > 1 {
-            return self.placer.untried(task);
+            return self.placer.has_untried_backend(task);
         }
-        self.placer.may_try(now, task, deadline)
+        self.placer.allows_trial(now, task, deadline)
     }
 
     /// Starts every task of a run.
@@ -101,12 +101,12 @@
         let config = self.config.as_ref()?;
         let view = self.hosts.view();
         let me = &self.setup.me;
-        let own = self.placer.expected(now, task).filter(|_| !avoid.contains(me));
+        let own = self.placer.expected_end(now, task).filter(|_| !avoid.contains(me));
         let own = own.map(|end| Route { peer: me.clone(), end });
         let other = self.routes.best(now, view, &config.rules, &task.target, avoid);
         let best = match (own, other) {
             // A share that is only guessed to be slow would never be tried.
-            (Some(own), Some(_)) if self.placer.untried(task) => Some(own),
+            (Some(own), Some(_)) if self.placer.has_untried_backend(task) => Some(own),
             (Some(own), Some(other)) if other.end < own.end => Some(other),
             (Some(own), _) => Some(own),
             (None, other) => other,
@@ -160,7 +160,7 @@
     fn hand_over(&mut self, now: Time, to: &Peer, order: Order) {
         if *to == self.setup.me {
             let me = self.setup.me.clone();
-            self.placer.order(now, &me, order, &mut self.place_effects);
+            self.placer.handle_order(now, &me, order, &mut self.place_effects);
             return;
         }
         self.count(Metric::Handoffs, 1);
@@ -303,7 +303,7 @@
     fn drop_task(&mut self, now: Time, peer: &Peer, key: TaskKey) {
         if *peer == self.setup.me {
             let me = self.setup.me.clone();
-            self.placer.drop_task(now, &me, key, &mut self.place_effects);
+            self.placer.handle_drop(now, &me, key, &mut self.place_effects);
         } else {
             self.push_alive(peer, Msg::Drop(key));
         }
--- a/endivestile_kernel/src/kernel/watch.rs
+++ b/endivestile_kernel/src/kernel/watch.rs
@@ -79,7 +79,7 @@
         self.bury_gone(now);
         let view = self.hosts.view();
         self.shards.handle_view_change(now, view, &mut self.shard_effects);
-        self.placer.view_changed(now, view, &mut self.place_effects);
+        self.placer.handle_view(now, view, &mut self.place_effects);
         self.settle(now);
         self.reroute(now);
         self.repeat_silent(now);
@@ -93,7 +93,7 @@
             self.channels.remove(&peer);
             self.watched.remove(&peer);
             self.routes.forget(&peer);
-            self.placer.home_gone(now, &peer, &mut self.place_effects);
+            self.placer.handle_home_gone(now, &peer, &mut self.place_effects);
             self.lose_tasks(now, &peer);
         }
     }
--- a/endivestile_kernel/src/lib.rs
+++ b/endivestile_kernel/src/lib.rs
@@ -33,7 +33,8 @@
 pub use order::{AttemptId, End, Figure, Order, Outcome, TaskKey};
 pub use peer::Peer;
 pub use place::{
-    Choice, Condition, PlaceEffect, Placer, PlacerSetup, PolicyPlugin, ServerStatus, policy_names,
+    Condition, PlaceEffect, Placer, PlacerSetup, PolicyInput, PolicyPlugin, ServerStatus,
+    policy_names,
 };
 pub use shard::{
     Admission, Assignment, BatchDecision, FencingState, MAX_CLOCK_SKEW_S, Replication, ShardEffect,
--- a/endivestile_kernel/src/place/ending.rs
+++ b/endivestile_kernel/src/place/completion.rs
@@ -26,7 +26,13 @@
 
 impl Placer {
     /// Takes in how a call ended.
-    pub fn end(&mut self, now: Time, attempt: AttemptId, end: End, out: &mut Vec<PlaceEffect>) {
+    pub fn handle_end(
+        &mut self,
+        now: Time,
+        attempt: AttemptId,
+        end: End,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         let Some(slot) = self.attempts.remove(&attempt) else { return };
         let Some(held) = self.held.get(slot) else { return };
         let Some(run) = held.run else { return };
--- a/endivestile_kernel/src/place/dispatch.rs
+++ b/endivestile_kernel/src/place/dispatch.rs
@@ -1,9 +1,9 @@
 //! Waiting tasks and their start.
 
-use super::choice::{Choice, Offer};
 use super::effect::PlaceEffect;
 use super::held::Run;
 use super::placer::{ACCELERATED, PLAIN, Placer};
+use super::policy_input::{Offer, PolicyInput};
 use super::room::Room;
 use super::timer::Timer;
 use crate::{AttemptId, Metric, Time};
@@ -126,7 +126,7 @@
             return Pick::Full;
         }
         let pool = &self.pools[id as usize];
-        let choice = Choice::new(pool, want, near, now, Offer { ln_size, patient, smaller });
+        let choice = PolicyInput::new(pool, want, near, now, Offer { ln_size, patient, smaller });
         let Some(at) = (self.choose)(&choice, &mut self.rng) else { return Pick::Wait };
         if !choice.free(at) {
             return Pick::Full;
--- a/endivestile_kernel/src/place/placer.rs
+++ b/endivestile_kernel/src/place/placer.rs
@@ -100,7 +100,7 @@
     ///
     /// Waiting tasks that no back end of the new share can run end as not run,
     /// so that their homes place them anew.
-    pub fn view_changed(&mut self, now: Time, view: &View, out: &mut Vec<PlaceEffect>) {
+    pub fn handle_view(&mut self, now: Time, view: &View, out: &mut Vec<PlaceEffect>) {
         self.teams.configure(&self.config.teams, view, &self.me);
         let specs = share::share(&self.config, view, &self.me);
         if !self.same_share(&specs) {
@@ -109,7 +109,13 @@
     }
 
     /// Takes in that a back end is leaving, or that it is not any more.
-    pub fn leaving(&mut self, now: Time, name: &str, leaving: bool, out: &mut Vec<PlaceEffect>) {
+    pub fn set_leaving(
+        &mut self,
+        now: Time,
+        name: &str,
+        leaving: bool,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         if leaving {
             self.leaving.insert(Name::from(name));
         } else {
@@ -121,7 +127,13 @@
     }
 
     /// Takes in an order of a home: it is started, queued or refused at once.
-    pub fn order(&mut self, now: Time, home: &Peer, order: Order, out: &mut Vec<PlaceEffect>) {
+    pub fn handle_order(
+        &mut self,
+        now: Time,
+        home: &Peer,
+        order: Order,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         let name = (home.clone(), order.key);
         if self.index.contains_key(&name) {
             return;
@@ -166,7 +178,13 @@
 
     /// Drops a task: a waiting one is forgotten, a running one is stopped and
     /// its slot is free when its call ends.
-    pub fn drop_task(&mut self, now: Time, home: &Peer, key: TaskKey, out: &mut Vec<PlaceEffect>) {
+    pub fn handle_drop(
+        &mut self,
+        now: Time,
+        home: &Peer,
+        key: TaskKey,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         let Some(slot) = self.index.remove(&(home.clone(), key)) else { return };
         let Some(held) = self.held.get_mut(slot) else { return };
         if let Some(run) = held.run.as_mut() {
@@ -181,7 +199,7 @@
     }
 
     /// Forgets the waiting tasks of a home that is gone; running ones go on.
-    pub fn home_gone(&mut self, now: Time, home: &Peer, out: &mut Vec<PlaceEffect>) {
+    pub fn handle_home_gone(&mut self, now: Time, home: &Peer, out: &mut Vec<PlaceEffect>) {
         let of_home = self.held.iter().filter(|(_, held)| held.home == *home);
         let (running, waiting): (Vec<_>, Vec<_>) =
             of_home.map(|(slot, held)| (slot, held.run.is_some())).partition(|(_, runs)| *runs);
@@ -204,13 +222,13 @@
     }
 
     /// Returns whether nothing waits or runs.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.held.is_empty()
     }
 
     /// Returns whether any back end of the whole inventory could ever run a task.
-    pub fn can_ever(config: &Config, target: &Target) -> bool {
-        share::can_ever(config, target)
+    pub fn can_ever_run(config: &Config, target: &Target) -> bool {
+        share::can_ever_run(config, target)
     }
 
     /// Returns the pool for a target.
--- a/endivestile_kernel/src/place/policy.rs
+++ b/endivestile_kernel/src/place/policy.rs
@@ -2,13 +2,13 @@
 
 use rand::rngs::SmallRng;
 
-use super::choice::Choice;
+use super::policy_input::PolicyInput;
 
 /// Name of the policy in use when the rules name none that exists.
 const DEFAULT_POLICY: &str = "earliest";
 
 /// Chooses a back end with room, or none to leave the task in the queue.
-pub(crate) type Choose = fn(&Choice<'_>, &mut SmallRng) -> Option<usize>;
+pub(crate) type Choose = fn(&PolicyInput<'_>, &mut SmallRng) -> Option<usize>;
 
 /// A placement policy; `inventory::submit!` registers it.
 #[derive(Debug)]
@@ -16,7 +16,7 @@
     /// Name in the rules.
     pub name: &'static str,
     /// Chooses a back end with room, or none to leave the task in the queue.
-    pub choose: fn(&Choice<'_>, &mut SmallRng) -> Option<usize>,
+    pub choose: fn(&PolicyInput<'_>, &mut SmallRng) -> Option<usize>,
 }
 
 inventory::collect!(PolicyPlugin);
@@ -26,7 +26,7 @@
 }
 
 /// Takes the fastest back end with room, unless waiting for a faster one ends sooner.
-fn earliest(choice: &Choice<'_>, _: &mut SmallRng) -> Option<usize> {
+fn earliest(choice: &PolicyInput<'_>, _: &mut SmallRng) -> Option<usize> {
     let at = choice.fastest()?;
     choice.worthwhile(at).then_some(at)
 }
--- a/endivestile_kernel/src/place/choice.rs
+++ b/endivestile_kernel/src/place/policy_input.rs
@@ -20,9 +20,9 @@
 
 /// A choice of a back end for one task, as a policy sees it.
 ///
-/// Back ends are numbered from 0 to [`Choice::count`] in no particular order.
+/// Back ends are numbered from 0 to [`PolicyInput::count`] in no particular order.
 #[derive(Debug)]
-pub struct Choice<'a> {
+pub struct PolicyInput<'a> {
     pool: &'a Pool,
     want: Room,
     near: Option<usize>,
@@ -30,7 +30,7 @@
     offer: Offer,
 }
 
-impl<'a> Choice<'a> {
+impl<'a> PolicyInput<'a> {
     /// Offers a task at an instant; `near` is the fastest back end with room.
     pub(crate) const fn new(
         pool: &'a Pool,
--- a/endivestile_kernel/src/place/report.rs
+++ b/endivestile_kernel/src/place/report.rs
@@ -9,7 +9,7 @@
 impl Placer {
     /// Returns when a task would be finished if it were ordered now; none when
     /// no usable back end of this share could run it.
-    pub fn expected(&self, now: Time, task: &Task) -> Option<Time> {
+    pub fn expected_end(&self, now: Time, task: &Task) -> Option<Time> {
         let pool = &self.pools[self.pool_of(&task.target)? as usize];
         let want = Room::wanted(&task.target);
         if !pool.could_run(&want) {
@@ -24,7 +24,7 @@
     /// A declaration alone refuses nothing, since it is often far off. A belief
     /// that all tasks are too long is put to the test once a second: it would
     /// refuse all of them for ever otherwise.
-    pub fn may_try(&self, now: Time, task: &Task, deadline: Time) -> bool {
+    pub fn allows_trial(&self, now: Time, task: &Task, deadline: Time) -> bool {
         let Some(pool) = self.pool_of(&task.target) else { return false };
         let pool = &self.pools[pool as usize];
         let ln_size = pool.declared.ln_size(task.declared);
@@ -35,7 +35,7 @@
 
     /// Returns whether a back end of this share that could run the task is free
     /// although none has ended one yet, so that its run time is only guessed.
-    pub fn untried(&self, task: &Task) -> bool {
+    pub fn has_untried_backend(&self, task: &Task) -> bool {
         let Some(pool) = self.pool_of(&task.target) else { return false };
         let pool = &self.pools[pool as usize];
         !pool.common.known() && pool.first_free(&Room::wanted(&task.target)).is_some()
--- a/endivestile_kernel/src/place/share.rs
+++ b/endivestile_kernel/src/place/share.rs
@@ -52,7 +52,7 @@
 }
 
 /// Returns whether any back end of the whole inventory could ever run a task.
-pub(crate) fn can_ever(config: &Config, target: &Target) -> bool {
+pub(crate) fn can_ever_run(config: &Config, target: &Target) -> bool {
     match target {
         Target::Service(name) => {
             let servers = config.services.get(name).map(|service| &service.servers);
--- a/endivestile_kernel/src/place/due.rs
+++ b/endivestile_kernel/src/place/tick.rs
@@ -1,7 +1,7 @@
 //! What a placer does when an instant comes.
 
+use super::completion::note;
 use super::effect::PlaceEffect;
-use super::ending::note;
 use super::placer::{ACCELERATED, PLAIN, Placer};
 use super::timer::Timer;
 use crate::Time;
@@ -31,7 +31,7 @@
     }
 
     /// Returns when something is due.
-    pub fn deadline(&self) -> Option<Time> {
+    pub fn next_timer(&self) -> Option<Time> {
         self.timers.first().map(|(due, _)| *due).filter(|due| *due != Time::NEVER)
     }
 
@@ -116,7 +116,7 @@
             self.refresh(id);
         }
         self.dispatch_all(now, out);
-        if !self.idle() {
+        if !self.is_idle() {
             self.arm_revisit(now);
         }
     }
--- a/endivestile_kernel/tests/place_choice.rs
+++ b/endivestile_kernel/tests/place_choice.rs
@@ -35,7 +35,7 @@
     fake.run_ms(2_000);
     assert_eq!(fake.done(), 100);
     assert!(fake.most.values().all(|most| *most <= 3));
-    assert!(fake.placer.idle());
+    assert!(fake.placer.is_idle());
 }
 
 #[test]
@@ -129,10 +129,10 @@
 fn order_need_never_fits() {
     let mut config = servers(1, 1);
     add_worker(&mut config, "w0", 8_000, 0);
-    assert!(Placer::can_ever(&config, &need(8_000, 0)));
-    assert!(!Placer::can_ever(&config, &need(8_001, 0)));
-    assert!(!Placer::can_ever(&config, &need(1_000, 1)));
-    assert!(Placer::can_ever(&config, &service()));
+    assert!(Placer::can_ever_run(&config, &need(8_000, 0)));
+    assert!(!Placer::can_ever_run(&config, &need(8_001, 0)));
+    assert!(!Placer::can_ever_run(&config, &need(1_000, 1)));
+    assert!(Placer::can_ever_run(&config, &service()));
     let mut fake = Fake::new(config);
     fake.order(for_target(order(fake.now, 0, "a", 1_000), need(1_000, 1)));
     let refused = Outcome::NotRun(endivestile_kernel::Cause::NoBackend);
--- a/endivestile_kernel/tests/place_estimate.rs
+++ b/endivestile_kernel/tests/place_estimate.rs
@@ -21,7 +21,7 @@
     for (run, task) in trace.iter().enumerate() {
         fake.run_until(Time::from_micros(task.at_us));
         let order = order(fake.now, run as u64, "a", task.size_us);
-        foreseen.push(fake.placer.expected(fake.now, &order.task).expect("usable"));
+        foreseen.push(fake.placer.expected_end(fake.now, &order.task).expect("usable"));
         fake.order(order);
     }
     fake.run_ms(120_000);
--- a/endivestile_kernel/tests/place_fake/mod.rs
+++ b/endivestile_kernel/tests/place_fake/mod.rs
@@ -181,17 +181,17 @@
 
     pub fn see(&mut self, view: View) {
         self.view = view;
-        self.placer.view_changed(self.now, &self.view, &mut self.out);
+        self.placer.handle_view(self.now, &self.view, &mut self.out);
         self.apply();
     }
 
     pub fn leaving(&mut self, name: &str, leaving: bool) {
-        self.placer.leaving(self.now, name, leaving, &mut self.out);
+        self.placer.set_leaving(self.now, name, leaving, &mut self.out);
         self.apply();
     }
 
     pub fn order(&mut self, order: Order) {
-        self.placer.order(self.now, &home(), order, &mut self.out);
+        self.placer.handle_order(self.now, &home(), order, &mut self.out);
         self.apply();
     }
 
@@ -204,12 +204,12 @@
 
     pub fn drop_task(&mut self, run: u64) {
         let key = TaskKey { run, index: 0, attempt: 0 };
-        self.placer.drop_task(self.now, &home(), key, &mut self.out);
+        self.placer.handle_drop(self.now, &home(), key, &mut self.out);
         self.apply();
     }
 
     pub fn home_gone(&mut self) {
-        self.placer.home_gone(self.now, &home(), &mut self.out);
+        self.placer.handle_home_gone(self.now, &home(), &mut self.out);
         self.apply();
     }
 
@@ -221,7 +221,7 @@
     pub fn run_until(&mut self, until: Time) {
         loop {
             let end = self.ends.peek().map(|Reverse((at, _))| *at);
-            let due = self.placer.deadline();
+            let due = self.placer.next_timer();
             let next = end.into_iter().chain(due).min();
             let Some(next) = next.filter(|next| *next <= until) else { break };
             self.now = self.now.max(next);
@@ -263,7 +263,7 @@
         let Some(Reverse((_, attempt))) = self.ends.pop() else { return };
         self.running.remove(&attempt);
         let Some(end) = self.how.remove(&attempt) else { return };
-        self.placer.end(self.now, attempt, end, &mut self.out);
+        self.placer.handle_end(self.now, attempt, end, &mut self.out);
         self.apply();
     }
 
--- a/endivestile_kernel/tests/place_health.rs
+++ b/endivestile_kernel/tests/place_health.rs
@@ -270,5 +270,5 @@
     stream(&mut fake, next, 10, 1_500);
     let tried = fake.started_on("b0003");
     assert!((1..=4).contains(&tried), "{tried} tasks before its speed is known");
-    assert!(fake.placer.expected(fake.now, &order(Time::ZERO, 0, "a", 1).task).is_some());
+    assert!(fake.placer.expected_end(fake.now, &order(Time::ZERO, 0, "a", 1).task).is_some());
 }
--- a/endivestile_kernel/tests/place_queue.rs
+++ b/endivestile_kernel/tests/place_queue.rs
@@ -140,7 +140,7 @@
             let mut out = Vec::new();
             placer.configure(Time::ZERO, &config, &view(&hosts), &mut out);
             for run in 0..2_000 {
-                placer.order(Time::ZERO, &me, order(Time::ZERO, run, "a", 1_000), &mut out);
+                placer.handle_order(Time::ZERO, &me, order(Time::ZERO, run, "a", 1_000), &mut out);
             }
             let refused = |effect: &&PlaceEffect| matches!(effect, PlaceEffect::Ended { .. });
             held += 2_000 - out.iter().filter(refused).count() as u32;
@@ -189,7 +189,7 @@
     }
     assert_eq!(fake.aborted.len(), 40);
     fake.run_ms(10);
-    assert!(fake.placer.idle());
+    assert!(fake.placer.is_idle());
     assert_eq!(fake.starts.len(), 40);
     assert!(fake.ended.is_empty());
     fake.orders(20_000, 100, "a", 100_000);
@@ -206,7 +206,7 @@
     fake.run_ms(1_000);
     assert_eq!(fake.starts.len(), 2);
     assert!(fake.ended.is_empty());
-    assert!(fake.placer.idle());
+    assert!(fake.placer.is_idle());
 }
 
 // Another host takes over this host's back ends. The tasks that wait here would
@@ -236,10 +236,10 @@
     fake.placer.stop();
     fake.orders(10, 1, "a", 100_000);
     assert_eq!(fake.outcome(10), Some(&Outcome::NotRun(Cause::Stopping)));
-    assert!(!fake.placer.idle());
+    assert!(!fake.placer.is_idle());
     fake.run_ms(1_000);
     assert_eq!(fake.done(), 3);
-    assert!(fake.placer.idle());
+    assert!(fake.placer.is_idle());
 }
 
 #[test]
--- a/endivestile_kernel/tests/place_random.rs
+++ b/endivestile_kernel/tests/place_random.rs
@@ -110,7 +110,7 @@
     }
     fake.see(view(&[("h0", 1)]));
     fake.run_ms(60_000);
-    assert!(fake.placer.idle());
+    assert!(fake.placer.is_idle());
     let ended: Vec<u64> = fake.ended.iter().map(|(_, key, _)| key.run).collect();
     let once: BTreeSet<u64> = ended.iter().copied().collect();
     assert_eq!(once.len(), ended.len(), "a task ended twice");
