--- a/endivestile_kernel/src/place/admission.rs
+++ b/endivestile_kernel/src/place/admission.rs
@@ -2,7 +2,7 @@
 
 use super::effect::PlaceEffect;
 use super::placer::Placer;
-use super::room::Room;
+use super::resources::Resources;
 use crate::{Cause, Order, Outcome, Time};
 
 /// Time between two tries of a task believed too long for its deadline, in milliseconds.
@@ -22,7 +22,7 @@
             return Err(Cause::Stopping);
         }
         let id = self.pool_of(&order.task.target).ok_or(Cause::NoBackend)?;
-        let want = Room::wanted(&order.task.target);
+        let want = Resources::wanted(&order.task.target);
         if !self.pools[id as usize].could_run(&want) {
             return Err(Cause::NoBackend);
         }
--- a/endivestile_kernel/src/place/arrivals.rs
+++ b/endivestile_kernel/src/place/arrival_rate.rs
@@ -13,7 +13,7 @@
 /// The weights are counted as well: without that, the first seconds after a
 /// start look idle, and tasks wait for fast back ends that can't carry them.
 #[derive(Debug, Default)]
-pub(crate) struct Arrivals {
+pub(crate) struct ArrivalRate {
     /// Units, by weight.
     units: f64,
     /// Microseconds seen, by weight.
@@ -22,7 +22,7 @@
     last: Time,
 }
 
-impl Arrivals {
+impl ArrivalRate {
     /// Counts units that arrive.
     pub(crate) fn count(&mut self, now: Time, units: u32) {
         let (before, seen) = self.decayed(now);
--- a/endivestile_kernel/src/place/backend.rs
+++ b/endivestile_kernel/src/place/backend.rs
@@ -3,8 +3,8 @@
 use endivestile_config::model::Name;
 
 use super::health::Health;
-use super::room::Room;
-use super::share::Spec;
+use super::resources::Resources;
+use super::share::BackendSpec;
 use super::status::Condition;
 use crate::Time;
 
@@ -26,9 +26,9 @@
     /// Number of the rack.
     pub(crate) rack_id: u32,
     /// Capacity.
-    pub(crate) total: Room,
+    pub(crate) total: Resources,
     /// Capacity taken by tasks of this placer.
-    pub(crate) used: Room,
+    pub(crate) used: Resources,
     /// Whether it is a worker.
     pub(crate) worker: bool,
     /// Whether it is in this host's share.
@@ -53,14 +53,14 @@
 
 impl Backend {
     /// Makes a back end without tasks.
-    pub(crate) fn new(spec: &Spec) -> Self {
+    pub(crate) fn new(spec: &BackendSpec) -> Self {
         Self {
             name: spec.name.clone(),
             address: spec.address.clone(),
             rack: spec.rack.clone(),
             rack_id: 0,
             total: spec.total,
-            used: Room::default(),
+            used: Resources::default(),
             worker: spec.worker,
             listed: true,
             leaving: false,
@@ -75,7 +75,7 @@
     }
 
     /// Takes over what the inventory says now.
-    pub(crate) fn update(&mut self, spec: &Spec) {
+    pub(crate) fn update(&mut self, spec: &BackendSpec) {
         if self.address != spec.address {
             self.health = Health::new();
         }
@@ -92,22 +92,22 @@
     }
 
     /// Returns what is free for new tasks.
-    pub(crate) fn free(&self) -> Room {
+    pub(crate) fn free(&self) -> Resources {
         if !self.usable() || self.running.len() as u64 >= u64::from(self.health.cap()) {
-            return Room::default();
+            return Resources::default();
         }
         let free = self.total.minus(&self.used);
         if self.hold == 0 {
             return free;
         }
-        if self.worker { Room::default() } else { free.minus(&Room::slots(self.hold)) }
+        if self.worker { Resources::default() } else { free.minus(&Resources::slots(self.hold)) }
     }
 
     /// Returns what tasks without accelerators may take of a worker.
     ///
     /// Its free accelerators keep a quarter of the processors and memory that
     /// are theirs by proportion: without any, they would be stranded.
-    pub(crate) fn free_plain(&self) -> Room {
+    pub(crate) fn free_plain(&self) -> Resources {
         let free = self.free();
         if self.total.accelerators == 0 {
             return free;
@@ -116,19 +116,22 @@
             let part = u64::from(total) * u64::from(free.accelerators);
             (part / u64::from(self.total.accelerators) / 4) as u32
         };
-        let kept =
-            Room { cpu: keep(self.total.cpu), memory: keep(self.total.memory), accelerators: 0 };
+        let kept = Resources {
+            cpu: keep(self.total.cpu),
+            memory: keep(self.total.memory),
+            accelerators: 0,
+        };
         free.minus(&kept)
     }
 
     /// Counts a task that starts.
-    pub(crate) fn start(&mut self, now: Time, task: u32, want: &Room) {
+    pub(crate) fn start(&mut self, now: Time, task: u32, want: &Resources) {
         self.used = self.used.plus(want);
         self.running.push((now, task));
     }
 
     /// Counts a task that ended.
-    pub(crate) fn finish(&mut self, task: u32, want: &Room) {
+    pub(crate) fn finish(&mut self, task: u32, want: &Resources) {
         if let Some(at) = self.running.iter().position(|(_, other)| *other == task) {
             self.running.remove(at);
             self.used = self.used.minus(want);
--- a/endivestile_kernel/src/place/bands.rs
+++ b/endivestile_kernel/src/place/capacity_bands.rs
@@ -18,14 +18,14 @@
 /// Sums over the faster back ends cost the same for ten back ends and for
 /// thousands.
 #[derive(Debug)]
-pub(crate) struct Bands {
+pub(crate) struct CapacityBands {
     units: [u32; COUNT],
     rates: [u64; COUNT],
     sum: u32,
     rate: u64,
 }
 
-impl Bands {
+impl CapacityBands {
     /// Makes bands without capacity.
     pub(crate) const fn new() -> Self {
         Self { units: [0; COUNT], rates: [0; COUNT], sum: 0, rate: 0 }
--- a/endivestile_kernel/src/place/completion.rs
+++ b/endivestile_kernel/src/place/completion.rs
@@ -1,9 +1,9 @@
 //! How calls to back ends end, and what is learnt of that.
 
 use super::effect::PlaceEffect;
-use super::health::Sign;
-use super::held::Run;
+use super::health::CallResult;
 use super::placer::{ACCELERATED, Placer};
+use super::task_table::BackendCall;
 use super::timer::Timer;
 use crate::{AttemptId, Cause, End, Level, Metric, Note, Outcome, Time};
 
@@ -50,7 +50,14 @@
     }
 
     /// Ends a task by the end of its call, or puts it back into the queue.
-    fn conclude(&mut self, now: Time, slot: u32, run: Run, end: End, out: &mut Vec<PlaceEffect>) {
+    fn conclude(
+        &mut self,
+        now: Time,
+        slot: u32,
+        run: BackendCall,
+        end: End,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         if !run.wanted {
             self.forget(slot);
             return;
@@ -66,7 +73,14 @@
     }
 
     /// Puts a task that has surely not started back to its place in the queue.
-    fn again(&mut self, now: Time, slot: u32, run: Run, cause: Cause, out: &mut Vec<PlaceEffect>) {
+    fn again(
+        &mut self,
+        now: Time,
+        slot: u32,
+        run: BackendCall,
+        cause: Cause,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         let Some(held) = self.held.get_mut(slot) else { return };
         held.run = None;
         held.tries += 1;
@@ -83,7 +97,7 @@
     }
 
     /// Learns the run time of an answered task and corrects its team's account.
-    fn learn(&mut self, now: Time, slot: u32, run: &Run, end: &End) {
+    fn learn(&mut self, now: Time, slot: u32, run: &BackendCall, end: &End) {
         let Some(held) = self.held.get(slot) else { return };
         let micros = now.since(run.started).as_micros() as u64;
         let pool = &mut self.pools[held.pool as usize];
@@ -114,7 +128,7 @@
         &mut self,
         now: Time,
         slot: u32,
-        run: &Run,
+        run: &BackendCall,
         end: &End,
         out: &mut Vec<PlaceEffect>,
     ) -> bool {
@@ -124,11 +138,11 @@
         let fast = now.since(run.started).as_micros() as f64 <= pool.common.ln.exp() * FAST_PART;
         let sign = match end {
             End::Lost if !run.wanted => return false,
-            End::Answered(_) => Sign::Good,
-            End::Rejected(status) if *status < SERVER_ERROR => Sign::Good,
-            End::Rejected(_) if !fast => Sign::Slow,
-            End::Rejected(_) | End::Lost => Sign::Fast,
-            End::Unreachable | End::Leaving => Sign::Away,
+            End::Answered(_) => CallResult::Good,
+            End::Rejected(status) if *status < SERVER_ERROR => CallResult::Good,
+            End::Rejected(_) if !fast => CallResult::Slow,
+            End::Rejected(_) | End::Lost => CallResult::Fast,
+            End::Unreachable | End::Leaving => CallResult::Away,
             End::Busy => {
                 backend.refused(now);
                 if let Some(until) = backend.hold_until() {
--- a/endivestile_kernel/src/place/declared.rs
+++ b/endivestile_kernel/src/place/declared.rs
@@ -19,7 +19,7 @@
 /// true run times have nothing to do with each other the slope is zero and the
 /// declared ones are left out of all decisions.
 #[derive(Debug, Default)]
-pub(crate) struct Declared {
+pub(crate) struct DeclaredRunTimes {
     samples: f64,
     mean_x: f64,
     mean_y: f64,
@@ -28,7 +28,7 @@
     cov: f64,
 }
 
-impl Declared {
+impl DeclaredRunTimes {
     /// Takes in a task: its declared run time, and its run time over that of its back end.
     pub(crate) fn learn(&mut self, declared_ms: u32, ln_size: f64) {
         if declared_ms == 0 {
--- a/endivestile_kernel/src/place/dispatch.rs
+++ b/endivestile_kernel/src/place/dispatch.rs
@@ -1,10 +1,10 @@
 //! Waiting tasks and their start.
 
 use super::effect::PlaceEffect;
-use super::held::Run;
 use super::placer::{ACCELERATED, PLAIN, Placer};
-use super::policy_input::{Offer, PolicyInput};
-use super::room::Room;
+use super::policy_input::{PolicyInput, TaskProfile};
+use super::resources::Resources;
+use super::task_table::BackendCall;
 use super::timer::Timer;
 use crate::{AttemptId, Metric, Time};
 
@@ -126,7 +126,8 @@
             return Pick::Full;
         }
         let pool = &self.pools[id as usize];
-        let choice = PolicyInput::new(pool, want, near, now, Offer { ln_size, patient, smaller });
+        let choice =
+            PolicyInput::new(pool, want, near, now, TaskProfile { ln_size, patient, smaller });
         let Some(at) = (self.choose)(&choice, &mut self.rng) else { return Pick::Wait };
         if !choice.free(at) {
             return Pick::Full;
@@ -136,7 +137,7 @@
         if late && !trial { Pick::Late } else { Pick::At(at) }
     }
 
-    fn kept_seat(&self, id: u32, backend: u32, want: &Room) -> Option<usize> {
+    fn kept_seat(&self, id: u32, backend: u32, want: &Resources) -> Option<usize> {
         let backend = &self.backends[backend as usize];
         let seat = backend.seats.iter().find(|(pool, _)| *pool == id);
         seat.filter(|_| backend.free().holds(want)).map(|(_, at)| *at as usize)
@@ -144,7 +145,7 @@
 
     /// Returns the fastest seat with room, on another rack than the job's last
     /// task among equals.
-    fn nearest(&mut self, now: Time, id: u32, want: &Room, run: u64) -> Option<usize> {
+    fn nearest(&mut self, now: Time, id: u32, want: &Resources, run: u64) -> Option<usize> {
         let pool = &self.pools[id as usize];
         if pool.on_workers() {
             return pool.tree.find(want, 0);
@@ -242,7 +243,7 @@
         pool.turn = pool.turn.wrapping_add(1);
         pool.seats[at].turn = pool.turn;
         pool.last = Some((held.order.key.run, pool.seats[at].rack));
-        held.run = Some(Run { attempt, backend: id, started: now, cost, wanted: true });
+        held.run = Some(BackendCall { attempt, backend: id, started: now, cost, wanted: true });
         let backend = &mut self.backends[id as usize];
         backend.start(now, slot, &want);
         out.push(PlaceEffect::Start {
--- a/endivestile_kernel/src/place/seat.rs
+++ b/endivestile_kernel/src/place/endpoint.rs
@@ -1,6 +1,6 @@
 //! A back end's place in one pool.
 
-use super::speed::Speed;
+use super::run_time::RunTime;
 
 /// Steps of the preference key per doubling of the run time: run times within
 /// 4% count as equal, and the back end with fewer tasks goes first.
@@ -8,13 +8,13 @@
 
 /// One back end in one pool.
 #[derive(Debug)]
-pub(crate) struct Seat {
+pub(crate) struct Endpoint {
     /// Slot of the back end.
     pub(crate) backend: u32,
     /// Rack, to spread a job's tasks.
     pub(crate) rack: u32,
     /// Run times learnt.
-    pub(crate) speed: Speed,
+    pub(crate) speed: RunTime,
     /// Believed run time while tasks are overdue, as a natural logarithm.
     pub(crate) stalled: Option<f64>,
     /// Band in which its capacity is counted.
@@ -30,12 +30,12 @@
     /// Number of the start in the pool that was its last.
     pub(crate) turn: u32,
     /// Key among the free seats, none when it has no free slot.
-    pub(crate) key: Option<Key>,
+    pub(crate) key: Option<EndpointKey>,
 }
 
-impl Seat {
+impl Endpoint {
     /// Makes a seat without capacity.
-    pub(crate) fn new(backend: u32, rack: u32, speed: Speed) -> Self {
+    pub(crate) fn new(backend: u32, rack: u32, speed: RunTime) -> Self {
         Self {
             backend,
             rack,
@@ -55,12 +55,12 @@
 /// Order among the free seats of a pool: faster first, then fewer tasks, then
 /// the one whose last task started longest ago.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Key {
+pub(crate) struct EndpointKey {
     order: u64,
     at: u32,
 }
 
-impl Key {
+impl EndpointKey {
     /// Makes the key of seat `at` from the logarithm of its run time.
     pub(crate) fn new(ln: f64, running: u32, turn: u32, at: usize) -> Self {
         let step = (ln * std::f64::consts::LOG2_E * KEYS_PER_OCTAVE).max(0.0) as u64;
--- a/endivestile_kernel/src/place/estimate.rs
+++ b/endivestile_kernel/src/place/estimate.rs
@@ -1,7 +1,7 @@
 //! Times that a pool expects.
 
 use super::pool::{DEFAULT_US, Pool};
-use super::room::Room;
+use super::resources::Resources;
 use crate::Time;
 
 /// Samples from which on deadlines are judged by learnt run times.
@@ -51,7 +51,7 @@
     }
 
     /// Returns the time until a task that arrives now is finished, in microseconds.
-    pub(crate) fn finish_us(&self, want: &Room) -> u64 {
+    pub(crate) fn finish_us(&self, want: &Resources) -> u64 {
         let wait = self.wait_us(1.0).unwrap_or(0.0) + self.average_us();
         let Some(at) = self.first_free(want) else { return wait as u64 };
         (self.mean_us(at) as u64).min(wait as u64)
--- a/endivestile_kernel/src/place/fit.rs
+++ b/endivestile_kernel/src/place/fit.rs
@@ -1,23 +1,23 @@
 //! Search of the first worker with enough room.
 
-use super::room::Room;
+use super::resources::Resources;
 
 /// Maximum tree over the free room of workers, in the order of preference.
 #[derive(Debug, Default)]
 pub(crate) struct FitTree {
     width: usize,
-    nodes: Vec<Room>,
+    nodes: Vec<Resources>,
 }
 
 impl FitTree {
     /// Makes a tree of `len` leaves without room.
     pub(crate) fn new(len: usize) -> Self {
         let width = len.next_power_of_two().max(1);
-        Self { width, nodes: vec![Room::default(); 2 * width] }
+        Self { width, nodes: vec![Resources::default(); 2 * width] }
     }
 
     /// Sets the room of a leaf.
-    pub(crate) fn set(&mut self, at: usize, room: Room) {
+    pub(crate) fn set(&mut self, at: usize, room: Resources) {
         let mut node = self.width + at;
         if self.nodes[node] == room {
             return;
@@ -30,12 +30,12 @@
     }
 
     /// Returns the room of a leaf.
-    pub(crate) fn room(&self, at: usize) -> Room {
+    pub(crate) fn room(&self, at: usize) -> Resources {
         self.nodes[self.width + at]
     }
 
     /// Returns the first leaf from `from` on that holds `want`.
-    pub(crate) fn find(&self, want: &Room, from: usize) -> Option<usize> {
+    pub(crate) fn find(&self, want: &Resources, from: usize) -> Option<usize> {
         if from >= self.width {
             return None;
         }
@@ -47,7 +47,7 @@
         node: usize,
         span: usize,
         start: usize,
-        query: (&Room, usize),
+        query: (&Resources, usize),
     ) -> Option<usize> {
         let (want, from) = query;
         if start + span <= from || !self.nodes[node].holds(want) {
--- a/endivestile_kernel/src/place/health.rs
+++ b/endivestile_kernel/src/place/health.rs
@@ -22,7 +22,7 @@
 
 /// How a call counts for the health of its back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Sign {
+pub(crate) enum CallResult {
     /// An answer.
     Good,
     /// A failure after about the usual run time.
@@ -84,22 +84,22 @@
     ///
     /// `running`: the tasks that ran there, this one among them. `spare`: most of
     /// its peers fail as well, so that the tasks are to blame.
-    pub(crate) fn note(&mut self, now: Time, sign: Sign, running: u32, spare: bool) -> bool {
+    pub(crate) fn note(&mut self, now: Time, sign: CallResult, running: u32, spare: bool) -> bool {
         let weight = match sign {
-            Sign::Good => {
+            CallResult::Good => {
                 self.succeed();
                 return false;
             }
-            Sign::Slow => SLOW_WEIGHT,
-            Sign::Fast => FAST_WEIGHT,
-            Sign::Away => OUT_WEIGHT,
+            CallResult::Slow => SLOW_WEIGHT,
+            CallResult::Fast => FAST_WEIGHT,
+            CallResult::Away => OUT_WEIGHT,
         };
         if !self.up() {
             return false;
         }
         self.good = 0;
         self.strain += weight;
-        let away = sign == Sign::Away;
+        let away = sign == CallResult::Away;
         if spare && !away {
             return false;
         }
--- a/endivestile_kernel/src/place/mod.rs
+++ b/endivestile_kernel/src/place/mod.rs
@@ -4,19 +4,18 @@
 //! in the placer's queue until a slot is free and worth taking.
 
 mod admission;
-mod arrivals;
+mod arrival_rate;
 mod backend;
-mod bands;
 mod baselines;
+mod capacity_bands;
 mod completion;
 mod declared;
 mod dispatch;
 mod effect;
+mod endpoint;
 mod estimate;
 mod fit;
 mod health;
-mod held;
-mod line;
 mod placer;
 mod policy;
 mod policy_input;
@@ -25,16 +24,17 @@
 mod rack;
 mod rebuild;
 mod report;
-mod room;
-mod seat;
+mod resources;
+mod run_time;
 mod share;
-mod sizes;
-mod speed;
 mod status;
+mod task_table;
+mod team_queue;
 mod teams;
 mod tick;
 mod timer;
 mod waiting;
+mod work_by_size;
 
 pub use effect::{PlaceEffect, PlacerSetup};
 pub use placer::Placer;
--- a/endivestile_kernel/src/place/placer.rs
+++ b/endivestile_kernel/src/place/placer.rs
@@ -8,11 +8,11 @@
 
 use super::backend::Backend;
 use super::effect::{PlaceEffect, PlacerSetup};
-use super::held::{Held, HeldTable};
-use super::policy::{Choose, policy};
-use super::pool::{Kind, Pool};
+use super::policy::{PolicyFn, policy};
+use super::pool::{Pool, PoolKind};
 use super::rack::Rack;
 use super::share;
+use super::task_table::{TaskEntry, TaskTable};
 use super::teams::Teams;
 use super::timer::Timer;
 use crate::{AttemptId, Order, Outcome, Peer, Target, TaskKey, Time, View};
@@ -31,7 +31,7 @@
 pub struct Placer {
     pub(crate) me: Peer,
     pub(crate) rng: SmallRng,
-    pub(crate) choose: Choose,
+    pub(crate) choose: PolicyFn,
     pub(crate) config: Config,
     pub(crate) stopping: bool,
     pub(crate) teams: Teams,
@@ -42,7 +42,7 @@
     pub(crate) racks: Vec<Rack>,
     pub(crate) pools: Vec<Pool>,
     pub(crate) services: HashMap<Name, u32>,
-    pub(crate) held: HeldTable,
+    pub(crate) held: TaskTable,
     pub(crate) index: HashMap<(Peer, TaskKey), u32>,
     pub(crate) attempts: HashMap<AttemptId, u32>,
     pub(crate) next_attempt: u64,
@@ -67,9 +67,9 @@
             by_name: HashMap::new(),
             leaving: HashSet::new(),
             racks: Vec::new(),
-            pools: vec![Pool::new(Kind::Plain), Pool::new(Kind::Accelerated)],
+            pools: vec![Pool::new(PoolKind::Plain), Pool::new(PoolKind::Accelerated)],
             services: HashMap::new(),
-            held: HeldTable::default(),
+            held: TaskTable::default(),
             index: HashMap::new(),
             attempts: HashMap::new(),
             next_attempt: 0,
@@ -152,7 +152,7 @@
         state.hint(order.task.declared);
         let ln_size = state.declared.ln_size(order.task.declared);
         state.sizes.count(ln_size);
-        let held = Held {
+        let held = TaskEntry {
             home: home.clone(),
             order,
             pool,
@@ -206,7 +206,8 @@
         for (slot, _) in running {
             if let Some(held) = self.held.get_mut(slot) {
                 self.index.remove(&(held.home.clone(), held.order.key));
-                held.run = held.run.map(|run| super::held::Run { wanted: false, ..run });
+                held.run =
+                    held.run.map(|run| super::task_table::BackendCall { wanted: false, ..run });
             }
         }
         for (slot, _) in waiting {
--- a/endivestile_kernel/src/place/policy.rs
+++ b/endivestile_kernel/src/place/policy.rs
@@ -8,7 +8,7 @@
 const DEFAULT_POLICY: &str = "earliest";
 
 /// Chooses a back end with room, or none to leave the task in the queue.
-pub(crate) type Choose = fn(&PolicyInput<'_>, &mut SmallRng) -> Option<usize>;
+pub(crate) type PolicyFn = fn(&PolicyInput<'_>, &mut SmallRng) -> Option<usize>;
 
 /// A placement policy; `inventory::submit!` registers it.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
 }
 
 /// Returns the policy of this name, or the default one.
-pub(crate) fn policy(name: &str) -> Choose {
+pub(crate) fn policy(name: &str) -> PolicyFn {
     let find = |name: &str| {
         inventory::iter::<PolicyPlugin>().find(|plugin| plugin.name == name).map(|p| p.choose)
     };
--- a/endivestile_kernel/src/place/policy_input.rs
+++ b/endivestile_kernel/src/place/policy_input.rs
@@ -1,7 +1,7 @@
 //! What a policy sees when it chooses a back end.
 
 use super::pool::Pool;
-use super::room::Room;
+use super::resources::Resources;
 use crate::Time;
 
 /// Weight of the waiting of others against a slow start, while no slot is to spare.
@@ -9,7 +9,7 @@
 
 /// What a policy may know of the task.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Offer {
+pub(crate) struct TaskProfile {
     /// Natural logarithm of its believed size.
     pub(crate) ln_size: f64,
     /// Until when it waits for a faster back end, once it does.
@@ -24,20 +24,20 @@
 #[derive(Debug)]
 pub struct PolicyInput<'a> {
     pool: &'a Pool,
-    want: Room,
+    want: Resources,
     near: Option<usize>,
     now: Time,
-    offer: Offer,
+    offer: TaskProfile,
 }
 
 impl<'a> PolicyInput<'a> {
     /// Offers a task at an instant; `near` is the fastest back end with room.
     pub(crate) const fn new(
         pool: &'a Pool,
-        want: Room,
+        want: Resources,
         near: Option<usize>,
         now: Time,
-        offer: Offer,
+        offer: TaskProfile,
     ) -> Self {
         Self { pool, want, near, now, offer }
     }
--- a/endivestile_kernel/src/place/pool.rs
+++ b/endivestile_kernel/src/place/pool.rs
@@ -4,15 +4,15 @@
 
 use endivestile_config::model::Name;
 
-use super::arrivals::Arrivals;
-use super::bands::Bands;
-use super::declared::Declared;
+use super::arrival_rate::ArrivalRate;
+use super::capacity_bands::CapacityBands;
+use super::declared::DeclaredRunTimes;
+use super::endpoint::{Endpoint, EndpointKey};
 use super::fit::FitTree;
 use super::queue::FairQueue;
-use super::room::Room;
-use super::seat::{Key, Seat};
-use super::sizes::Sizes;
-use super::speed::Speed;
+use super::resources::Resources;
+use super::run_time::RunTime;
+use super::work_by_size::WorkBySize;
 use crate::{Need, Time};
 
 /// Run time believed before any task has ended, in microseconds.
@@ -26,7 +26,7 @@
 
 /// What a pool runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Kind {
+pub(crate) enum PoolKind {
     /// One service.
     Service(Name),
     /// Tasks without accelerators, on any worker.
@@ -39,21 +39,21 @@
 #[derive(Debug)]
 pub(crate) struct Pool {
     /// What it runs.
-    pub(crate) kind: Kind,
+    pub(crate) kind: PoolKind,
     /// Path to call, empty for workers.
     pub(crate) path: Name,
     /// Back ends; workers in the order of preference.
-    pub(crate) seats: Vec<Seat>,
+    pub(crate) seats: Vec<Endpoint>,
     /// Back ends before the seats were replaced, for their speeds.
-    pub(crate) former: Vec<Seat>,
+    pub(crate) former: Vec<Endpoint>,
     /// Free backend servers, best first.
-    pub(crate) free: BTreeSet<Key>,
+    pub(crate) free: BTreeSet<EndpointKey>,
     /// Free room of the workers.
     pub(crate) tree: FitTree,
     /// Whole room of the usable workers.
     pub(crate) ever: FitTree,
     /// Usable capacity by speed.
-    pub(crate) bands: Bands,
+    pub(crate) bands: CapacityBands,
     /// Waiting tasks.
     pub(crate) queue: FairQueue,
     /// Waiting tasks by need.
@@ -61,13 +61,13 @@
     /// Capacity that the waiting tasks want.
     pub(crate) wanted: u64,
     /// Rate at which wanted capacity arrives.
-    pub(crate) arrivals: Arrivals,
+    pub(crate) arrivals: ArrivalRate,
     /// What declared run times are worth.
-    pub(crate) declared: Declared,
+    pub(crate) declared: DeclaredRunTimes,
     /// How work is spread over sizes of tasks.
-    pub(crate) sizes: Sizes,
+    pub(crate) sizes: WorkBySize,
     /// Run time of all back ends together.
-    pub(crate) common: Speed,
+    pub(crate) common: RunTime,
     /// Mean run time over typical run time.
     pub(crate) scale: f64,
     /// Typical capacity of one task.
@@ -88,7 +88,7 @@
 
 impl Pool {
     /// Makes a pool without back ends.
-    pub(crate) fn new(kind: Kind) -> Self {
+    pub(crate) fn new(kind: PoolKind) -> Self {
         Self {
             kind,
             path: Name::from(""),
@@ -97,14 +97,14 @@
             free: BTreeSet::new(),
             tree: FitTree::new(0),
             ever: FitTree::new(0),
-            bands: Bands::new(),
+            bands: CapacityBands::new(),
             queue: FairQueue::default(),
             needs: BTreeMap::new(),
             wanted: 0,
-            arrivals: Arrivals::default(),
-            declared: Declared::default(),
-            sizes: Sizes::new(),
-            common: Speed { ln: DEFAULT_US.ln(), ..Speed::default() },
+            arrivals: ArrivalRate::default(),
+            declared: DeclaredRunTimes::default(),
+            sizes: WorkBySize::new(),
+            common: RunTime { ln: DEFAULT_US.ln(), ..RunTime::default() },
             scale: 1.0,
             typical: 1.0,
             turn: 0,
@@ -118,21 +118,21 @@
 
     /// Returns whether its back ends are workers.
     pub(crate) fn on_workers(&self) -> bool {
-        !matches!(self.kind, Kind::Service(_))
+        !matches!(self.kind, PoolKind::Service(_))
     }
 
     /// Returns the part of a room by which this pool counts capacity.
-    pub(crate) const fn units(&self, room: &Room) -> u32 {
+    pub(crate) const fn units(&self, room: &Resources) -> u32 {
         match self.kind {
-            Kind::Service(_) | Kind::Plain => room.cpu,
-            Kind::Accelerated => room.accelerators,
+            PoolKind::Service(_) | PoolKind::Plain => room.cpu,
+            PoolKind::Accelerated => room.accelerators,
         }
     }
 
     /// Replaces the seats; their capacity is counted at the next refresh.
-    pub(crate) fn reseat(&mut self, seats: Vec<Seat>) {
+    pub(crate) fn reseat(&mut self, seats: Vec<Endpoint>) {
         self.free.clear();
-        self.bands = Bands::new();
+        self.bands = CapacityBands::new();
         let leaves = if self.on_workers() { seats.len() } else { 0 };
         self.tree = FitTree::new(leaves);
         self.ever = FitTree::new(leaves);
@@ -181,9 +181,9 @@
     }
 
     /// Counts the capacity and the free slots of a seat anew.
-    pub(crate) fn refresh(&mut self, at: usize, state: &SeatState) {
+    pub(crate) fn refresh(&mut self, at: usize, state: &EndpointState) {
         let ln = self.ln(at);
-        let band = Bands::band(ln);
+        let band = CapacityBands::band(ln);
         let units = if state.usable { self.units(&state.total) } else { 0 };
         let sour = state.usable && state.sour;
         let seat = &mut self.seats[at];
@@ -196,16 +196,17 @@
         self.sour = self.sour + u32::from(sour) - u32::from(seat.sour);
         (seat.usable, seat.sour) = (state.usable, sour);
         seat.running = state.running;
-        if matches!(self.kind, Kind::Service(_)) {
-            let key = (state.free.cpu > 0).then(|| Key::new(ln, state.running, seat.turn, at));
+        if matches!(self.kind, PoolKind::Service(_)) {
+            let key =
+                (state.free.cpu > 0).then(|| EndpointKey::new(ln, state.running, seat.turn, at));
             self.rekey(at, key);
         } else {
             self.tree.set(at, state.free);
-            self.ever.set(at, if state.usable { state.total } else { Room::default() });
+            self.ever.set(at, if state.usable { state.total } else { Resources::default() });
         }
     }
 
-    fn rekey(&mut self, at: usize, key: Option<Key>) {
+    fn rekey(&mut self, at: usize, key: Option<EndpointKey>) {
         let seat = &mut self.seats[at];
         if seat.key == key {
             return;
@@ -220,7 +221,7 @@
     }
 
     /// Returns whether a usable back end could run a task.
-    pub(crate) fn could_run(&self, want: &Room) -> bool {
+    pub(crate) fn could_run(&self, want: &Resources) -> bool {
         if self.on_workers() {
             return self.ever.find(want, 0).is_some();
         }
@@ -228,9 +229,9 @@
     }
 
     /// Returns the best seat with room for `want`.
-    pub(crate) fn first_free(&self, want: &Room) -> Option<usize> {
+    pub(crate) fn first_free(&self, want: &Resources) -> Option<usize> {
         if self.on_workers() {
-            let least = Room { cpu: want.cpu.max(1), ..*want };
+            let least = Resources { cpu: want.cpu.max(1), ..*want };
             return self.tree.find(&least, 0);
         }
         self.free.first().map(|key| key.at())
@@ -239,15 +240,15 @@
 
 /// What a refresh of a seat has to know of its back end.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct SeatState {
+pub(crate) struct EndpointState {
     /// Whether new tasks may go there.
     pub(crate) usable: bool,
     /// Whether its last answer was a failure.
     pub(crate) sour: bool,
     /// Capacity.
-    pub(crate) total: Room,
+    pub(crate) total: Resources,
     /// Capacity free for this pool.
-    pub(crate) free: Room,
+    pub(crate) free: Resources,
     /// Tasks running.
     pub(crate) running: u32,
 }
--- a/endivestile_kernel/src/place/queue.rs
+++ b/endivestile_kernel/src/place/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use super::line::{Line, Rank};
+use super::team_queue::{Rank, TeamQueue};
 
 /// Waiting tasks of a pool.
 ///
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
     /// By number of the team.
-    lines: Vec<Line>,
+    lines: Vec<TeamQueue>,
     order: BTreeSet<(u64, u32)>,
     clock: u64,
     waiting: u32,
@@ -45,7 +45,7 @@
     pub(crate) fn push(&mut self, team: u32, weight: u32, rank: Rank, task: u32) {
         let clock = self.order.first().map_or(self.clock, |(vtime, _)| *vtime);
         if self.lines.len() <= team as usize {
-            self.lines.resize_with(team as usize + 1, Line::default);
+            self.lines.resize_with(team as usize + 1, TeamQueue::default);
         }
         let line = &mut self.lines[team as usize];
         if line.tasks.is_empty() {
@@ -87,7 +87,7 @@
         Self::shift(&mut self.order, line, team, next);
     }
 
-    fn shift(order: &mut BTreeSet<(u64, u32)>, line: &mut Line, team: u32, next: u64) {
+    fn shift(order: &mut BTreeSet<(u64, u32)>, line: &mut TeamQueue, team: u32, next: u64) {
         if !line.tasks.is_empty() {
             order.remove(&(line.vtime, team));
             order.insert((next, team));
--- a/endivestile_kernel/src/place/rebuild.rs
+++ b/endivestile_kernel/src/place/rebuild.rs
@@ -6,18 +6,18 @@
 
 use super::backend::Backend;
 use super::effect::PlaceEffect;
+use super::endpoint::Endpoint;
 use super::placer::{ACCELERATED, PLAIN, Placer};
-use super::pool::{Kind, Pool, SeatState};
+use super::pool::{EndpointState, Pool, PoolKind};
 use super::rack::Rack;
-use super::room::Room;
-use super::seat::Seat;
-use super::share::Spec;
-use super::speed::Speed;
+use super::resources::Resources;
+use super::run_time::RunTime;
+use super::share::BackendSpec;
 use crate::{Cause, Outcome, Time};
 
 impl Placer {
     /// Returns whether the share holds the same back ends as before.
-    pub(crate) fn same_share(&self, specs: &[Spec]) -> bool {
+    pub(crate) fn same_share(&self, specs: &[BackendSpec]) -> bool {
         let listed = self.backends.iter().filter(|backend| backend.listed).count();
         listed == specs.len()
             && specs.iter().all(|spec| {
@@ -27,7 +27,7 @@
     }
 
     /// Takes over another share.
-    pub(crate) fn rebuild(&mut self, now: Time, specs: &[Spec], out: &mut Vec<PlaceEffect>) {
+    pub(crate) fn rebuild(&mut self, now: Time, specs: &[BackendSpec], out: &mut Vec<PlaceEffect>) {
         for backend in &mut self.backends {
             backend.listed = false;
         }
@@ -47,7 +47,7 @@
         self.dispatch_all(now, out);
     }
 
-    fn list(&mut self, spec: &Spec) {
+    fn list(&mut self, spec: &BackendSpec) {
         if let Some(&id) = self.by_name.get(&spec.name) {
             self.backends[id as usize].update(spec);
             return;
@@ -129,7 +129,7 @@
             return pool;
         }
         let pool = self.pools.len() as u32;
-        self.pools.push(Pool::new(Kind::Service(name.clone())));
+        self.pools.push(Pool::new(PoolKind::Service(name.clone())));
         self.services.insert(name.clone(), pool);
         pool
     }
@@ -151,7 +151,7 @@
         self.reseat(pool, &ids);
     }
 
-    fn speeds(&self, pool: u32) -> HashMap<u32, Speed> {
+    fn speeds(&self, pool: u32) -> HashMap<u32, RunTime> {
         let seats = &self.pools[pool as usize].seats;
         let all = self.pools[pool as usize].former.iter().chain(seats);
         all.map(|seat| (seat.backend, seat.speed)).collect()
@@ -161,9 +161,9 @@
         let speeds = self.speeds(pool);
         let seats = ids.iter().map(|id| {
             let speed = speeds.get(id).copied().unwrap_or_default();
-            Seat::new(*id, self.backends[*id as usize].rack_id, speed)
+            Endpoint::new(*id, self.backends[*id as usize].rack_id, speed)
         });
-        let seats: Vec<Seat> = seats.collect();
+        let seats: Vec<Endpoint> = seats.collect();
         for (at, id) in ids.iter().enumerate() {
             let own = &mut self.backends[*id as usize].seats;
             own.retain(|(other, _)| *other != pool);
@@ -175,16 +175,16 @@
     /// Counts the room of a back end anew in all its pools.
     pub(crate) fn refresh(&mut self, id: u32) {
         let backend = &self.backends[id as usize];
-        let mut state = SeatState {
+        let mut state = EndpointState {
             usable: backend.usable(),
             sour: backend.health.sour(),
             total: backend.total,
-            free: Room::default(),
+            free: Resources::default(),
             running: backend.running.len() as u32,
         };
         for &(pool, at) in &backend.seats {
             state.free = match pool {
-                _ if backend.kept.is_some() => Room::default(),
+                _ if backend.kept.is_some() => Resources::default(),
                 PLAIN => backend.free_plain(),
                 _ => backend.free(),
             };
@@ -220,8 +220,8 @@
             return;
         }
         let all = pool.usable == 0;
-        let lost: Vec<Room> = pool.needs.keys().map(|need| Room::from(*need)).collect();
-        let lost: Vec<Room> = lost.into_iter().filter(|want| !pool.could_run(want)).collect();
+        let lost: Vec<Resources> = pool.needs.keys().map(|need| Resources::from(*need)).collect();
+        let lost: Vec<Resources> = lost.into_iter().filter(|want| !pool.could_run(want)).collect();
         if !all && lost.is_empty() {
             return;
         }
@@ -229,7 +229,7 @@
             .queue
             .heads(usize::MAX, usize::MAX)
             .filter(|slot| {
-                let want = self.held.get(*slot).map(super::held::Held::want);
+                let want = self.held.get(*slot).map(super::task_table::TaskEntry::want);
                 all || want.is_some_and(|want| lost.contains(&want))
             })
             .collect();
--- a/endivestile_kernel/src/place/report.rs
+++ b/endivestile_kernel/src/place/report.rs
@@ -1,8 +1,8 @@
 //! What a placer tells of its share.
 
 use super::placer::Placer;
-use super::pool::{Kind, Pool};
-use super::room::Room;
+use super::pool::{Pool, PoolKind};
+use super::resources::Resources;
 use super::status::ServerStatus;
 use crate::{Figure, Need, Target, Task, Time};
 
@@ -11,7 +11,7 @@
     /// no usable back end of this share could run it.
     pub fn expected_end(&self, now: Time, task: &Task) -> Option<Time> {
         let pool = &self.pools[self.pool_of(&task.target)? as usize];
-        let want = Room::wanted(&task.target);
+        let want = Resources::wanted(&task.target);
         if !pool.could_run(&want) {
             return None;
         }
@@ -29,7 +29,7 @@
         let pool = &self.pools[pool as usize];
         let ln_size = pool.declared.ln_size(task.declared);
         let too_long = now.after_us(pool.fastest_us(ln_size)) > deadline;
-        let free = pool.first_free(&Room::wanted(&task.target)).is_some();
+        let free = pool.first_free(&Resources::wanted(&task.target)).is_some();
         (free && !pool.judged()) || (too_long && now >= pool.trial_at)
     }
 
@@ -38,7 +38,7 @@
     pub fn has_untried_backend(&self, task: &Task) -> bool {
         let Some(pool) = self.pool_of(&task.target) else { return false };
         let pool = &self.pools[pool as usize];
-        !pool.common.known() && pool.first_free(&Room::wanted(&task.target)).is_some()
+        !pool.common.known() && pool.first_free(&Resources::wanted(&task.target)).is_some()
     }
 
     /// Returns the load of the share: one figure per service and class of need.
@@ -48,12 +48,13 @@
     }
 
     fn figure(&self, pool: &Pool) -> Figure {
-        let free =
-            |seat: &super::seat::Seat| pool.units(&self.backends[seat.backend as usize].free());
+        let free = |seat: &super::endpoint::Endpoint| {
+            pool.units(&self.backends[seat.backend as usize].free())
+        };
         let (units, _) = pool.bands.total();
         let free: u32 = pool.seats.iter().map(free).sum();
         let typical = pool.typical.max(1.0);
-        let first = pool.first_free(&Room::default());
+        let first = pool.first_free(&Resources::default());
         let service = first.map_or_else(
             || pool.bands.fastest_us().unwrap_or(0.0) * pool.scale,
             |at| pool.mean_us(at),
@@ -104,8 +105,8 @@
     let most = pool.needs.keys().next_back().copied();
     let need = |accelerators| Need { cpu_milli: 0, memory_mb: 0, accelerators };
     match &pool.kind {
-        Kind::Service(name) => Target::Service(name.clone()),
-        Kind::Plain => Target::Need(most.unwrap_or_else(|| need(0))),
-        Kind::Accelerated => Target::Need(most.unwrap_or_else(|| need(1))),
+        PoolKind::Service(name) => Target::Service(name.clone()),
+        PoolKind::Plain => Target::Need(most.unwrap_or_else(|| need(0))),
+        PoolKind::Accelerated => Target::Need(most.unwrap_or_else(|| need(1))),
     }
 }
--- a/endivestile_kernel/src/place/room.rs
+++ b/endivestile_kernel/src/place/resources.rs
@@ -4,7 +4,7 @@
 
 /// Slots of a backend server, or what a worker has to spare.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) struct Room {
+pub(crate) struct Resources {
     /// Slots, or thousandths of a core.
     pub(crate) cpu: u32,
     /// Memory in MiB.
@@ -13,7 +13,7 @@
     pub(crate) accelerators: u32,
 }
 
-impl Room {
+impl Resources {
     /// Capacity of a backend server.
     pub(crate) const fn slots(count: u32) -> Self {
         Self { cpu: count, memory: 0, accelerators: 0 }
@@ -69,7 +69,7 @@
     }
 }
 
-impl From<Need> for Room {
+impl From<Need> for Resources {
     fn from(need: Need) -> Self {
         Self {
             cpu: need.cpu_milli.max(1),
--- a/endivestile_kernel/src/place/speed.rs
+++ b/endivestile_kernel/src/place/run_time.rs
@@ -13,7 +13,7 @@
 /// The mean is taken of logarithms: one task of several seconds among many
 /// short ones moves it little, and a ratio of speeds shows as a difference.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Speed {
+pub(crate) struct RunTime {
     /// Mean of the natural logarithm of the run time in microseconds.
     pub(crate) ln: f64,
     /// Samples taken, up to the steady weight.
@@ -22,7 +22,7 @@
     pub(crate) last: Time,
 }
 
-impl Speed {
+impl RunTime {
     /// Takes in the run time of one task, less the logarithm of its believed size.
     pub(crate) fn learn(&mut self, now: Time, micros: u64, ln_size: f64) {
         let ln = (micros as f64).clamp(RANGE_US.0, RANGE_US.1).ln() - ln_size;
--- a/endivestile_kernel/src/place/share.rs
+++ b/endivestile_kernel/src/place/share.rs
@@ -4,12 +4,12 @@
 
 use endivestile_config::model::{Config, Name};
 
-use super::room::Room;
+use super::resources::Resources;
 use crate::{Peer, Target, View};
 
 /// One back end of the inventory.
 #[derive(Debug)]
-pub(crate) struct Spec {
+pub(crate) struct BackendSpec {
     /// Name.
     pub(crate) name: Name,
     /// Address, `IP:port`.
@@ -17,13 +17,13 @@
     /// Rack, empty when not known.
     pub(crate) rack: Name,
     /// Capacity.
-    pub(crate) total: Room,
+    pub(crate) total: Resources,
     /// Whether it is a worker.
     pub(crate) worker: bool,
 }
 
 /// Returns the back ends for which `view` names this host as placer.
-pub(crate) fn share(config: &Config, view: &View, me: &Peer) -> Vec<Spec> {
+pub(crate) fn share(config: &Config, view: &View, me: &Peer) -> Vec<BackendSpec> {
     // Hosts of another zone come in only for a zone that has none of its own:
     // without this, each change hashes all back ends against all hosts.
     let near = view.hosts.get(&me.host).map(|host| &host.zone);
@@ -34,14 +34,14 @@
     };
     let servers = config.servers.iter().filter(|(name, server)| mine(&server.zone, name));
     let workers = config.workers.iter().filter(|(name, worker)| mine(&worker.zone, name));
-    let servers = servers.map(|(name, server)| Spec {
+    let servers = servers.map(|(name, server)| BackendSpec {
         name: name.clone(),
         address: server.address.clone(),
         rack: server.rack.clone(),
-        total: Room::slots(server.slots.min(server.connections)),
+        total: Resources::slots(server.slots.min(server.connections)),
         worker: false,
     });
-    let workers = workers.map(|(name, worker)| Spec {
+    let workers = workers.map(|(name, worker)| BackendSpec {
         name: name.clone(),
         address: worker.address.clone(),
         rack: worker.rack.clone(),
@@ -63,14 +63,14 @@
             })
         }
         Target::Need(need) => {
-            let want = Room::from(*need);
+            let want = Resources::from(*need);
             config.workers.values().any(|worker| worker_room(worker).holds(&want))
         }
     }
 }
 
-fn worker_room(worker: &endivestile_config::model::Worker) -> Room {
-    Room {
+fn worker_room(worker: &endivestile_config::model::Worker) -> Resources {
+    Resources {
         cpu: worker.cpu_milli,
         memory: worker.memory_mb,
         accelerators: u32::from(worker.accelerators),
--- a/endivestile_kernel/src/place/held.rs
+++ b/endivestile_kernel/src/place/task_table.rs
@@ -1,12 +1,12 @@
 //! Tasks that a placer holds, waiting or running.
 
-use super::line::Rank;
-use super::room::Room;
+use super::resources::Resources;
+use super::team_queue::Rank;
 use crate::{AttemptId, Order, Peer, Time};
 
 /// One call to a back end.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Run {
+pub(crate) struct BackendCall {
     /// Number of the call.
     pub(crate) attempt: AttemptId,
     /// Slot of the back end.
@@ -21,7 +21,7 @@
 
 /// One task.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct TaskEntry {
     /// The home.
     pub(crate) home: Peer,
     /// The order.
@@ -47,31 +47,31 @@
     /// Worker kept free for it.
     pub(crate) kept: Option<u32>,
     /// The call, while it runs.
-    pub(crate) run: Option<Run>,
+    pub(crate) run: Option<BackendCall>,
 }
 
-impl Held {
+impl TaskEntry {
     /// Returns its place among the tasks of its team.
     pub(crate) const fn rank(&self) -> Rank {
         Rank { arrived: self.order.arrived, left: self.order.left, seq: self.seq }
     }
 
     /// Returns what it takes of a back end.
-    pub(crate) fn want(&self) -> Room {
-        Room::wanted(&self.order.task.target)
+    pub(crate) fn want(&self) -> Resources {
+        Resources::wanted(&self.order.task.target)
     }
 }
 
 /// Table of tasks with stable slots.
 #[derive(Debug, Default)]
-pub(crate) struct HeldTable {
-    slots: Vec<Option<Held>>,
+pub(crate) struct TaskTable {
+    slots: Vec<Option<TaskEntry>>,
     vacant: Vec<u32>,
 }
 
-impl HeldTable {
+impl TaskTable {
     /// Adds a task and returns its slot.
-    pub(crate) fn insert(&mut self, held: Held) -> u32 {
+    pub(crate) fn insert(&mut self, held: TaskEntry) -> u32 {
         if let Some(slot) = self.vacant.pop() {
             self.slots[slot as usize] = Some(held);
             return slot;
@@ -81,24 +81,24 @@
     }
 
     /// Returns a task.
-    pub(crate) fn get(&self, slot: u32) -> Option<&Held> {
+    pub(crate) fn get(&self, slot: u32) -> Option<&TaskEntry> {
         self.slots.get(slot as usize)?.as_ref()
     }
 
     /// Returns a task to change it.
-    pub(crate) fn get_mut(&mut self, slot: u32) -> Option<&mut Held> {
+    pub(crate) fn get_mut(&mut self, slot: u32) -> Option<&mut TaskEntry> {
         self.slots.get_mut(slot as usize)?.as_mut()
     }
 
     /// Removes a task.
-    pub(crate) fn remove(&mut self, slot: u32) -> Option<Held> {
+    pub(crate) fn remove(&mut self, slot: u32) -> Option<TaskEntry> {
         let held = self.slots.get_mut(slot as usize)?.take()?;
         self.vacant.push(slot);
         Some(held)
     }
 
     /// Returns all tasks with their slots.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &Held)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &TaskEntry)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(slot, held)| Some((slot as u32, held.as_ref()?)))
     }
--- a/endivestile_kernel/src/place/line.rs
+++ b/endivestile_kernel/src/place/team_queue.rs
@@ -17,7 +17,7 @@
 
 /// Waiting tasks of one team, and the service it has had.
 #[derive(Debug, Default)]
-pub(crate) struct Line {
+pub(crate) struct TeamQueue {
     /// Service had, in microseconds over the team's weight.
     pub(crate) vtime: u64,
     /// Weight of the team.
--- a/endivestile_kernel/src/place/sizes.rs
+++ b/endivestile_kernel/src/place/work_by_size.rs
@@ -11,11 +11,11 @@
 
 /// Work by believed size of the task, recent tasks counting more.
 #[derive(Debug)]
-pub(crate) struct Sizes {
+pub(crate) struct WorkBySize {
     work: [f64; COUNT],
 }
 
-impl Sizes {
+impl WorkBySize {
     /// Makes a spread without tasks.
     pub(crate) const fn new() -> Self {
         Self { work: [0.0; COUNT] }
