--- a/endivestile_kernel/src/place/placer.rs
+++ b/endivestile_kernel/src/place/placer.rs
@@ -8,11 +8,11 @@
 
 use super::backend::Backend;
 use super::effect::{PlaceEffect, PlacerSetup};
-use super::held::{Held, HeldTable};
-use super::policy::{Choose, policy};
-use super::pool::{Kind, Pool};
+use super::policy::{PolicyFn, policy};
+use super::pool::{Pool, PoolKind};
 use super::rack::Rack;
 use super::share;
+use super::task_table::{TaskEntry, TaskTable};
 use super::teams::Teams;
 use super::timer::Timer;
 use crate::{AttemptId, Order, Outcome, Peer, Target, TaskKey, Time, View};
@@ -31,7 +31,7 @@
 pub struct Placer {
     pub(crate) me: Peer,
     pub(crate) rng: SmallRng,
-    pub(crate) choose: Choose,
+    pub(crate) choose: PolicyFn,
     pub(crate) config: Config,
     pub(crate) stopping: bool,
     pub(crate) teams: Teams,
@@ -42,7 +42,7 @@
     pub(crate) racks: Vec<Rack>,
     pub(crate) pools: Vec<Pool>,
     pub(crate) services: HashMap<Name, u32>,
-    pub(crate) held: HeldTable,
+    pub(crate) held: TaskTable,
     pub(crate) index: HashMap<(Peer, TaskKey), u32>,
     pub(crate) attempts: HashMap<AttemptId, u32>,
     pub(crate) next_attempt: u64,
@@ -67,9 +67,9 @@
             by_name: HashMap::new(),
             leaving: HashSet::new(),
             racks: Vec::new(),
-            pools: vec![Pool::new(Kind::Plain), Pool::new(Kind::Accelerated)],
+            pools: vec![Pool::new(PoolKind::Plain), Pool::new(PoolKind::Accelerated)],
             services: HashMap::new(),
-            held: HeldTable::default(),
+            held: TaskTable::default(),
             index: HashMap::new(),
             attempts: HashMap::new(),
             next_attempt: 0,
@@ -100,7 +100,7 @@
     ///
     /// Waiting tasks that no back end of the new share can run end as not run,
     /// so that their homes place them anew.
-    pub fn view_changed(&mut self, now: Time, view: &View, out: &mut Vec<PlaceEffect>) {
+    pub fn handle_view(&mut self, now: Time, view: &View, out: &mut Vec<PlaceEffect>) {
         self.teams.configure(&self.config.teams, view, &self.me);
         let specs = share::share(&self.config, view, &self.me);
         if !self.same_share(&specs) {
@@ -109,7 +109,13 @@
     }
 
     /// Takes in that a back end is leaving, or that it is not any more.
-    pub fn leaving(&mut self, now: Time, name: &str, leaving: bool, out: &mut Vec<PlaceEffect>) {
+    pub fn set_leaving(
+        &mut self,
+        now: Time,
+        name: &str,
+        leaving: bool,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         if leaving {
             self.leaving.insert(Name::from(name));
         } else {
@@ -121,7 +127,13 @@
     }
 
     /// Takes in an order of a home: it is started, queued or refused at once.
-    pub fn order(&mut self, now: Time, home: &Peer, order: Order, out: &mut Vec<PlaceEffect>) {
+    pub fn handle_order(
+        &mut self,
+        now: Time,
+        home: &Peer,
+        order: Order,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         let name = (home.clone(), order.key);
         if self.index.contains_key(&name) {
             return;
@@ -140,7 +152,7 @@
         state.hint(order.task.declared);
         let ln_size = state.declared.ln_size(order.task.declared);
         state.sizes.count(ln_size);
-        let held = Held {
+        let held = TaskEntry {
             home: home.clone(),
             order,
             pool,
@@ -166,7 +178,13 @@
 
     /// Drops a task: a waiting one is forgotten, a running one is stopped and
     /// its slot is free when its call ends.
-    pub fn drop_task(&mut self, now: Time, home: &Peer, key: TaskKey, out: &mut Vec<PlaceEffect>) {
+    pub fn handle_drop(
+        &mut self,
+        now: Time,
+        home: &Peer,
+        key: TaskKey,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         let Some(slot) = self.index.remove(&(home.clone(), key)) else { return };
         let Some(held) = self.held.get_mut(slot) else { return };
         if let Some(run) = held.run.as_mut() {
@@ -181,14 +199,15 @@
     }
 
     /// Forgets the waiting tasks of a home that is gone; running ones go on.
-    pub fn home_gone(&mut self, now: Time, home: &Peer, out: &mut Vec<PlaceEffect>) {
+    pub fn handle_home_gone(&mut self, now: Time, home: &Peer, out: &mut Vec<PlaceEffect>) {
         let of_home = self.held.iter().filter(|(_, held)| held.home == *home);
         let (running, waiting): (Vec<_>, Vec<_>) =
             of_home.map(|(slot, held)| (slot, held.run.is_some())).partition(|(_, runs)| *runs);
         for (slot, _) in running {
             if let Some(held) = self.held.get_mut(slot) {
                 self.index.remove(&(held.home.clone(), held.order.key));
-                held.run = held.run.map(|run| super::held::Run { wanted: false, ..run });
+                held.run =
+                    held.run.map(|run| super::task_table::BackendCall { wanted: false, ..run });
             }
         }
         for (slot, _) in waiting {
@@ -204,13 +223,13 @@
     }
 
     /// Returns whether nothing waits or runs.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.held.is_empty()
     }
 
     /// Returns whether any back end of the whole inventory could ever run a task.
-    pub fn can_ever(config: &Config, target: &Target) -> bool {
-        share::can_ever(config, target)
+    pub fn can_ever_run(config: &Config, target: &Target) -> bool {
+        share::can_ever_run(config, target)
     }
 
     /// Returns the pool for a target.
