--- a/endivestile/src/backend/calls.rs
+++ b/endivestile/src/backend/calls.rs
@@ -7,9 +7,9 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::{AttemptId, End, Event, Peer};
 
-use super::agent::Agents;
-use super::run::Run;
-use super::stop::Stop;
+use super::clients::Clients;
+use super::stop_call::StopCall;
+use super::task_call::TaskCall;
 use crate::clock::Clock;
 use crate::counters::{Counters, IoMetric};
 use crate::inbox::Inbox;
@@ -22,9 +22,9 @@
 
 /// What all calls share.
 #[derive(Debug)]
-pub(crate) struct Env {
+pub(crate) struct CallContext {
     /// The clients.
-    pub(crate) agents: Agents,
+    pub(crate) clients: Clients,
     /// The process's clock.
     pub(crate) clock: Clock,
     /// This incarnation, as the keys of tasks name it.
@@ -39,19 +39,19 @@
     open: Mutex<HashMap<AttemptId, Option<Name>>>,
 }
 
-impl Env {
+impl CallContext {
     /// Returns the key by which a back end knows the task.
-    pub(crate) fn key(&self, attempt: AttemptId) -> String {
+    pub(crate) fn task_key(&self, attempt: AttemptId) -> String {
         format!("{}.{:x}", self.me, attempt.0)
     }
 
     /// Returns whether somebody still wants the call.
-    pub(crate) fn wants(&self, attempt: AttemptId) -> bool {
+    pub(crate) fn is_open(&self, attempt: AttemptId) -> bool {
         self.open().contains_key(&attempt)
     }
 
     /// Ends a call; one that was aborted has ended already.
-    pub(crate) fn end(&self, attempt: AttemptId, end: End) {
+    pub(crate) fn finish(&self, attempt: AttemptId, end: End) {
         if self.open().remove(&attempt).is_none() {
             return;
         }
@@ -72,11 +72,11 @@
 #[derive(Debug)]
 pub(crate) struct Backends {
     /// Carries the calls.
-    runs: Pool<Run>,
+    runs: Pool<TaskCall>,
     /// Tells workers to stop.
-    stops: Pool<Stop>,
+    stops: Pool<StopCall>,
     /// What all calls share.
-    env: Arc<Env>,
+    context: Arc<CallContext>,
 }
 
 impl Backends {
@@ -88,8 +88,8 @@
         inbox: Inbox,
         counters: Counters,
     ) -> Self {
-        let env = Arc::new(Env {
-            agents: Agents::new(settings),
+        let context = Arc::new(CallContext {
+            clients: Clients::new(settings),
             clock,
             me: format!("{}.{:x}", me.host, me.birth),
             answer_limit: settings.answer_limit as u64,
@@ -97,15 +97,15 @@
             counters,
             open: Mutex::new(HashMap::new()),
         });
-        let runs = Pool::new("backend", settings.threads, Arc::clone(&env));
-        let stops = Pool::new("stop", STOPPERS, Arc::clone(&env));
-        Self { runs, stops, env }
+        let runs = Pool::new("backend", settings.threads, Arc::clone(&context));
+        let stops = Pool::new("stop", STOPPERS, Arc::clone(&context));
+        Self { runs, stops, context }
     }
 
     /// Starts a call.
-    pub(crate) fn run(&self, run: Run) {
+    pub(crate) fn start_call(&self, run: TaskCall) {
         let worker = run.is_worker().then(|| Name::clone(&run.address));
-        self.env.open().insert(run.attempt, worker);
+        self.context.open().insert(run.attempt, worker);
         self.runs.push(run);
     }
 
@@ -116,17 +116,17 @@
     /// deadline; so the call ends at once, as lost: it may well run on. What
     /// comes back later finds the call closed. A worker is told to stop.
     pub(crate) fn abort(&self, attempt: AttemptId) {
-        let worker = self.env.open().get(&attempt).cloned();
-        self.env.end(attempt, End::Lost);
+        let worker = self.context.open().get(&attempt).cloned();
+        self.context.finish(attempt, End::Lost);
         if let Some(Some(address)) = worker
             && self.stops.queued() < MAX_STOPS
         {
-            self.stops.push(Stop { attempt, address });
+            self.stops.push(StopCall { attempt, address });
         }
     }
 
     /// Returns how many calls are open.
-    pub(crate) fn open(&self) -> usize {
-        self.env.open().len()
+    pub(crate) fn open_calls(&self) -> usize {
+        self.context.open().len()
     }
 }
--- a/endivestile/src/backend/agent.rs
+++ b/endivestile/src/backend/clients.rs
@@ -27,14 +27,14 @@
 /// lock, so that one client for all back ends costs each call a search through
 /// the connections of the others: a third of the processor time at 64 callers.
 #[derive(Debug)]
-pub(crate) struct Agents {
+pub(crate) struct Clients {
     /// Limits.
     settings: BackendSettings,
     /// Clients by address.
     agents: RwLock<HashMap<Name, Agent>>,
 }
 
-impl Agents {
+impl Clients {
     /// Starts without clients.
     pub(crate) fn new(settings: &BackendSettings) -> Self {
         Self { settings: settings.clone(), agents: RwLock::default() }
--- a/endivestile/src/backend/mod.rs
+++ b/endivestile/src/backend/mod.rs
@@ -1,9 +1,9 @@
 //! Calls to backend servers and workers.
 
-mod agent;
 mod calls;
-mod run;
-mod stop;
+mod clients;
+mod stop_call;
+mod task_call;
 
 pub(crate) use calls::Backends;
-pub(crate) use run::Run;
+pub(crate) use task_call::TaskCall;
--- a/endivestile/src/backend/stop.rs
+++ b/endivestile/src/backend/stop_call.rs
@@ -6,7 +6,7 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::AttemptId;
 
-use super::calls::Env;
+use super::calls::CallContext;
 use crate::thread_pool::Work;
 
 /// Longest time for the call, in milliseconds; the lease ends the task anyway.
@@ -14,19 +14,19 @@
 
 /// A task to stop.
 #[derive(Debug)]
-pub(crate) struct Stop {
+pub(crate) struct StopCall {
     /// Its call.
     pub(crate) attempt: AttemptId,
     /// The worker.
     pub(crate) address: Name,
 }
 
-impl Work for Stop {
-    type Env = Arc<Env>;
+impl Work for StopCall {
+    type Env = Arc<CallContext>;
 
-    fn perform(self, env: &Arc<Env>) {
-        let url = format!("http://{}/v1/tasks/{}", self.address, env.key(self.attempt));
-        let call = env.agents.get(&self.address).delete(&url).config();
+    fn perform(self, context: &Arc<CallContext>) {
+        let url = format!("http://{}/v1/tasks/{}", self.address, context.task_key(self.attempt));
+        let call = context.clients.get(&self.address).delete(&url).config();
         let call = call.timeout_global(Some(Duration::from_millis(STOP_MS))).build();
         if let Err(e) = call.call() {
             log::debug!(
--- a/endivestile/src/backend/run.rs
+++ b/endivestile/src/backend/task_call.rs
@@ -11,7 +11,7 @@
 use ureq::http::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use ureq::{Body, Error};
 
-use super::calls::Env;
+use super::calls::CallContext;
 use crate::thread_pool::Work;
 
 /// Path on which workers take tasks.
@@ -27,7 +27,7 @@
 
 /// A task on its way to a back end.
 #[derive(Debug)]
-pub(crate) struct Run {
+pub(crate) struct TaskCall {
     /// Number of the call.
     pub(crate) attempt: AttemptId,
     /// Address of the back end.
@@ -38,37 +38,37 @@
     pub(crate) order: Order,
 }
 
-impl Run {
+impl TaskCall {
     /// Returns whether a worker runs it.
     pub(crate) fn is_worker(&self) -> bool {
         self.path.is_empty()
     }
 
     /// Makes the call and says how it ended.
-    fn end(&self, env: &Env) -> End {
-        let left = self.order.deadline.since(env.clock.now());
+    fn end(&self, context: &CallContext) -> End {
+        let left = self.order.deadline.since(context.clock.now());
         if left.is_zero() {
             // It waited for a thread until its deadline and nothing was sent:
             // no fault of the back end, which therefore is not called out of reach.
             log::warn!("event=no_thread step=start-task peer={}", self.address);
             return End::Busy;
         }
-        match self.send(env, left) {
-            Ok(response) => self.read(env, response),
+        match self.send(context, left) {
+            Ok(response) => self.read(context, response),
             Err(Error::ConnectionFailed) => End::Unreachable,
             Err(e) => self.lost(&e.to_string()),
         }
     }
 
     /// Sends the task; every error but a missing connection leaves open whether it runs.
-    fn send(&self, env: &Env, left: Duration) -> Result<Response<Body>, Error> {
+    fn send(&self, context: &CallContext, left: Duration) -> Result<Response<Body>, Error> {
         let path = if self.is_worker() { WORKER_PATH } else { &self.path };
         let left_ms = left.as_millis().max(1).to_string();
-        let mut call = env
-            .agents
+        let mut call = context
+            .clients
             .get(&self.address)
             .post(format!("http://{}{path}", self.address))
-            .header(TASK_HEADER, env.key(self.attempt))
+            .header(TASK_HEADER, context.task_key(self.attempt))
             .header(DEADLINE_HEADER, &left_ms);
         if let Target::Need(need) = &self.order.task.target {
             call = call.header(LEASE_HEADER, &left_ms);
@@ -81,7 +81,7 @@
     }
 
     /// Reads the answer to its end.
-    fn read(&self, env: &Env, mut response: Response<Body>) -> End {
+    fn read(&self, context: &CallContext, mut response: Response<Body>) -> End {
         let status = response.status().as_u16();
         if status != 200 {
             let end = refusal(status, &response);
@@ -93,7 +93,7 @@
             // looks whole, and a caller would get a cut answer as complete.
             return self.lost("neither Content-Length nor chunks");
         }
-        match response.body_mut().with_config().limit(env.answer_limit).read_to_vec() {
+        match response.body_mut().with_config().limit(context.answer_limit).read_to_vec() {
             Ok(body) => End::Answered(Bytes::from(body)),
             Err(e) => self.lost(&e.to_string()),
         }
@@ -106,22 +106,22 @@
     }
 }
 
-impl Work for Run {
-    type Env = Arc<Env>;
+impl Work for TaskCall {
+    type Env = Arc<CallContext>;
 
-    fn perform(self, env: &Arc<Env>) {
-        if !env.wants(self.attempt) {
+    fn perform(self, context: &Arc<CallContext>) {
+        if !context.is_open(self.attempt) {
             return;
         }
-        let ending = Ending { env, attempt: self.attempt, end: End::Lost };
-        ending.close(self.end(env));
+        let ending = Ending { context, attempt: self.attempt, end: End::Lost };
+        ending.close(self.end(context));
     }
 }
 
 /// Ends the call as lost if its thread panics; the kernel would wait for ever otherwise.
 struct Ending<'a> {
     /// What all calls share.
-    env: &'a Env,
+    context: &'a CallContext,
     /// Number of the call.
     attempt: AttemptId,
     /// How it ends.
@@ -137,7 +137,7 @@
 
 impl Drop for Ending<'_> {
     fn drop(&mut self) {
-        self.env.end(self.attempt, std::mem::replace(&mut self.end, End::Lost));
+        self.context.finish(self.attempt, std::mem::replace(&mut self.end, End::Lost));
     }
 }
 
--- a/endivestile/src/effects.rs
+++ b/endivestile/src/effects.rs
@@ -2,10 +2,10 @@
 
 use endivestile_kernel::Effect;
 
-use crate::backend::{Backends, Run};
+use crate::backend::{Backends, TaskCall};
 use crate::config_checker::ConfigChecker;
 use crate::counters::Counters;
-use crate::http::Voice;
+use crate::http::ReplyPool;
 use crate::logs;
 use crate::peers::Links;
 use crate::store::Store;
@@ -22,7 +22,7 @@
     /// Checks of configurations.
     pub(crate) checker: ConfigChecker,
     /// Replies to callers.
-    pub(crate) replies: Voice,
+    pub(crate) replies: ReplyPool,
     /// Counts.
     pub(crate) counters: Counters,
 }
@@ -33,7 +33,7 @@
         match effect {
             Effect::Send { address, frame } => self.links.send(address, frame),
             Effect::Start { attempt, address, path, order } => {
-                self.backends.run(Run { attempt, address, path, order });
+                self.backends.start_call(TaskCall { attempt, address, path, order });
             }
             Effect::Abort(attempt) => self.backends.abort(attempt),
             Effect::Store { token, op } => self.store.call(token, op),
--- a/endivestile/src/engine.rs
+++ b/endivestile/src/engine.rs
@@ -13,7 +13,7 @@
 use crate::config_checker::CurrentConfig;
 use crate::effects::EffectHandlers;
 use crate::error::Exit;
-use crate::http::{Call, Demand, Reply, Say, Shape};
+use crate::http::{Call, Operation, PendingReply, Reply, ReplyFormat};
 use crate::inbox::Input;
 use crate::status;
 
@@ -36,7 +36,7 @@
     /// Minted ids that the caller wants.
     ids: usize,
     /// How the answer is written.
-    shape: Shape,
+    shape: ReplyFormat,
 }
 
 /// What an engine is made of.
@@ -144,36 +144,36 @@
 
     /// Serves a caller.
     fn call(&mut self, cx: CX![], call: Call) {
-        let Call { request, ids, demand } = call;
-        match demand {
-            Demand::Submit(submission, shape) => {
+        let Call { request, ids, operation } = call;
+        match operation {
+            Operation::Submit(submission, shape) => {
                 let call = self.open(cx, Open { request, ids, shape });
                 self.event(cx, Event::Call { call, submission });
             }
-            Demand::Ask(id, ask) => {
+            Operation::Ask(id, ask) => {
                 let cancel = ask == endivestile_kernel::Ask::Cancel;
-                let shape = if cancel { Shape::Cancel } else { Shape::Json };
+                let shape = if cancel { ReplyFormat::Cancel } else { ReplyFormat::Json };
                 let call = self.open(cx, Open { request, ids, shape });
                 self.event(cx, Event::Ask { call, id, ask });
             }
-            Demand::Mint(count) => {
+            Operation::MintIds(count) => {
                 let minted = self.kernel.mint(self.clock.to_time(cx.now()), count);
                 let texts: Vec<&str> = minted.iter().map(|id| id.text().as_ref()).collect();
                 let body = serde_json::json!({ "ids": texts }).to_string();
                 self.say(request, ids, Reply::json(200, body));
             }
-            Demand::Ready => {
+            Operation::Ready => {
                 let ready = self.kernel.ready() && !self.stopping;
                 let reply = if ready { (200, "ready\n") } else { (503, "not ready\n") };
-                self.say(request, ids, Reply::probe(reply.0, reply.1));
+                self.say(request, ids, Reply::plain_text(reply.0, reply.1));
             }
-            Demand::Status => {
+            Operation::Status => {
                 let counters = &self.handlers.counters;
                 let page =
                     status::status_json(&self.kernel, self.clock, counters, self.calls.len());
                 self.say(request, ids, Reply::json(200, page));
             }
-            Demand::Reply(reply) => self.say(request, ids, reply),
+            Operation::ReplyWithIds(reply) => self.say(request, ids, reply),
         }
     }
 
@@ -190,7 +190,7 @@
     fn say(&mut self, request: Request, ids: usize, reply: Reply) {
         let now = self.clock.now();
         let reply = if ids == 0 { reply } else { reply.with_ids(&self.kernel.mint(now, ids)) };
-        self.handlers.replies.push(Say { request, reply });
+        self.handlers.replies.push(PendingReply { request, reply });
     }
 
     /// Carries out all effects.
@@ -209,7 +209,7 @@
     /// Answers the caller of a call; a second answer to one call finds nobody.
     fn answer(&mut self, cx: CX![], call: CallId, answer: &Answer) {
         let Some(open) = self.calls.remove(&call) else { return };
-        let reply = Reply::answer(answer, open.shape, self.clock.to_time(cx.now()));
+        let reply = Reply::from_answer(answer, open.shape, self.clock.to_time(cx.now()));
         self.say(open.request, open.ids, reply);
     }
 
@@ -259,7 +259,7 @@
     /// Ends with work left, and says how much.
     fn leave(&mut self, cx: CX![], cause: &str) {
         let open = self.calls.len();
-        let running = self.handlers.backends.open();
+        let running = self.handlers.backends.open_calls();
         log::warn!("event=left cause={cause} open_calls={open} backend_calls={running}");
         self.end(cx, Exit::WorkLeft);
     }
--- a/endivestile/src/fleet/engine.rs
+++ b/endivestile/src/fleet/engine.rs
@@ -202,7 +202,7 @@
                     self.waiting.answer(call, &Say::Ended(end, now));
                 }
                 FleetEffect::Send { address, frame } => self.parts.links.send(address, frame),
-                FleetEffect::Reconnect(address) => self.parts.links.redial(address),
+                FleetEffect::Reconnect(address) => self.parts.links.reconnect(address),
                 FleetEffect::WorkerCall(call) => self.parts.workers.call(call),
                 FleetEffect::StoreCall { op_id: token, op } => {
                     records::spawn_store_call(&self.parts.store, &self.parts.inbox, token, op);
--- a/endivestile/src/fleet/inbox.rs
+++ b/endivestile/src/fleet/inbox.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::oneshot;
 
-use crate::peers::Uplink;
+use crate::peers::PeerEventHandler;
 
 /// A caller's call, whole.
 #[derive(Debug)]
@@ -63,12 +63,12 @@
     }
 }
 
-impl Uplink for Inbox {
-    fn frame(&self, frame: Frame) {
+impl PeerEventHandler for Inbox {
+    fn handle_frame(&self, frame: Frame) {
         self.post_event(FleetEvent::Frame(Box::new(frame)));
     }
 
-    fn broken(&self, peer: Peer) {
+    fn handle_link_down(&self, peer: Peer) {
         self.post_event(FleetEvent::LinkDown(peer));
     }
 }
--- a/endivestile/src/http/body.rs
+++ b/endivestile/src/http/body.rs
@@ -5,34 +5,34 @@
 use bytes::Bytes;
 use tiny_http::Request;
 
-use super::invalid::Invalid;
+use super::invalid_request::InvalidRequest;
 
 /// Longest body that the library has read before it hands out the request.
 const PREFETCHED: usize = 1_024;
 
 /// Returns whether reading the body waits for the caller.
-pub(crate) fn is_slow(request: &Request) -> bool {
+pub(crate) fn may_block(request: &Request) -> bool {
     let chunked = request.headers().iter().any(|h| h.field.equiv("Transfer-Encoding"));
     let expects = request.headers().iter().any(|h| h.field.equiv("Expect"));
     chunked || request.body_length().is_some_and(|len| len > PREFETCHED || expects)
 }
 
 /// Reads a body of at most `limit` bytes.
-pub(crate) fn read(request: &mut Request, limit: usize) -> Result<Bytes, Invalid> {
+pub(crate) fn read(request: &mut Request, limit: usize) -> Result<Bytes, InvalidRequest> {
     let length = request.body_length();
     if length.is_some_and(|len| len > limit) {
-        return Err(Invalid::oversize(limit));
+        return Err(InvalidRequest::body_too_long(limit));
     }
     let mut body = Vec::with_capacity(length.unwrap_or(0));
     let reader = request.as_reader();
     let read = reader.take(limit as u64 + 1).read_to_end(&mut body);
-    read.map_err(|e| Invalid::field("body", e.to_string()))?;
+    read.map_err(|e| InvalidRequest::field("body", e.to_string()))?;
     if body.len() > limit {
-        return Err(Invalid::oversize(limit));
+        return Err(InvalidRequest::body_too_long(limit));
     }
     if length.is_some_and(|len| len != body.len()) {
         // The caller went away in the middle; half a task must not run.
-        return Err(Invalid::field("body", "shorter than its Content-Length"));
+        return Err(InvalidRequest::field("body", "shorter than its Content-Length"));
     }
     Ok(Bytes::from(body))
 }
--- a/endivestile/src/http/call.rs
+++ b/endivestile/src/http/call.rs
@@ -13,29 +13,29 @@
     /// Minted ids that the caller wants with its answer.
     pub(crate) ids: usize,
     /// What the caller wants.
-    pub(crate) demand: Demand,
+    pub(crate) operation: Operation,
 }
 
 /// What a caller wants of the engine.
 #[derive(Debug)]
-pub(crate) enum Demand {
+pub(crate) enum Operation {
     /// Run a request or a job.
-    Submit(Submission, Shape),
+    Submit(Submission, ReplyFormat),
     /// Ask for an answer, or cancel.
     Ask(SubmissionId, Ask),
     /// Mint ids.
-    Mint(usize),
+    MintIds(usize),
     /// Say whether new work is taken.
     Ready,
     /// Show the state of the host.
     Status,
     /// Only the ids are missing in this reply.
-    Reply(Reply),
+    ReplyWithIds(Reply),
 }
 
 /// How an answer is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Shape {
+pub(crate) enum ReplyFormat {
     /// The result of the only task, as the back end gave it.
     Raw,
     /// A JSON body with the results of all tasks.
--- a/endivestile/src/http/desk.rs
+++ b/endivestile/src/http/handler.rs
@@ -8,11 +8,11 @@
 use endivestile_wire::call::JobBody;
 use tiny_http::Request;
 
-use super::check::Checks;
-use super::head::{Head, IDEMPOTENT_HEADER, wanted};
-use super::invalid::Invalid;
+use super::headers::{IDEMPOTENT_HEADER, SubmissionHeaders, requested_ids};
+use super::invalid_request::InvalidRequest;
 use super::route::Route;
-use super::{Call, Demand, Reply, Say, Shape, Voice, body};
+use super::validation::Validator;
+use super::{Call, Operation, PendingReply, Reply, ReplyFormat, ReplyPool, body};
 use crate::clock::Clock;
 use crate::config_checker::CurrentConfig;
 use crate::counters::{Counters, IoMetric};
@@ -24,7 +24,7 @@
 
 /// What the threads of the callers' interface share.
 #[derive(Debug, Clone)]
-pub(crate) struct Desk {
+pub(crate) struct RequestHandler {
     /// The engine.
     pub(crate) inbox: Inbox,
     /// The process's clock.
@@ -32,36 +32,38 @@
     /// Limits.
     pub(crate) settings: CallSettings,
     /// The configuration in force.
-    pub(crate) adopted: CurrentConfig,
+    pub(crate) current_config: CurrentConfig,
     /// Writes replies that need no engine.
-    pub(crate) voice: Voice,
+    pub(crate) reply_pool: ReplyPool,
     /// Counts.
     pub(crate) counters: Counters,
 }
 
-impl Desk {
+impl RequestHandler {
     /// Starts the pool that reads long bodies.
-    pub(crate) fn readers(&self) -> Pool<Submit> {
+    pub(crate) fn body_readers(&self) -> Pool<PendingSubmission> {
         Pool::new("read", READERS, self.clone())
     }
 
     /// Takes a request; one whose body may come slowly goes to the readers.
-    pub(crate) fn take(&self, request: Request, readers: &Pool<Submit>) {
+    pub(crate) fn handle_request(&self, request: Request, readers: &Pool<PendingSubmission>) {
         let route = Route::parse(request.method(), request.url());
-        let ids = wanted(&request);
+        let ids = requested_ids(&request);
         let (route, ids) = match (route, ids) {
             (Ok(route), Ok(ids)) => (route, ids),
             (Err(invalid), _) | (_, Err(invalid)) => return self.refuse(request, 0, &invalid),
         };
         match route {
-            Route::Health => self.voice.push(Say { request, reply: Reply::probe(200, "alive\n") }),
-            Route::Ready => self.post(request, ids, Demand::Ready),
-            Route::Status => self.post(request, ids, Demand::Status),
-            Route::Ids(count) => self.post(request, ids, Demand::Mint(count)),
-            Route::Submission(id, ask) => self.post(request, ids, Demand::Ask(id, ask)),
+            Route::Health => self
+                .reply_pool
+                .push(PendingReply { request, reply: Reply::plain_text(200, "alive\n") }),
+            Route::Ready => self.post(request, ids, Operation::Ready),
+            Route::Status => self.post(request, ids, Operation::Status),
+            Route::Ids(count) => self.post(request, ids, Operation::MintIds(count)),
+            Route::Submission(id, ask) => self.post(request, ids, Operation::Ask(id, ask)),
             Route::Job | Route::Request(_) => {
-                let submit = Submit { request, route, ids };
-                if body::is_slow(&submit.request) {
+                let submit = PendingSubmission { request, route, ids };
+                if body::may_block(&submit.request) {
                     readers.push(submit);
                 } else {
                     submit.perform(self);
@@ -71,20 +73,20 @@
     }
 
     /// Refuses a call; nothing of it is accepted.
-    fn refuse(&self, request: Request, ids: usize, invalid: &Invalid) {
+    fn refuse(&self, request: Request, ids: usize, invalid: &InvalidRequest) {
         self.counters.count_io(IoMetric::Invalid, 1);
         log::debug!("event=invalid field={:?} reason={:?}", invalid.field, invalid.reason);
-        let reply = Reply::invalid(invalid);
+        let reply = Reply::from_invalid(invalid);
         if ids == 0 {
-            self.voice.push(Say { request, reply });
+            self.reply_pool.push(PendingReply { request, reply });
         } else {
-            self.post(request, ids, Demand::Reply(reply));
+            self.post(request, ids, Operation::ReplyWithIds(reply));
         }
     }
 
     /// Posts a call to the engine.
-    fn post(&self, request: Request, ids: usize, demand: Demand) {
-        self.inbox.post(Input::Call(Box::new(Call { request, ids, demand })));
+    fn post(&self, request: Request, ids: usize, operation: Operation) {
+        self.inbox.post(Input::Call(Box::new(Call { request, ids, operation })));
     }
 
     /// Reads and checks a submission.
@@ -92,25 +94,25 @@
         &self,
         request: &mut Request,
         route: &Route,
-    ) -> Result<(Submission, Shape), Invalid> {
-        let head = Head::parse(request, &self.settings)?;
-        let deadline = self.clock.now().after_ms(head.left_ms);
-        let config = self.adopted.get();
-        let checks = Checks(config.as_deref());
+    ) -> Result<(Submission, ReplyFormat), InvalidRequest> {
+        let head = SubmissionHeaders::parse(request, &self.settings)?;
+        let deadline = self.clock.now().after_ms(head.remaining_ms);
+        let config = self.current_config.get();
+        let checks = Validator(config.as_deref());
         let team = checks.team(&head.team)?;
         let (tasks, shape) = match route {
             Route::Request(service) => {
                 let service = checks.service(service, "service")?;
                 let work = body::read(request, self.settings.body_limit)?;
-                (vec![single(Target::Service(service), work)], Shape::Raw)
+                (vec![single(Target::Service(service), work)], ReplyFormat::Raw)
             }
             _ => {
                 if head.idempotent {
                     let reason = "a job's tasks are never started again";
-                    return Err(Invalid::field(IDEMPOTENT_HEADER, reason));
+                    return Err(InvalidRequest::field(IDEMPOTENT_HEADER, reason));
                 }
                 let text = body::read(request, self.settings.body_limit)?;
-                (checks.job(parse(&text)?)?, Shape::Json)
+                (checks.job(parse(&text)?)?, ReplyFormat::Json)
             }
         };
         let idempotent = head.idempotent;
@@ -122,13 +124,13 @@
     Arc::new(Task { target, work, declared: 0 })
 }
 
-fn parse(text: &[u8]) -> Result<JobBody, Invalid> {
-    serde_json::from_slice(text).map_err(|e| Invalid::field("body", e.to_string()))
+fn parse(text: &[u8]) -> Result<JobBody, InvalidRequest> {
+    serde_json::from_slice(text).map_err(|e| InvalidRequest::field("body", e.to_string()))
 }
 
 /// A submission whose body is still to be read.
 #[derive(Debug)]
-pub(crate) struct Submit {
+pub(crate) struct PendingSubmission {
     /// The request.
     request: Request,
     /// Where it was sent.
@@ -137,13 +139,13 @@
     ids: usize,
 }
 
-impl Work for Submit {
-    type Env = Desk;
+impl Work for PendingSubmission {
+    type Env = RequestHandler;
 
-    fn perform(mut self, desk: &Desk) {
+    fn perform(mut self, desk: &RequestHandler) {
         match desk.submission(&mut self.request, &self.route) {
             Ok((submission, shape)) => {
-                desk.post(self.request, self.ids, Demand::Submit(submission, shape));
+                desk.post(self.request, self.ids, Operation::Submit(submission, shape));
             }
             Err(invalid) => desk.refuse(self.request, self.ids, &invalid),
         }
--- a/endivestile/src/http/head.rs
+++ b/endivestile/src/http/headers.rs
@@ -5,94 +5,105 @@
 use endivestile_wire::call::{DEADLINE_HEADER, ID_HEADER, TEAM_HEADER};
 use tiny_http::Request;
 
-use super::invalid::Invalid;
+use super::invalid_request::InvalidRequest;
 use crate::clock::since_epoch;
 
 /// Header that asks for minted ids with the answer.
-pub(crate) const WANT_HEADER: &str = "Want-Ids";
+pub(crate) const WANT_IDS_HEADER: &str = "Want-Ids";
 /// Header that marks a request as idempotent.
 pub(crate) const IDEMPOTENT_HEADER: &str = "Idempotent";
 /// Most ids that an answer carries.
 const MAX_WANTED: usize = 16;
 /// Headers of a submission, checked as far as they can be alone.
 #[derive(Debug)]
-pub(crate) struct Head {
+pub(crate) struct SubmissionHeaders {
     /// The id, if one was given.
     pub(crate) id: Option<SubmissionId>,
     /// The team.
     pub(crate) team: String,
     /// Time left until the deadline, in milliseconds.
-    pub(crate) left_ms: u64,
+    pub(crate) remaining_ms: u64,
     /// Whether the tasks may be started again.
     pub(crate) idempotent: bool,
 }
 
-impl Head {
+impl SubmissionHeaders {
     /// Reads the headers.
-    pub(crate) fn parse(request: &Request, settings: &CallSettings) -> Result<Self, Invalid> {
+    pub(crate) fn parse(
+        request: &Request,
+        settings: &CallSettings,
+    ) -> Result<Self, InvalidRequest> {
         let team = header(request, TEAM_HEADER)?;
-        let team = team.ok_or_else(|| Invalid::field(TEAM_HEADER, "missing"))?;
+        let team = team.ok_or_else(|| InvalidRequest::field(TEAM_HEADER, "missing"))?;
         let head = Self {
             id: id(request)?,
             team: team.to_owned(),
-            left_ms: left(request, settings)?,
+            remaining_ms: left(request, settings)?,
             idempotent: idempotent(request)?,
         };
         if head.id.is_none() && !head.idempotent {
             // Without an id a resubmission could not be told from a new
             // submission, and a caller that lost its answer would start the
             // task a second time.
-            return Err(Invalid::field(ID_HEADER, "missing, and the call is not idempotent"));
+            return Err(InvalidRequest::field(
+                ID_HEADER,
+                "missing, and the call is not idempotent",
+            ));
         }
         Ok(head)
     }
 }
 
 /// Returns how many minted ids the caller wants with its answer.
-pub(crate) fn wanted(request: &Request) -> Result<usize, Invalid> {
-    let Some(text) = header(request, WANT_HEADER)? else { return Ok(0) };
+pub(crate) fn requested_ids(request: &Request) -> Result<usize, InvalidRequest> {
+    let Some(text) = header(request, WANT_IDS_HEADER)? else { return Ok(0) };
     let count = text.parse().ok().filter(|count| *count <= MAX_WANTED);
-    count.ok_or_else(|| Invalid::field(WANT_HEADER, format!("accepted: 0 to {MAX_WANTED}")))
+    count.ok_or_else(|| {
+        InvalidRequest::field(WANT_IDS_HEADER, format!("accepted: 0 to {MAX_WANTED}"))
+    })
 }
 
 /// Returns a header's value; two of the same name would leave open which one counts.
-fn header<'a>(request: &'a Request, name: &'static str) -> Result<Option<&'a str>, Invalid> {
+fn header<'a>(request: &'a Request, name: &'static str) -> Result<Option<&'a str>, InvalidRequest> {
     let mut found =
         request.headers().iter().filter(|h| h.field.as_str().as_str().eq_ignore_ascii_case(name));
     let value = found.next().map(|h| h.value.as_str().trim());
     if found.next().is_some() {
-        return Err(Invalid::field(name, "given twice"));
+        return Err(InvalidRequest::field(name, "given twice"));
     }
     Ok(value)
 }
 
-fn id(request: &Request) -> Result<Option<SubmissionId>, Invalid> {
+fn id(request: &Request) -> Result<Option<SubmissionId>, InvalidRequest> {
     let Some(text) = header(request, ID_HEADER)? else { return Ok(None) };
-    let id = SubmissionId::parse(text).map_err(|e| Invalid::field(ID_HEADER, e.to_string()))?;
+    let id =
+        SubmissionId::parse(text).map_err(|e| InvalidRequest::field(ID_HEADER, e.to_string()))?;
     if let Form::Dated(secs) = id.form() {
         // The table would forget an id dated further ahead while it is still valid.
         let latest = since_epoch().as_secs() + MAX_CLOCK_SKEW_S;
         if *secs > latest {
             let reason = format!("dated {} s ahead of this host", secs - latest + MAX_CLOCK_SKEW_S);
-            return Err(Invalid::field(ID_HEADER, reason));
+            return Err(InvalidRequest::field(ID_HEADER, reason));
         }
     }
     Ok(Some(id))
 }
 
-fn left(request: &Request, settings: &CallSettings) -> Result<u64, Invalid> {
+fn left(request: &Request, settings: &CallSettings) -> Result<u64, InvalidRequest> {
     let Some(text) = header(request, DEADLINE_HEADER)? else {
         return Ok(settings.default_deadline_ms);
     };
     let latest = settings.max_deadline_ms;
     let left = text.parse().ok().filter(|left| (1..=latest).contains(left));
-    left.ok_or_else(|| Invalid::field(DEADLINE_HEADER, format!("accepted: 1 to {latest} ms")))
+    left.ok_or_else(|| {
+        InvalidRequest::field(DEADLINE_HEADER, format!("accepted: 1 to {latest} ms"))
+    })
 }
 
-fn idempotent(request: &Request) -> Result<bool, Invalid> {
+fn idempotent(request: &Request) -> Result<bool, InvalidRequest> {
     match header(request, IDEMPOTENT_HEADER)? {
         None | Some("false") => Ok(false),
         Some("true") => Ok(true),
-        Some(_) => Err(Invalid::field(IDEMPOTENT_HEADER, "accepted: true, false")),
+        Some(_) => Err(InvalidRequest::field(IDEMPOTENT_HEADER, "accepted: true, false")),
     }
 }
--- a/endivestile/src/http/invalid.rs
+++ b/endivestile/src/http/invalid_request.rs
@@ -2,7 +2,7 @@
 
 /// What is wrong with a call; nothing of it was accepted.
 #[derive(Debug)]
-pub(crate) struct Invalid {
+pub(crate) struct InvalidRequest {
     /// HTTP status, 400 to 499.
     pub(crate) status: u16,
     /// The field at fault.
@@ -11,26 +11,26 @@
     pub(crate) reason: String,
 }
 
-impl Invalid {
+impl InvalidRequest {
     /// Refuses the value of a field.
     pub(crate) fn field(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self { status: 400, field: field.into(), reason: reason.into() }
     }
 
     /// Refuses a body that is longer than `limit` bytes.
-    pub(crate) fn oversize(limit: usize) -> Self {
+    pub(crate) fn body_too_long(limit: usize) -> Self {
         let reason = format!("longer than {limit} bytes");
         Self { status: 413, ..Self::field("body", reason) }
     }
 
     /// Refuses a path that leads nowhere.
-    pub(crate) fn path(path: &str) -> Self {
+    pub(crate) fn unknown_path(path: &str) -> Self {
         let reason = format!("{path} does not exist");
         Self { status: 404, ..Self::field("path", reason) }
     }
 
     /// Refuses a method that the path does not have.
-    pub(crate) fn method(accepted: &str) -> Self {
+    pub(crate) fn unsupported_method(accepted: &str) -> Self {
         Self { status: 405, ..Self::field("method", format!("accepted: {accepted}")) }
     }
 }
--- a/endivestile/src/http/listen.rs
+++ b/endivestile/src/http/listen.rs
@@ -8,8 +8,8 @@
 use tokio::net::TcpSocket;
 use tokio::runtime::Handle;
 
-use super::Desk;
-use super::doorbell::Doorbell;
+use super::RequestHandler;
+use super::thread_waker::ThreadWaker;
 use crate::error::RunError;
 use crate::inbox::Input;
 
@@ -41,7 +41,7 @@
 }
 
 /// Serves callers on threads of its own.
-pub(crate) fn serve(listener: TcpListener, desk: &Desk) -> Result<(), RunError> {
+pub(crate) fn serve(listener: TcpListener, handler: &RequestHandler) -> Result<(), RunError> {
     let local = listener.local_addr();
     let address = local.as_ref().map(ToString::to_string).unwrap_or_default();
     let failed =
@@ -49,21 +49,21 @@
     let server = Server::from_listener(listener, None).map_err(|e| failed(e.to_string()))?;
     let server = Arc::new(server);
     let local = local.map_err(|e| failed(e.to_string()))?;
-    let doorbell = Arc::new(Doorbell::start(local)?);
-    let readers = desk.readers();
-    for _ in 0..desk.settings.threads {
-        let (server, desk, readers) = (Arc::clone(&server), desk.clone(), readers.clone());
-        let doorbell = Arc::clone(&doorbell);
+    let waker = Arc::new(ThreadWaker::start(local)?);
+    let readers = handler.body_readers();
+    for _ in 0..handler.settings.threads {
+        let (server, handler, readers) = (Arc::clone(&server), handler.clone(), readers.clone());
+        let waker = Arc::clone(&waker);
         let take = move || {
             for request in server.incoming_requests() {
-                doorbell.note(request.remote_addr());
-                desk.take(request, &readers);
+                waker.record_caller(request.remote_addr());
+                handler.handle_request(request, &readers);
             }
             // The library's accept thread ends at its first error, such as a
             // process out of descriptors. Nobody could connect any more while
             // the host still looked alive to its peers; so it drains and ends.
             log::error!("event=listener_lost step=accept");
-            desk.inbox.post(Input::Stop);
+            handler.inbox.post(Input::Stop);
         };
         let thread = thread::Builder::new().name("http".to_owned());
         thread.spawn(take).map_err(|source| RunError::Thread { step: "serve-http", source })?;
--- a/endivestile/src/http/mod.rs
+++ b/endivestile/src/http/mod.rs
@@ -2,18 +2,18 @@
 
 mod body;
 mod call;
-mod check;
-mod desk;
-mod doorbell;
-mod head;
-mod invalid;
+mod handler;
+mod headers;
+mod invalid_request;
 mod listen;
 mod reply;
+mod reply_writer;
 mod route;
-mod say;
+mod thread_waker;
+mod validation;
 
-pub(crate) use call::{Call, Demand, Shape};
-pub(crate) use desk::Desk;
+pub(crate) use call::{Call, Operation, ReplyFormat};
+pub(crate) use handler::RequestHandler;
 pub(crate) use listen::{bind, serve};
 pub(crate) use reply::Reply;
-pub(crate) use say::{Say, Voice};
+pub(crate) use reply_writer::{PendingReply, ReplyPool};
--- a/endivestile/src/http/reply.rs
+++ b/endivestile/src/http/reply.rs
@@ -7,8 +7,8 @@
 use endivestile_wire::call::{AnswerBody, MINTED_HEADER};
 use tiny_http::{Header, Response, StatusCode};
 
-use super::Shape;
-use super::invalid::Invalid;
+use super::ReplyFormat;
+use super::invalid_request::InvalidRequest;
 
 /// Milliseconds in a second, for `Retry-After`.
 const SECOND_MS: u64 = 1_000;
@@ -41,7 +41,7 @@
     }
 
     /// Makes a short reply to a probe.
-    pub(crate) fn probe(status: u16, text: &'static str) -> Self {
+    pub(crate) fn plain_text(status: u16, text: &'static str) -> Self {
         Self { media: "text/plain", ..Self::json(status, text) }
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Says what is wrong with a call.
-    pub(crate) fn invalid(invalid: &Invalid) -> Self {
+    pub(crate) fn from_invalid(invalid: &InvalidRequest) -> Self {
         let body = AnswerBody {
             reason: Some(invalid.reason.clone()),
             field: Some(invalid.field.clone()),
@@ -64,7 +64,7 @@
     }
 
     /// Says how a submission ended or stands, at the instant `now`.
-    pub(crate) fn answer(answer: &Answer, shape: Shape, now: Time) -> Self {
+    pub(crate) fn from_answer(answer: &Answer, shape: ReplyFormat, now: Time) -> Self {
         match answer {
             Answer::Complete(results) => complete(results, shape),
             Answer::Failed(failure) => failed(failure, shape),
@@ -122,8 +122,8 @@
     AnswerBody { reason: Some(reason.into()), ..plain(status) }
 }
 
-fn complete(results: &[Bytes], shape: Shape) -> Reply {
-    if shape == Shape::Raw && results.len() == 1 {
+fn complete(results: &[Bytes], shape: ReplyFormat) -> Reply {
+    if shape == ReplyFormat::Raw && results.len() == 1 {
         return Reply::raw(results[0].clone());
     }
     let mut texts = Vec::with_capacity(results.len());
@@ -140,7 +140,7 @@
     Reply::body(200, &AnswerBody { results: Some(texts), ..plain("complete") })
 }
 
-fn failed(failure: &Failure, shape: Shape) -> Reply {
+fn failed(failure: &Failure, shape: ReplyFormat) -> Reply {
     let (status, text) = match failure {
         Failure::Rejected { task, peer, status } => {
             (502, format!("task {task}: {peer} answered with status {status}"))
@@ -159,8 +159,8 @@
 }
 
 /// To the canceller this is success, to the caller who waits it is a conflict.
-fn cancelled(shape: Shape) -> Reply {
-    let status = if shape == Shape::Cancel { 200 } else { 409 };
+fn cancelled(shape: ReplyFormat) -> Reply {
+    let status = if shape == ReplyFormat::Cancel { 200 } else { 409 };
     Reply::body(status, &reason("cancelled", "a caller cancelled it"))
 }
 
--- a/endivestile/src/http/say.rs
+++ b/endivestile/src/http/reply_writer.rs
@@ -13,25 +13,25 @@
 const VOICES: usize = 64;
 
 /// Writes replies.
-pub(crate) type Voice = Pool<Say>;
+pub(crate) type ReplyPool = Pool<PendingReply>;
 
 /// A reply on its way to the caller.
 #[derive(Debug)]
-pub(crate) struct Say {
+pub(crate) struct PendingReply {
     /// The call.
     pub(crate) request: Request,
     /// What is said.
     pub(crate) reply: Reply,
 }
 
-impl Say {
+impl PendingReply {
     /// Starts the pool that writes replies.
-    pub(crate) fn pool() -> Voice {
+    pub(crate) fn pool() -> ReplyPool {
         Pool::new("reply", VOICES, ())
     }
 }
 
-impl Work for Say {
+impl Work for PendingReply {
     type Env = ();
 
     fn perform(self, (): &()) {
--- a/endivestile/src/http/route.rs
+++ b/endivestile/src/http/route.rs
@@ -3,7 +3,7 @@
 use endivestile_kernel::{Ask, SubmissionId};
 use tiny_http::Method;
 
-use super::invalid::Invalid;
+use super::invalid_request::InvalidRequest;
 
 /// Most ids minted by one call.
 const MAX_MINTED: usize = 1_000;
@@ -29,7 +29,7 @@
 
 impl Route {
     /// Reads a method and a URL.
-    pub(crate) fn parse(method: &Method, url: &str) -> Result<Self, Invalid> {
+    pub(crate) fn parse(method: &Method, url: &str) -> Result<Self, InvalidRequest> {
         let (path, query) = url.split_once('?').unwrap_or((url, ""));
         if let Some(service) = path.strip_prefix("/v1/requests/") {
             only(method, &Method::Post)?;
@@ -44,32 +44,36 @@
             "/health" => only(method, &Method::Get).map(|()| Self::Health),
             "/ready" => only(method, &Method::Get).map(|()| Self::Ready),
             "/status" => only(method, &Method::Get).map(|()| Self::Status),
-            _ => Err(Invalid::path(path)),
+            _ => Err(InvalidRequest::unknown_path(path)),
         }
     }
 
     /// Reads a call about a submission.
-    fn submission(method: &Method, id: &str) -> Result<Self, Invalid> {
+    fn submission(method: &Method, id: &str) -> Result<Self, InvalidRequest> {
         let ask = match method {
             Method::Get => Ask::Fetch,
             Method::Delete => Ask::Cancel,
-            _ => return Err(Invalid::method("GET, DELETE")),
+            _ => return Err(InvalidRequest::unsupported_method("GET, DELETE")),
         };
-        let id = SubmissionId::parse(id).map_err(|e| Invalid::field("id", e.to_string()))?;
+        let id = SubmissionId::parse(id).map_err(|e| InvalidRequest::field("id", e.to_string()))?;
         Ok(Self::Submission(id, ask))
     }
 
     /// Reads the query of a call for ids.
-    fn ids(query: &str) -> Result<Self, Invalid> {
-        let bad = || Invalid::field("count", format!("accepted: count=1 to {MAX_MINTED}"));
+    fn ids(query: &str) -> Result<Self, InvalidRequest> {
+        let bad = || InvalidRequest::field("count", format!("accepted: count=1 to {MAX_MINTED}"));
         let count = query.strip_prefix("count=").ok_or_else(bad)?;
         let count = count.parse().ok().filter(|count| (1..=MAX_MINTED).contains(count));
         count.map(Self::Ids).ok_or_else(bad)
     }
 }
 
-fn only(method: &Method, accepted: &Method) -> Result<(), Invalid> {
-    if method == accepted { Ok(()) } else { Err(Invalid::method(accepted.as_str())) }
+fn only(method: &Method, accepted: &Method) -> Result<(), InvalidRequest> {
+    if method == accepted {
+        Ok(())
+    } else {
+        Err(InvalidRequest::unsupported_method(accepted.as_str()))
+    }
 }
 
 /// Undoes percent encoding; what is not encoded rightly stays as it is.
--- a/endivestile/src/http/doorbell.rs
+++ b/endivestile/src/http/thread_waker.rs
@@ -28,14 +28,14 @@
 /// releases rings again. A slow regular ring is for those that were
 /// released and say nothing.
 #[derive(Debug)]
-pub(crate) struct Doorbell {
+pub(crate) struct ThreadWaker {
     /// Callers whose first request was seen.
     seen: Mutex<HashSet<SocketAddr>>,
     /// Asks for a ring.
     rings: Sender<()>,
 }
 
-impl Doorbell {
+impl ThreadWaker {
     /// Starts the thread that rings at `address`.
     pub(crate) fn start(address: SocketAddr) -> Result<Self, RunError> {
         let (rings, asked) = channel();
@@ -46,7 +46,7 @@
     }
 
     /// Notes a request, and rings if it is the first one of its caller.
-    pub(crate) fn note(&self, caller: Option<&SocketAddr>) {
+    pub(crate) fn record_caller(&self, caller: Option<&SocketAddr>) {
         let Some(caller) = caller else { return };
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         if seen.len() >= SEEN {
--- a/endivestile/src/http/check.rs
+++ b/endivestile/src/http/validation.rs
@@ -7,40 +7,40 @@
 use endivestile_kernel::{MAX_TASKS, Need, Target, Task};
 use endivestile_wire::call::{JobBody, NeedBody, TEAM_HEADER, TaskBody};
 
-use super::invalid::Invalid;
+use super::invalid_request::InvalidRequest;
 
 /// Checks names and needs; without a configuration the kernel refuses the
 /// submission itself, so everything passes here.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Checks<'a>(pub(crate) Option<&'a Config>);
+pub(crate) struct Validator<'a>(pub(crate) Option<&'a Config>);
 
-impl Checks<'_> {
+impl Validator<'_> {
     /// Returns the team's shared name.
-    pub(crate) fn team(self, name: &str) -> Result<Name, Invalid> {
+    pub(crate) fn team(self, name: &str) -> Result<Name, InvalidRequest> {
         let Some(config) = self.0 else { return Ok(Name::from(name)) };
         let found = config.teams.get_key_value(name).map(|(name, _)| Name::clone(name));
-        found.ok_or_else(|| Invalid::field(TEAM_HEADER, format!("unknown team {name:?}")))
+        found.ok_or_else(|| InvalidRequest::field(TEAM_HEADER, format!("unknown team {name:?}")))
     }
 
     /// Returns the service's shared name.
-    pub(crate) fn service(self, name: &str, field: &str) -> Result<Name, Invalid> {
+    pub(crate) fn service(self, name: &str, field: &str) -> Result<Name, InvalidRequest> {
         let Some(config) = self.0 else { return Ok(Name::from(name)) };
         let found = config.services.get_key_value(name).map(|(name, _)| Name::clone(name));
-        found.ok_or_else(|| Invalid::field(field, format!("unknown service {name:?}")))
+        found.ok_or_else(|| InvalidRequest::field(field, format!("unknown service {name:?}")))
     }
 
     /// Returns the tasks of a job.
-    pub(crate) fn job(self, body: JobBody) -> Result<Vec<Arc<Task>>, Invalid> {
+    pub(crate) fn job(self, body: JobBody) -> Result<Vec<Arc<Task>>, InvalidRequest> {
         let count = body.tasks.len();
         if count == 0 || count > MAX_TASKS {
             let reason = format!("{count} tasks, accepted: 1 to {MAX_TASKS}");
-            return Err(Invalid::field("tasks", reason));
+            return Err(InvalidRequest::field("tasks", reason));
         }
         body.tasks.into_iter().enumerate().map(|(at, task)| self.task(at, task)).collect()
     }
 
     /// Returns one task of a job.
-    fn task(self, at: usize, body: TaskBody) -> Result<Arc<Task>, Invalid> {
+    fn task(self, at: usize, body: TaskBody) -> Result<Arc<Task>, InvalidRequest> {
         let target = match (&body.service, body.need) {
             (Some(name), None) => {
                 Target::Service(self.service(name, &format!("tasks[{at}].service"))?)
@@ -48,7 +48,7 @@
             (None, Some(need)) => Target::Need(self.need(need, &format!("tasks[{at}].need"))?),
             _ => {
                 let field = format!("tasks[{at}]");
-                return Err(Invalid::field(field, "accepted: either a service or a need"));
+                return Err(InvalidRequest::field(field, "accepted: either a service or a need"));
             }
         };
         let work = Bytes::from(body.work.into_bytes());
@@ -56,7 +56,7 @@
     }
 
     /// Returns a need that at least one worker can meet when it is empty.
-    fn need(self, body: NeedBody, field: &str) -> Result<Need, Invalid> {
+    fn need(self, body: NeedBody, field: &str) -> Result<Need, InvalidRequest> {
         let need = Need {
             cpu_milli: body.cpu_milli,
             memory_mb: body.memory_mb,
@@ -64,13 +64,13 @@
         };
         if need.cpu_milli == 0 && need.memory_mb == 0 && need.accelerators == 0 {
             // A need of nothing would fit a worker any number of times.
-            return Err(Invalid::field(field, "nothing is needed"));
+            return Err(InvalidRequest::field(field, "nothing is needed"));
         }
         let Some(config) = self.0 else { return Ok(need) };
         if config.workers.values().any(|worker| meets(worker, &need)) {
             return Ok(need);
         }
-        Err(Invalid::field(field, "more than any worker has"))
+        Err(InvalidRequest::field(field, "more than any worker has"))
     }
 }
 
--- a/endivestile/src/peers/uplink.rs
+++ b/endivestile/src/peers/event_handler.rs
@@ -5,20 +5,20 @@
 use crate::inbox::Inbox;
 
 /// Where frames of peers and the ends of links go.
-pub(crate) trait Uplink: Clone + Send + Sync + 'static {
+pub(crate) trait PeerEventHandler: Clone + Send + Sync + 'static {
     /// A frame arrived.
-    fn frame(&self, frame: Frame);
+    fn handle_frame(&self, frame: Frame);
 
     /// The link to a peer broke or could not be made.
-    fn broken(&self, peer: Peer);
+    fn handle_link_down(&self, peer: Peer);
 }
 
-impl Uplink for Inbox {
-    fn frame(&self, frame: Frame) {
+impl PeerEventHandler for Inbox {
+    fn handle_frame(&self, frame: Frame) {
         self.post_event(Event::Frame(frame));
     }
 
-    fn broken(&self, peer: Peer) {
+    fn handle_link_down(&self, peer: Peer) {
         self.post_event(Event::LinkDown(peer));
     }
 }
--- a/endivestile/src/peers/queue.rs
+++ b/endivestile/src/peers/frame_queue.rs
@@ -16,22 +16,22 @@
 const MAX_BYTES: usize = 32 << 20;
 
 /// Makes a queue.
-pub(crate) fn queue() -> (Entry, Frames) {
+pub(crate) fn frame_queue() -> (FrameSender, FrameStream) {
     let (sender, receiver) = channel(MAX_FRAMES);
     let bytes = Arc::new(AtomicUsize::new(0));
-    (Entry { sender, bytes: Arc::clone(&bytes) }, Frames { receiver, bytes })
+    (FrameSender { sender, bytes: Arc::clone(&bytes) }, FrameStream { receiver, bytes })
 }
 
 /// Entry of a queue.
 #[derive(Debug)]
-pub(crate) struct Entry {
+pub(crate) struct FrameSender {
     /// The queue.
     sender: Sender<wire::Frame>,
     /// Bytes that wait.
     bytes: Arc<AtomicUsize>,
 }
 
-impl Entry {
+impl FrameSender {
     /// Queues a frame, unless the queue is full or its link has ended.
     pub(crate) fn push(&self, frame: wire::Frame) -> bool {
         let len = frame.body.len();
@@ -54,14 +54,14 @@
 
 /// Exit of a queue, as the link reads it.
 #[derive(Debug)]
-pub(crate) struct Frames {
+pub(crate) struct FrameStream {
     /// The queue.
     receiver: Receiver<wire::Frame>,
     /// Bytes that wait.
     bytes: Arc<AtomicUsize>,
 }
 
-impl Stream for Frames {
+impl Stream for FrameStream {
     type Item = wire::Frame;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<wire::Frame>> {
--- a/endivestile/src/peers/serve.rs
+++ b/endivestile/src/peers/incoming.rs
@@ -11,8 +11,8 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::{Request, Response, Status, Streaming};
 
-use super::uplink::Uplink;
-use super::{MAX_FRAME, PROBE_ANSWER_MS, PROBE_MS, VERSION};
+use super::event_handler::PeerEventHandler;
+use super::{FRAME_VERSION, KEEPALIVE_INTERVAL_MS, KEEPALIVE_TIMEOUT_MS, MAX_FRAME_BYTES};
 use crate::error::RunError;
 
 /// Opens the peers' socket.
@@ -21,7 +21,7 @@
 }
 
 /// Serves peers on the runtime.
-pub(crate) fn serve<U: Uplink>(
+pub(crate) fn serve<U: PeerEventHandler>(
     handle: &Handle,
     listener: TcpListener,
     inbox: U,
@@ -31,10 +31,10 @@
     listener.set_nonblocking(true).map_err(|e| failed(address, &e))?;
     let listener = tokio::net::TcpListener::from_std(listener).map_err(|e| failed(address, &e))?;
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
-    let service = PeersServer::new(Receiver { inbox }).max_decoding_message_size(MAX_FRAME);
+    let service = PeersServer::new(Receiver { inbox }).max_decoding_message_size(MAX_FRAME_BYTES);
     let server = Server::builder()
-        .http2_keepalive_interval(Some(Duration::from_millis(PROBE_MS)))
-        .http2_keepalive_timeout(Some(Duration::from_millis(PROBE_ANSWER_MS)))
+        .http2_keepalive_interval(Some(Duration::from_millis(KEEPALIVE_INTERVAL_MS)))
+        .http2_keepalive_timeout(Some(Duration::from_millis(KEEPALIVE_TIMEOUT_MS)))
         .add_service(service)
         .serve_with_incoming(incoming);
     handle.spawn(async move {
@@ -57,7 +57,7 @@
 }
 
 #[tonic::async_trait]
-impl<U: Uplink> Peers for Receiver<U> {
+impl<U: PeerEventHandler> Peers for Receiver<U> {
     async fn link(
         &self,
         request: Request<Streaming<wire::Frame>>,
@@ -66,7 +66,7 @@
         let mut frames = request.into_inner();
         while let Some(frame) = frames.message().await? {
             match decode(&frame) {
-                Ok(frame) => self.inbox.frame(frame),
+                Ok(frame) => self.inbox.handle_frame(frame),
                 Err(status) => {
                     log::error!(
                         "event=frame_refused step=decode peer={from} error={:?}",
@@ -83,8 +83,8 @@
 /// Decodes a frame of a version that is known; another one would be read as
 /// something it is not.
 fn decode(frame: &wire::Frame) -> Result<Frame, Status> {
-    if frame.version != VERSION {
-        let text = format!("version {}, known: {VERSION}", frame.version);
+    if frame.version != FRAME_VERSION {
+        let text = format!("version {}, known: {FRAME_VERSION}", frame.version);
         return Err(Status::failed_precondition(text));
     }
     postcard::from_bytes(&frame.body).map_err(|e| Status::invalid_argument(e.to_string()))
--- a/endivestile/src/peers/links.rs
+++ b/endivestile/src/peers/links.rs
@@ -9,10 +9,10 @@
 use tokio::runtime::Handle;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-use super::VERSION;
-use super::out::carry;
-use super::queue::{Entry, queue};
-use super::uplink::Uplink;
+use super::FRAME_VERSION;
+use super::event_handler::PeerEventHandler;
+use super::frame_queue::{FrameSender, frame_queue};
+use super::outgoing::run_link;
 use crate::counters::{Counters, IoMetric};
 
 /// Pause before a broken link is dialled again, in milliseconds; frames that
@@ -23,12 +23,16 @@
 #[derive(Debug)]
 pub(crate) struct Links {
     /// Frames on their way to the router.
-    frames: UnboundedSender<Errand>,
+    frames: UnboundedSender<Command>,
 }
 
 impl Links {
     /// Starts the router on the runtime.
-    pub(crate) fn start<U: Uplink>(handle: &Handle, inbox: U, counters: Counters) -> Self {
+    pub(crate) fn start<U: PeerEventHandler>(
+        handle: &Handle,
+        inbox: U,
+        counters: Counters,
+    ) -> Self {
         let (frames, queue) = unbounded_channel();
         let router = Router { links: HashMap::new(), inbox, counters };
         handle.spawn(router.run(queue));
@@ -36,30 +40,30 @@
     }
 
     /// Drops the link to an address; the next frame makes a new one.
-    pub(crate) fn redial(&self, address: Name) {
-        let _ = self.frames.send(Errand::Redial(address));
+    pub(crate) fn reconnect(&self, address: Name) {
+        let _ = self.frames.send(Command::Reconnect(address));
     }
 
     /// Sends a frame, at most once.
     pub(crate) fn send(&self, address: Name, frame: Frame) {
-        let _ = self.frames.send(Errand::Send(address, Box::new(frame)));
+        let _ = self.frames.send(Command::Send(address, Box::new(frame)));
     }
 }
 
 /// What the router is asked to do.
 #[derive(Debug)]
-enum Errand {
+enum Command {
     /// Send a frame to an address.
     Send(Name, Box<Frame>),
     /// Make the link to an address anew.
-    Redial(Name),
+    Reconnect(Name),
 }
 
 /// One link.
 #[derive(Debug)]
 struct Link {
     /// Its queue.
-    entry: Entry,
+    entry: FrameSender,
     /// The incarnation it was dialled for.
     peer: Peer,
     /// When it may be dialled again after it ended.
@@ -77,13 +81,13 @@
     counters: Counters,
 }
 
-impl<U: Uplink> Router<U> {
+impl<U: PeerEventHandler> Router<U> {
     /// Routes frames until the engine ends.
-    async fn run(mut self, mut queue: UnboundedReceiver<Errand>) {
+    async fn run(mut self, mut queue: UnboundedReceiver<Command>) {
         while let Some(errand) = queue.recv().await {
             match errand {
-                Errand::Send(address, frame) => self.route(address, &frame),
-                Errand::Redial(address) => {
+                Command::Send(address, frame) => self.route(address, &frame),
+                Command::Reconnect(address) => {
                     self.links.remove(&address);
                 }
             }
@@ -100,7 +104,7 @@
             }
         };
         let bytes = body.len() as u64;
-        let frame_out = wire::Frame { version: VERSION, body };
+        let frame_out = wire::Frame { version: FRAME_VERSION, body };
         let sent = self.link(address, &frame.to).is_some_and(|link| link.entry.push(frame_out));
         if sent {
             self.counters.count_io(IoMetric::FrameBytes, bytes);
@@ -128,8 +132,8 @@
 
     /// Starts a link.
     fn dial(&self, address: Name, peer: &Peer, now: Instant) -> Link {
-        let (entry, frames) = queue();
-        tokio::spawn(carry(
+        let (entry, frames) = frame_queue();
+        tokio::spawn(run_link(
             address,
             peer.clone(),
             frames,
--- a/endivestile/src/peers/out.rs
+++ b/endivestile/src/peers/outgoing.rs
@@ -7,19 +7,19 @@
 use endivestile_wire::peer::peers_client::PeersClient;
 use tonic::transport::{Channel, Endpoint};
 
-use super::queue::Frames;
-use super::uplink::Uplink;
-use super::{MAX_FRAME, PROBE_ANSWER_MS, PROBE_MS};
+use super::event_handler::PeerEventHandler;
+use super::frame_queue::FrameStream;
+use super::{KEEPALIVE_INTERVAL_MS, KEEPALIVE_TIMEOUT_MS, MAX_FRAME_BYTES};
 use crate::counters::{Counters, IoMetric};
 
 /// Longest time for a connection, in milliseconds.
 const DIAL_MS: u64 = 1_000;
 
 /// Dials a peer, sends its frames, and tells the engine when the link ends.
-pub(crate) async fn carry<U: Uplink>(
+pub(crate) async fn run_link<U: PeerEventHandler>(
     address: Name,
     peer: Peer,
-    frames: Frames,
+    frames: FrameStream,
     inbox: U,
     counters: Counters,
 ) {
@@ -29,22 +29,22 @@
     };
     log::info!("event=link_down peer={peer} address={address} {reason}");
     counters.count_io(IoMetric::LinksDown, 1);
-    inbox.broken(peer);
+    inbox.handle_link_down(peer);
 }
 
 async fn dial(address: &str) -> Result<Channel, tonic::transport::Error> {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))?
         .tcp_nodelay(true)
         .connect_timeout(Duration::from_millis(DIAL_MS))
-        .http2_keep_alive_interval(Duration::from_millis(PROBE_MS))
-        .keep_alive_timeout(Duration::from_millis(PROBE_ANSWER_MS))
+        .http2_keep_alive_interval(Duration::from_millis(KEEPALIVE_INTERVAL_MS))
+        .keep_alive_timeout(Duration::from_millis(KEEPALIVE_TIMEOUT_MS))
         .keep_alive_while_idle(true);
     endpoint.connect().await
 }
 
 /// Sends frames until either side ends the link; returns why it ended.
-async fn send(channel: Channel, frames: Frames) -> String {
-    let client = PeersClient::new(channel).max_encoding_message_size(MAX_FRAME);
+async fn send(channel: Channel, frames: FrameStream) -> String {
+    let client = PeersClient::new(channel).max_encoding_message_size(MAX_FRAME_BYTES);
     let mut client = client;
     match client.link(frames).await {
         Ok(_) => "step=send-frames error=closed".to_owned(),
--- a/endivestile/src/run.rs
+++ b/endivestile/src/run.rs
@@ -26,7 +26,7 @@
 use crate::engine::{Engine, EngineParts};
 use crate::error::{Exit, RunError};
 use crate::fleet;
-use crate::http::{self, Desk, Say};
+use crate::http::{self, PendingReply, RequestHandler};
 use crate::inbox::{Inbox, InboxReceiver};
 use crate::logs;
 use crate::net::NetRuntime;
@@ -117,13 +117,13 @@
     let address = advertised_address(settings, &peers)?;
     let me = Peer::new(settings.host.name.clone(), since_epoch().as_micros() as u64);
     let checker = ConfigChecker::start(inbox.clone(), adopted.clone())?;
-    let replies = Say::pool();
-    let desk = Desk {
+    let replies = PendingReply::pool();
+    let handler = RequestHandler {
         inbox: inbox.clone(),
         clock,
         settings: settings.calls.clone(),
-        adopted: adopted.clone(),
-        voice: replies.clone(),
+        current_config: adopted.clone(),
+        reply_pool: replies.clone(),
         counters: counters.clone(),
     };
     log::info!(
@@ -134,7 +134,7 @@
         local_address(&callers)?,
     );
     peers::serve(net.handle(), peers, inbox.clone())?;
-    let desk_store = store::Desk {
+    let store_context = store::Context {
         me: me.clone(),
         zone: settings.host.zone.clone(),
         address: address.clone(),
@@ -143,12 +143,12 @@
         checker: checker.clone(),
         counters: counters.clone(),
     };
-    let store = Store::start(net.handle(), desk_store)?;
+    let store = Store::start(net.handle(), store_context)?;
     let links = Links::start(net.handle(), inbox.clone(), counters.clone());
     let backends = Backends::start(&settings.backends, clock, &me, inbox.clone(), counters.clone());
     statsd::start(&settings.metrics, &settings.host, counters.clone(), inbox.clone())?;
     signals::watch(inbox.clone())?;
-    http::serve(callers, &desk)?;
+    http::serve(callers, &handler)?;
     let handlers =
         EffectHandlers { backends, links, store: store.clone(), checker, replies, counters };
     let wall_s = since_epoch().as_secs();
@@ -161,7 +161,7 @@
     let parts =
         EngineParts { setup, handlers, clock, adopted, stop_limit_s, exit: Rc::clone(&exit) };
     turn(&inlet, parts);
-    store.leave();
+    store.deregister();
     Ok(exit.get())
 }
 
--- a/endivestile/src/store/ops.rs
+++ b/endivestile/src/store/calls.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Semaphore;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use super::access::Access;
+use super::connections::Connections;
 use super::error::StoreError;
 use crate::inbox::Inbox;
 
@@ -19,7 +19,7 @@
 
 /// A call of the kernel.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct StoreCall {
     /// Number of the call.
     pub(crate) token: u64,
     /// The call.
@@ -27,13 +27,17 @@
 }
 
 /// Makes the kernel's calls until the engine ends.
-pub(crate) async fn serve(access: Access, inbox: Inbox, mut asks: UnboundedReceiver<Ask>) {
+pub(crate) async fn serve(
+    connections: Connections,
+    inbox: Inbox,
+    mut asks: UnboundedReceiver<StoreCall>,
+) {
     let open = Arc::new(Semaphore::new(OPEN));
     while let Some(ask) = asks.recv().await {
         let Ok(permit) = Arc::clone(&open).acquire_owned().await else { return };
-        let (access, inbox) = (access.clone(), inbox.clone());
+        let (connections, inbox) = (connections.clone(), inbox.clone());
         tokio::spawn(async move {
-            let stored = perform(&access, ask.op).await.unwrap_or_else(|e| {
+            let stored = perform(&connections, ask.op).await.unwrap_or_else(|e| {
                 log::warn!("event=store_call_failed {e}");
                 Stored::Lost
             });
@@ -43,21 +47,21 @@
     }
 }
 
-async fn perform(access: &Access, op: StoreOp) -> Result<Stored, StoreError> {
+async fn perform(connections: &Connections, op: StoreOp) -> Result<Stored, StoreError> {
     match op {
-        StoreOp::Get { key } => get(access, &key).await,
+        StoreOp::Get { key } => get(connections, &key).await,
         StoreOp::Swap { key, revision, value } => {
             let put = PutRequest { key: key.as_bytes().to_vec(), value: value.to_vec(), lease: 0 };
-            swap(access, "swap", revision as i64, put).await
+            compare_and_swap(connections, "swap", revision as i64, put).await
         }
     }
 }
 
 /// Reads a key.
-pub(crate) async fn get(access: &Access, key: &str) -> Result<Stored, StoreError> {
+pub(crate) async fn get(connections: &Connections, key: &str) -> Result<Stored, StoreError> {
     let request = RangeRequest { key: key.as_bytes().to_vec(), ..RangeRequest::default() };
-    let mut client = access.keys();
-    let answer = access.call("get", None, client.range(request)).await?.into_inner();
+    let mut client = connections.kv_client();
+    let answer = connections.call("get", None, client.range(request)).await?.into_inner();
     let stored = answer.kvs.into_iter().next().map_or(
         Stored::Value { revision: 0, value: Bytes::new() },
         |kv| Stored::Value { revision: kv.mod_revision as u64, value: Bytes::from(kv.value) },
@@ -66,8 +70,8 @@
 }
 
 /// Writes a key if its last change has the revision, 0 for an absent key.
-pub(crate) async fn swap(
-    access: &Access,
+pub(crate) async fn compare_and_swap(
+    connections: &Connections,
     step: &'static str,
     revision: i64,
     put: PutRequest,
@@ -77,8 +81,8 @@
         success: vec![RequestOp { request: Some(Request::RequestPut(put)) }],
         failure: Vec::new(),
     };
-    let mut client = access.keys();
-    let answer = access.call(step, None, client.txn(request)).await?.into_inner();
+    let mut client = connections.kv_client();
+    let answer = connections.call(step, None, client.txn(request)).await?.into_inner();
     if !answer.succeeded {
         return Ok(Stored::Raced);
     }
--- a/endivestile/src/store/feed.rs
+++ b/endivestile/src/store/change_feed.rs
@@ -13,7 +13,7 @@
 
 /// Keys as they were last told to the kernel.
 #[derive(Debug)]
-pub(crate) struct Feed {
+pub(crate) struct ChangeFeed {
     /// Revisions of the keys' last changes.
     known: HashMap<Vec<u8>, i64>,
     /// The engine.
@@ -22,7 +22,7 @@
     checker: ConfigChecker,
 }
 
-impl Feed {
+impl ChangeFeed {
     /// Starts with no key known.
     pub(crate) fn new(inbox: Inbox, checker: ConfigChecker) -> Self {
         Self { known: HashMap::new(), inbox, checker }
@@ -33,7 +33,7 @@
     /// Keys may have been deleted while the watch was broken. Nobody tells of
     /// that afterwards, and a host whose lease lapsed meanwhile would stay in
     /// the kernel's view for ever; so what is missing here counts as deleted.
-    pub(crate) fn load(&mut self, values: Vec<KeyValue>) {
+    pub(crate) fn reconcile(&mut self, values: Vec<KeyValue>) {
         let mut gone = std::mem::take(&mut self.known);
         for value in values {
             let told = gone.remove(&value.key);
--- a/endivestile/src/store/access.rs
+++ b/endivestile/src/store/connections.rs
@@ -36,20 +36,20 @@
 
 /// The store's addresses, used one at a time and in turn when calls fail.
 #[derive(Debug, Clone)]
-pub(crate) struct Access {
+pub(crate) struct Connections {
     /// All addresses.
     sites: Arc<[Site]>,
     /// Index of the address in use.
     at: Arc<AtomicUsize>,
     /// Told when the store seems to answer nothing any more.
-    pub(crate) doubt: Arc<Notify>,
+    pub(crate) unresponsive: Arc<Notify>,
     /// Time for one call, in milliseconds.
     timeout_ms: u64,
     /// Counts.
     counters: Counters,
 }
 
-impl Access {
+impl Connections {
     /// Prepares the connections; must be called on the runtime.
     pub(crate) fn new(settings: &StoreSettings, counters: Counters) -> Result<Self, RunError> {
         let sites: Result<Vec<Site>, RunError> =
@@ -57,24 +57,24 @@
         Ok(Self {
             sites: sites?.into(),
             at: Arc::new(AtomicUsize::new(0)),
-            doubt: Arc::new(Notify::new()),
+            unresponsive: Arc::new(Notify::new()),
             timeout_ms: settings.timeout_ms,
             counters,
         })
     }
 
     /// Returns the client for keys.
-    pub(crate) fn keys(&self) -> KvClient<Channel> {
+    pub(crate) fn kv_client(&self) -> KvClient<Channel> {
         KvClient::new(self.channel()).max_decoding_message_size(MAX_MESSAGE)
     }
 
     /// Returns the client for leases.
-    pub(crate) fn leases(&self) -> LeaseClient<Channel> {
+    pub(crate) fn lease_client(&self) -> LeaseClient<Channel> {
         LeaseClient::new(self.channel())
     }
 
     /// Returns the client for watches.
-    pub(crate) fn watches(&self) -> WatchClient<Channel> {
+    pub(crate) fn watch_client(&self) -> WatchClient<Channel> {
         WatchClient::new(self.channel()).max_decoding_message_size(MAX_MESSAGE)
     }
 
--- a/endivestile/src/store/error.rs
+++ b/endivestile/src/store/error.rs
@@ -21,8 +21,8 @@
             display("step={step} error=closed")
         }
         /// A later incarnation of this host is registered.
-        Superseded { birth: u64 } {
-            display("step=register error=superseded birth={birth:x}")
+        Superseded { incarnation: u64 } {
+            display("step=register error=superseded birth={incarnation:x}")
         }
     }
 }
--- a/endivestile/src/store/mod.rs
+++ b/endivestile/src/store/mod.rs
@@ -1,12 +1,12 @@
 //! Client of the platform's store.
 
-mod access;
 mod backoff;
+mod calls;
+mod change_feed;
+mod connections;
 mod error;
-mod feed;
 mod lease;
-mod ops;
-mod register;
+mod registration;
 mod watch;
 
 use std::sync::mpsc;
@@ -23,16 +23,16 @@
 use crate::counters::Counters;
 use crate::error::RunError;
 use crate::inbox::Inbox;
-use access::Access;
-use ops::Ask;
-use register::Wish;
+use calls::StoreCall;
+use connections::Connections;
+use registration::DesiredRegistration;
 
 /// Longest wait for the end of the registration when the process ends, in milliseconds.
 const LEAVE_MS: u64 = 1_000;
 
 /// What the tasks of the client share.
 #[derive(Debug, Clone)]
-pub(crate) struct Desk {
+pub(crate) struct Context {
     /// This incarnation.
     pub(crate) me: Peer,
     /// Availability zone of this host.
@@ -53,27 +53,27 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Store {
     /// Calls of the kernel.
-    asks: UnboundedSender<Ask>,
+    call_queue: UnboundedSender<StoreCall>,
     /// How the host is to be registered.
-    wish: latest::Sender<Wish>,
+    wish: latest::Sender<DesiredRegistration>,
 }
 
 impl Store {
     /// Starts the client's tasks on the runtime.
-    pub(crate) fn start(handle: &Handle, desk: Desk) -> Result<Self, RunError> {
+    pub(crate) fn start(handle: &Handle, desk: Context) -> Result<Self, RunError> {
         let _context = handle.enter();
-        let access = Access::new(&desk.settings, desk.counters.clone())?;
-        let (asks, queue) = unbounded_channel();
-        let (wish, wishes) = latest::channel(Wish::default());
-        handle.spawn(ops::serve(access.clone(), desk.inbox.clone(), queue));
-        handle.spawn(watch::run(access.clone(), desk.clone()));
-        handle.spawn(register::run(access, desk, wishes));
-        Ok(Self { asks, wish })
+        let connections = Connections::new(&desk.settings, desk.counters.clone())?;
+        let (call_queue, pending) = unbounded_channel();
+        let (wish, wishes) = latest::channel(DesiredRegistration::default());
+        handle.spawn(calls::serve(connections.clone(), desk.inbox.clone(), pending));
+        handle.spawn(watch::run(connections.clone(), desk.clone()));
+        handle.spawn(registration::run(connections, desk, wishes));
+        Ok(Self { call_queue, wish })
     }
 
     /// Makes a call for the kernel.
     pub(crate) fn call(&self, token: u64, op: StoreOp) {
-        let _ = self.asks.send(Ask { token, op });
+        let _ = self.call_queue.send(StoreCall { token, op });
     }
 
     /// Registers the host anew, as leaving or not.
@@ -82,7 +82,7 @@
     }
 
     /// Ends the registration, so that peers need not wait for the lease to lapse.
-    pub(crate) fn leave(&self) {
+    pub(crate) fn deregister(&self) {
         let (done, left) = mpsc::sync_channel(1);
         self.wish.send_modify(|wish| wish.done = Some(done));
         let _ = left.recv_timeout(Duration::from_millis(LEAVE_MS));
--- a/endivestile/src/store/register.rs
+++ b/endivestile/src/store/registration.rs
@@ -8,18 +8,18 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{Duration, Instant, sleep_until};
 
-use super::access::Access;
 use super::backoff::Backoff;
+use super::connections::Connections;
 use super::error::StoreError;
 use super::lease::Lease;
-use super::{Desk, ops};
+use super::{Context, calls};
 
 /// Refreshes within the life of a lease; two may be lost before it lapses.
 const REFRESHES: u64 = 3;
 
 /// How the host is to be registered.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Wish {
+pub(crate) struct DesiredRegistration {
     /// Whether it is leaving.
     pub(crate) leaving: bool,
     /// Told once the registration has ended, which is wished with it.
@@ -28,9 +28,13 @@
 
 /// Registers the host, and again after each lapse, until it leaves or a later
 /// incarnation has taken its name.
-pub(crate) async fn run(access: Access, desk: Desk, wishes: Receiver<Wish>) {
+pub(crate) async fn run(
+    connections: Connections,
+    desk: Context,
+    wishes: Receiver<DesiredRegistration>,
+) {
     let mut backoff = Backoff::new(desk.settings.backoff_ms);
-    let mut keeper = Keeper { access, desk, wishes, lease: None, failing: false };
+    let mut keeper = Keeper { connections, desk, wishes, lease: None, failing: false };
     loop {
         match keeper.keep(&mut backoff).await {
             Ok(()) => return,
@@ -42,7 +46,7 @@
                 let level = if keeper.failing { log::Level::Debug } else { log::Level::Warn };
                 log::log!(level, "event=registration_failed {e}");
                 keeper.failing = true;
-                keeper.access.doubt.notify_waiters();
+                keeper.connections.unresponsive.notify_waiters();
                 backoff.wait().await;
             }
         }
@@ -52,11 +56,11 @@
 /// The registration with its lease.
 struct Keeper {
     /// The store.
-    access: Access,
+    connections: Connections,
     /// What all tasks share.
-    desk: Desk,
+    desk: Context,
     /// How the host is to be registered.
-    wishes: Receiver<Wish>,
+    wishes: Receiver<DesiredRegistration>,
     /// The lease, kept over errors: it may still live.
     lease: Option<Lease>,
     /// Whether the last attempt failed, and the log says so already.
@@ -66,7 +70,7 @@
 impl Keeper {
     /// Keeps the registration until the host leaves.
     async fn keep(&mut self, backoff: &mut Backoff) -> Result<(), StoreError> {
-        let mut lease = self.renew().await?;
+        let mut lease = self.ensure_lease().await?;
         self.put(lease).await?;
         backoff.reset();
         self.failing = false;
@@ -75,10 +79,10 @@
             let until = Instant::now() + pause;
             tokio::select! {
                 () = sleep_until(until) => {
-                    if !lease.refresh(&self.access).await? {
+                    if !lease.renew(&self.connections).await? {
                         log::warn!("event=lease_lapsed");
                         self.lease = None;
-                        lease = self.renew().await?;
+                        lease = self.ensure_lease().await?;
                         self.put(lease).await?;
                     }
                 }
@@ -94,13 +98,13 @@
     }
 
     /// Returns the lease if it lives, or a new one.
-    async fn renew(&mut self) -> Result<Lease, StoreError> {
+    async fn ensure_lease(&mut self) -> Result<Lease, StoreError> {
         if let Some(lease) = self.lease
-            && lease.refresh(&self.access).await?
+            && lease.renew(&self.connections).await?
         {
             return Ok(lease);
         }
-        let lease = Lease::grant(&self.access, self.desk.settings.lease_s).await?;
+        let lease = Lease::grant(&self.connections, self.desk.settings.lease_s).await?;
         self.lease = Some(lease);
         Ok(lease)
     }
@@ -114,17 +118,19 @@
     async fn put(&mut self, lease: Lease) -> Result<(), StoreError> {
         let key = format!("{}{}", key::HOSTS, self.desk.me.host);
         loop {
-            let (revision, value) = match ops::get(&self.access, &key).await? {
+            let (revision, value) = match calls::get(&self.connections, &key).await? {
                 Stored::Value { revision, value } => (revision, value),
                 _ => (0, bytes::Bytes::new()),
             };
             if let Ok(held) = serde_json::from_slice::<Registration>(&value)
                 && held.peer.birth > self.desk.me.birth
             {
-                return Err(StoreError::Superseded { birth: held.peer.birth });
+                return Err(StoreError::Superseded { incarnation: held.peer.birth });
             }
             let put = self.request(&key, lease);
-            let stored = ops::swap(&self.access, "register", revision as i64, put).await?;
+            let stored =
+                calls::compare_and_swap(&self.connections, "register", revision as i64, put)
+                    .await?;
             if stored != Stored::Raced {
                 return Ok(());
             }
@@ -145,7 +151,7 @@
 
     /// Ends the registration; a store that is down lets the lease lapse.
     async fn leave(&self, lease: Lease, done: Option<SyncSender<()>>) -> Result<(), StoreError> {
-        if let Err(e) = lease.revoke(&self.access).await {
+        if let Err(e) = lease.revoke(&self.connections).await {
             log::warn!("event=revoke_failed {e}");
         }
         if let Some(done) = done {
--- a/endivestile/src/store/watch.rs
+++ b/endivestile/src/store/watch.rs
@@ -11,11 +11,11 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::Streaming;
 
-use super::Desk;
-use super::access::Access;
+use super::Context;
 use super::backoff::Backoff;
+use super::change_feed::ChangeFeed;
+use super::connections::Connections;
 use super::error::StoreError;
-use super::feed::Feed;
 use crate::counters::IoMetric;
 
 /// First keys of the watched ranges, and prefixes that end them. The audit
@@ -23,10 +23,10 @@
 const RANGES: [(&str, &str); 2] = [(key::CONFIG, key::STOPS), (key::PLATFORM, key::PLATFORM)];
 
 /// Reads and watches until the process ends.
-pub(crate) async fn run(access: Access, desk: Desk) {
-    let mut feed = Feed::new(desk.inbox.clone(), desk.checker.clone());
+pub(crate) async fn run(connections: Connections, desk: Context) {
+    let mut feed = ChangeFeed::new(desk.inbox.clone(), desk.checker.clone());
     let mut backoff = Backoff::new(desk.settings.backoff_ms);
-    let mut session = Session { access, desk, up: false };
+    let mut session = Session { connections, desk, up: false };
     let mut first = true;
     loop {
         let Err(e) = session.run(&mut feed, &mut backoff).await;
@@ -48,29 +48,33 @@
 /// One span in which the watch stands.
 struct Session {
     /// The store.
-    access: Access,
+    connections: Connections,
     /// What all tasks share.
-    desk: Desk,
+    desk: Context,
     /// Whether the kernel was told that the watch stands.
     up: bool,
 }
 
 impl Session {
     /// Reads the whole state, then follows its changes from there.
-    async fn run(&mut self, feed: &mut Feed, backoff: &mut Backoff) -> Result<Never, StoreError> {
+    async fn run(
+        &mut self,
+        feed: &mut ChangeFeed,
+        backoff: &mut Backoff,
+    ) -> Result<Never, StoreError> {
         let (values, revision) = self.load().await?;
-        feed.load(values);
+        feed.reconcile(values);
         let (requests, queue) = mpsc::channel(RANGES.len());
         for (first, last) in RANGES {
             let _ = requests.try_send(create(first, last, revision + 1));
         }
-        let mut client = self.access.watches();
+        let mut client = self.connections.watch_client();
         let open = client.watch(ReceiverStream::new(queue));
         let tally = Some(IoMetric::WatchCalls);
-        let mut answers = self.access.call("watch", tally, open).await?.into_inner();
+        let mut answers = self.connections.call("watch", tally, open).await?.into_inner();
         let mut created = 0;
         while created < RANGES.len() {
-            let answer = self.access.call("watch", None, answers.message()).await?;
+            let answer = self.connections.call("watch", None, answers.message()).await?;
             created += usize::from(apply(feed, answer)?);
         }
         self.up = true;
@@ -84,7 +88,7 @@
     /// without changes; the refreshes of the lease tell them apart.
     async fn follow(
         &self,
-        feed: &mut Feed,
+        feed: &mut ChangeFeed,
         answers: &mut Streaming<WatchResponse>,
     ) -> Result<Never, StoreError> {
         let closed = |status: tonic::Status| StoreError::Status {
@@ -97,7 +101,7 @@
                 answer = answers.message() => {
                     apply(feed, answer.map_err(closed)?)?;
                 }
-                () = self.access.doubt.notified() => {
+                () = self.connections.unresponsive.notified() => {
                     return Err(StoreError::Closed { step: "refresh" });
                 }
             }
@@ -110,10 +114,10 @@
         let mut values = Vec::new();
         let mut revision = i64::MAX;
         for (first, last) in RANGES {
-            let mut client = self.access.keys();
+            let mut client = self.connections.kv_client();
             let read = client.range(range(first, last));
             let tally = Some(IoMetric::WatchCalls);
-            let answer = self.access.call("load", tally, read).await?.into_inner();
+            let answer = self.connections.call("load", tally, read).await?.into_inner();
             revision = revision.min(answer.header.map_or(0, |header| header.revision));
             values.extend(answer.kvs);
         }
@@ -140,7 +144,7 @@
 }
 
 /// Tells of the changes in an answer; returns whether it created a watch.
-fn apply(feed: &mut Feed, answer: Option<WatchResponse>) -> Result<bool, StoreError> {
+fn apply(feed: &mut ChangeFeed, answer: Option<WatchResponse>) -> Result<bool, StoreError> {
     let answer = answer.ok_or(StoreError::Closed { step: "watch" })?;
     if answer.canceled {
         // Changes were compacted away, or the store gave the watch up: only a
