--- a/endivestile/src/engine.rs
+++ b/endivestile/src/engine.rs
@@ -13,7 +13,7 @@
 use crate::config_checker::CurrentConfig;
 use crate::effects::EffectHandlers;
 use crate::error::Exit;
-use crate::http::{Call, Demand, Reply, Say, Shape};
+use crate::http::{Call, Operation, PendingReply, Reply, ReplyFormat};
 use crate::inbox::Input;
 use crate::status;
 
@@ -36,7 +36,7 @@
     /// Number of fresh ids to return with the reply.
     ids: usize,
     /// Format of the answer.
-    shape: Shape,
+    shape: ReplyFormat,
 }
 
 /// Everything needed to start an engine.
@@ -144,36 +144,36 @@
 
     /// Handles a call.
     fn handle_call(&mut self, cx: CX![], call: Call) {
-        let Call { request, ids, demand } = call;
-        match demand {
-            Demand::Submit(submission, shape) => {
+        let Call { request, ids, operation } = call;
+        match operation {
+            Operation::Submit(submission, shape) => {
                 let call = self.open_call(cx, OpenCall { request, ids, shape });
                 self.handle_event(cx, Event::Call { call, submission });
             }
-            Demand::Ask(id, ask) => {
+            Operation::Ask(id, ask) => {
                 let cancel = ask == endivestile_kernel::Ask::Cancel;
-                let shape = if cancel { Shape::Cancel } else { Shape::Json };
+                let shape = if cancel { ReplyFormat::Cancel } else { ReplyFormat::Json };
                 let call = self.open_call(cx, OpenCall { request, ids, shape });
                 self.handle_event(cx, Event::Ask { call, id, ask });
             }
-            Demand::Mint(count) => {
+            Operation::MintIds(count) => {
                 let minted = self.kernel.mint(self.clock.to_time(cx.now()), count);
                 let texts: Vec<&str> = minted.iter().map(|id| id.text().as_ref()).collect();
                 let body = serde_json::json!({ "ids": texts }).to_string();
                 self.send_reply(request, ids, Reply::json(200, body));
             }
-            Demand::Ready => {
+            Operation::Ready => {
                 let ready = self.kernel.ready() && !self.stopping;
                 let reply = if ready { (200, "ready\n") } else { (503, "not ready\n") };
-                self.send_reply(request, ids, Reply::probe(reply.0, reply.1));
+                self.send_reply(request, ids, Reply::plain_text(reply.0, reply.1));
             }
-            Demand::Status => {
+            Operation::Status => {
                 let counters = &self.handlers.counters;
                 let page =
                     status::status_json(&self.kernel, self.clock, counters, self.calls.len());
                 self.send_reply(request, ids, Reply::json(200, page));
             }
-            Demand::Reply(reply) => self.send_reply(request, ids, reply),
+            Operation::ReplyWithIds(reply) => self.send_reply(request, ids, reply),
         }
     }
 
@@ -190,7 +190,7 @@
     fn send_reply(&mut self, request: Request, ids: usize, reply: Reply) {
         let now = self.clock.now();
         let reply = if ids == 0 { reply } else { reply.with_ids(&self.kernel.mint(now, ids)) };
-        self.handlers.replies.push(Say { request, reply });
+        self.handlers.replies.push(PendingReply { request, reply });
     }
 
     /// Carries out all effects.
@@ -209,7 +209,7 @@
     /// Answers an open call. A second answer to the same call is dropped.
     fn answer_call(&mut self, cx: CX![], call: CallId, answer: &Answer) {
         let Some(open) = self.calls.remove(&call) else { return };
-        let reply = Reply::answer(answer, open.shape, self.clock.to_time(cx.now()));
+        let reply = Reply::from_answer(answer, open.shape, self.clock.to_time(cx.now()));
         self.send_reply(open.request, open.ids, reply);
     }
 
@@ -260,7 +260,7 @@
     /// Ends with work left, and logs how much.
     fn end_with_work_left(&mut self, cx: CX![], cause: &str) {
         let open = self.calls.len();
-        let running = self.handlers.backends.open();
+        let running = self.handlers.backends.open_calls();
         log::warn!("event=left cause={cause} open_calls={open} backend_calls={running}");
         self.end(cx, Exit::WorkLeft);
     }
