--- a/endivestile/src/backend/agent.rs
+++ b/endivestile/src/backend/agent.rs
@@ -64,7 +64,7 @@
         .max_redirects_will_error(false)
         .max_idle_connections(settings.threads)
         .max_idle_connections_per_host(settings.threads)
-        .max_idle_age(Duration::from_millis(settings.idle_ms))
+        .max_idle_age(Duration::from_millis(settings.idle_timeout_ms))
         .user_agent("endivestile")
         .proxy(None)
         .timeout_connect(Some(Duration::from_millis(CONNECT_MS)))
--- a/endivestile/src/fleet/engine.rs
+++ b/endivestile/src/fleet/engine.rs
@@ -9,7 +9,7 @@
 use endivestile_kernel::fleet::{
     Fleet, FleetEffect, FleetEvent, FleetSetup, JobEnd, Limits, Reason,
 };
-use endivestile_wire::adapter::{Adapter, Demand, Say};
+use endivestile_wire::adapter::{Adapter, CallerRequest, CallerResponse};
 use stakker::{CX, FixedTimerKey, StopCause, after, at};
 use tokio::sync::watch;
 
@@ -141,7 +141,7 @@
             Ok(settings) => {
                 self.parts.grace_ms = settings.platform.grace_ms;
                 let (worker, host) =
-                    (settings.platform.worker_lease(), settings.platform.host_lease());
+                    (settings.platform.worker_lease_ms(), settings.platform.host_lease_ms());
                 self.fleet.set_leases(worker, host);
                 log::info!("event=reload outcome=applied worker_lease={worker} host_lease={host}");
             }
@@ -152,31 +152,33 @@
     /// Serves a caller.
     fn call(&mut self, now: Time, call: HttpCall) {
         let table = self.fleet.route_table().map(AsRef::as_ref);
-        let demand = (self.parts.adapter.demand)(&call.head, &call.body, table, now);
+        let demand = (self.parts.adapter.decode_call)(&call.head, &call.body, table, now);
         let say = match demand {
-            Demand::Submit(_) if self.refusing => {
+            CallerRequest::Submit(_) if self.refusing => {
                 let reason = Reason::NoPlacer;
                 log::info!("event=call_refused path={} reason=stopping", call.head.uri.path());
-                Say::Ended(JobEnd::NotRun { reason, retry: now }, now)
+                CallerResponse::Ended(JobEnd::NotRun { reason, retry: now }, now)
             }
-            Demand::Submit(job) => {
+            CallerRequest::Submit(job) => {
                 self.called = now;
                 self.waiting.insert(call.call, call.reply);
                 self.fleet.handle(now, FleetEvent::Call { call: call.call, job: *job });
                 return;
             }
-            Demand::Pending(route) => Say::Pending(self.fleet.pending(now, &route)),
-            Demand::State(id) => Say::State(self.fleet.find(&id).is_some()),
-            Demand::Cancel(id) => Say::Cancelled(self.cancel(now, &id)),
-            Demand::Ready => Say::Ready(self.ready()),
-            Demand::Refuse(refused) => {
+            CallerRequest::Pending(route) => {
+                CallerResponse::Pending(self.fleet.pending(now, &route))
+            }
+            CallerRequest::State(id) => CallerResponse::Running(self.fleet.find(&id).is_some()),
+            CallerRequest::Cancel(id) => CallerResponse::Cancelled(self.cancel(now, &id)),
+            CallerRequest::Ready => CallerResponse::Ready(self.ready()),
+            CallerRequest::Refuse(refused) => {
                 log::info!(
                     "event=call_refused path={} status={} reason={:?}",
                     call.head.uri.path(),
                     refused.status.as_u16(),
                     refused.reason
                 );
-                Say::Refused(refused)
+                CallerResponse::Refused(refused)
             }
         };
         self.waiting.respond(call.reply, &say);
@@ -185,7 +187,7 @@
     fn cancel(&mut self, now: Time, id: &str) -> bool {
         let Some(call) = self.fleet.find(id) else { return false };
         self.fleet.handle(now, FleetEvent::Cancel(call));
-        self.waiting.answer(call, &Say::Ended(JobEnd::Lost(Reason::Cancelled), now));
+        self.waiting.answer(call, &CallerResponse::Ended(JobEnd::Lost(Reason::Cancelled), now));
         true
     }
 
@@ -199,7 +201,7 @@
         for effect in effects.drain(..) {
             match effect {
                 FleetEffect::Answer { call, end } => {
-                    self.waiting.answer(call, &Say::Ended(end, now));
+                    self.waiting.answer(call, &CallerResponse::Ended(end, now));
                 }
                 FleetEffect::Send { address, frame } => self.parts.links.send(address, frame),
                 FleetEffect::Reconnect(address) => self.parts.links.redial(address),
@@ -271,7 +273,7 @@
         let open = self.waiting.len();
         for call in self.waiting.ids() {
             self.fleet.handle(now, FleetEvent::Cancel(call));
-            self.waiting.answer(call, &Say::Ended(JobEnd::Lost(Reason::Deadline), now));
+            self.waiting.answer(call, &CallerResponse::Ended(JobEnd::Lost(Reason::Deadline), now));
         }
         self.finish_batch(cx);
         log::info!("event=stop_limit open_calls={open}");
--- a/endivestile/src/fleet/open_calls.rs
+++ b/endivestile/src/fleet/open_calls.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use endivestile_kernel::CallId;
-use endivestile_wire::adapter::{Adapter, Say};
+use endivestile_wire::adapter::{Adapter, CallerResponse};
 use http::header::CONNECTION;
 use http::{HeaderValue, Response};
 use tokio::sync::oneshot::Sender;
@@ -29,15 +29,15 @@
     }
 
     /// Answers a caller; one that has left hears nothing.
-    pub(crate) fn answer(&mut self, call: CallId, say: &Say) {
+    pub(crate) fn answer(&mut self, call: CallId, say: &CallerResponse) {
         if let Some(reply) = self.calls.remove(&call) {
             self.respond(reply, say);
         }
     }
 
     /// Answers at once.
-    pub(crate) fn respond(&self, reply: Sender<Response<Bytes>>, say: &Say) {
-        let mut response = (self.adapter.say)(say);
+    pub(crate) fn respond(&self, reply: Sender<Response<Bytes>>, say: &CallerResponse) {
+        let mut response = (self.adapter.encode_response)(say);
         if self.closing {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
--- a/endivestile/src/fleet/operator_keys.rs
+++ b/endivestile/src/fleet/operator_keys.rs
@@ -27,11 +27,11 @@
 
     fn on_key(&mut self, key: &str, revision: u64, value: Option<Bytes>) {
         let keys = &self.adapter.keys;
-        if let Some(zone) = key.strip_prefix(keys.evacuations) {
+        if let Some(zone) = key.strip_prefix(keys.evacuation_prefix) {
             let evacuated = value.is_some();
             let state = EvacuationState { zone: Name::from(zone), revision, evacuated };
             self.inbox.post_event(FleetEvent::Evacuation(state));
-        } else if key == keys.config {
+        } else if key == keys.config_key {
             self.config(key, revision, value);
         }
     }
@@ -47,7 +47,7 @@
             log::error!("event=config_deleted step=read-config key={key}");
             return;
         };
-        match (self.adapter.table)(&value) {
+        match (self.adapter.decode_routes)(&value) {
             Ok(table) => self.inbox.post_event(FleetEvent::Routes(Arc::new(table))),
             Err(e) => {
                 log::error!(
--- a/endivestile/src/fleet/prefix_watch.rs
+++ b/endivestile/src/fleet/prefix_watch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use endivestile_wire::adapter::{Item, Page, StoreFault};
+use endivestile_wire::adapter::{Item, Page, StoreCallError};
 use tokio::time::sleep;
 
 use super::store_client::StoreClient;
@@ -100,7 +100,7 @@
                 return Stop::Failed { answered: false };
             }
         };
-        let mut at = page.at;
+        let mut at = page.store_revision;
         let mut changes = 0;
         self.load(page);
         loop {
@@ -115,12 +115,12 @@
             };
             match watched {
                 Ok(page) => {
-                    at = page.at.max(at);
+                    at = page.store_revision.max(at);
                     changes = page.items.len();
                     page.items.into_iter().for_each(|item| self.put(item));
                 }
                 // What was missed is read anew.
-                Err(StoreFault::Compacted) => return Stop::Failed { answered: true },
+                Err(StoreCallError::Compacted) => return Stop::Failed { answered: true },
                 Err(fault) => {
                     log::debug!("event=store_call_failed step=watch fault={fault:?}");
                     return Stop::Failed { answered: true };
@@ -138,9 +138,9 @@
             self.put(item);
         }
         for key in gone.into_keys() {
-            self.put(Item { key, value: None, revision: page.at });
+            self.put(Item { key, value: None, revision: page.store_revision });
         }
-        self.sink.on_loaded(page.at);
+        self.sink.on_loaded(page.store_revision);
     }
 
     fn put(&mut self, item: Item) {
--- a/endivestile/src/fleet/records.rs
+++ b/endivestile/src/fleet/records.rs
@@ -6,7 +6,7 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{FleetEvent, HOST_KEY_PREFIX, HostEntry, POOL_KEY_PREFIX};
 use endivestile_kernel::{StoreOp, Stored};
-use endivestile_wire::adapter::{StoreFault, Swap};
+use endivestile_wire::adapter::{StoreCallError, Swap};
 use tokio::sync::watch;
 use tokio::time::sleep;
 
@@ -124,7 +124,11 @@
     }
 }
 
-async fn put(reader: &StoreClient, entry: &HostEntry, revision: u64) -> Result<u64, StoreFault> {
+async fn put(
+    reader: &StoreClient,
+    entry: &HostEntry,
+    revision: u64,
+) -> Result<u64, StoreCallError> {
     let key = Name::from(format!("{HOST_KEY_PREFIX}{}", entry.peer.host));
     // A registration is plain data: it cannot fail to be written as JSON.
     let value = Bytes::from(serde_json::to_vec(entry).unwrap_or_default());
@@ -138,7 +142,7 @@
     tokio::spawn(async move {
         let stored = match reader.swap(&Swap { key, revision, value }).await {
             Ok(revision) => Stored::Swapped(revision),
-            Err(StoreFault::Raced(_)) => Stored::Raced,
+            Err(StoreCallError::Raced(_)) => Stored::Raced,
             // A store that turns calls away is not asked again at once.
             Err(_) => Stored::Lost,
         };
--- a/endivestile/src/fleet/run.rs
+++ b/endivestile/src/fleet/run.rs
@@ -86,7 +86,7 @@
     let _context = runtime.enter();
     let clock = Clock::new();
     let metrics = Metrics::new(counters.clone());
-    if let Some(page) = settings.metrics.page {
+    if let Some(page) = settings.metrics.page_address {
         let (listener, bound) = http_server::bind(page)?;
         log::info!("event=page_served address={bound}");
         runtime.spawn(http_server::serve_metrics(listener, metrics.clone()));
@@ -99,13 +99,13 @@
         serial: Arc::new(AtomicU64::new(0)),
         closing: closed,
     };
-    let (listener, http) = http_server::bind(settings.host.http)?;
+    let (listener, http) = http_server::bind(settings.host.http_address)?;
     runtime.spawn(http_server::accept(listener, desk.clone()));
-    if let Some(ready) = settings.platform.ready {
+    if let Some(ready) = settings.platform.ready_address {
         let (listener, _) = http_server::bind(ready)?;
         runtime.spawn(http_server::accept(listener, desk));
     }
-    let listener = peers::bind(settings.host.peers)?;
+    let listener = peers::bind(settings.host.peer_address)?;
     let (address, links_at) = (advertised_address(settings, &listener)?, local_address(&listener)?);
     peers::serve(runtime.handle(), listener, inbox.clone())?;
     let links = Links::start(runtime.handle(), inbox.clone(), counters.clone());
@@ -138,10 +138,10 @@
         zone,
         cpu_milli: settings.platform.cpu_milli,
         link_kbps: settings.platform.link_kbps,
-        remote_factor_milli: settings.platform.remote_milli,
+        remote_factor_milli: settings.platform.remote_factor_milli,
         address,
-        worker_lease_ms: settings.platform.worker_lease(),
-        host_lease_ms: settings.platform.host_lease(),
+        worker_lease_ms: settings.platform.worker_lease_ms(),
+        host_lease_ms: settings.platform.host_lease_ms(),
         policy: settings.platform.policy,
     };
     Ok(EngineParts {
@@ -181,12 +181,16 @@
 ) -> watch::Sender<Registration> {
     let (registration, wishes) = watch::channel(Registration { entry, stored: None });
     let operator = OperatorKeys { adapter: store.adapter, inbox: inbox.clone() };
-    let prefix = store.adapter.keys.operator.to_owned();
+    let prefix = store.adapter.keys.operator_prefix.to_owned();
     runtime.spawn(prefix_watch::run(prefix, store.clone(), operator));
     let records = Records { inbox: inbox.clone(), registration: registration.clone() };
     runtime.spawn(prefix_watch::run(OWN_KEYS.to_owned(), store.clone(), records));
     let listing = WorkerList::new(store.adapter, inbox.clone(), list_role);
-    runtime.spawn(prefix_watch::run(store.adapter.keys.workers.to_owned(), store.clone(), listing));
+    runtime.spawn(prefix_watch::run(
+        store.adapter.keys.worker_prefix.to_owned(),
+        store.clone(),
+        listing,
+    ));
     runtime.spawn(records::register(store.clone(), wishes));
     registration
 }
--- a/endivestile/src/fleet/store_client.rs
+++ b/endivestile/src/fleet/store_client.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_wire::adapter::{Adapter, Item, Page, StoreFault, Swap};
+use endivestile_wire::adapter::{Adapter, Item, Page, StoreCallError, Swap};
 use http::{Request, StatusCode};
 use tokio::time::Instant;
 
@@ -28,17 +28,17 @@
 
 impl StoreClient {
     /// Reads all keys with a prefix, and the revision from which to watch.
-    pub(crate) async fn range(&self, prefix: &str) -> Result<Page, StoreFault> {
+    pub(crate) async fn range(&self, prefix: &str) -> Result<Page, StoreCallError> {
         let mut whole = Page::default();
         for _ in 0..MAX_PAGES {
             let after = whole.items.last().map(|item: &Item| item.key.clone());
-            let request = (self.adapter.range)(prefix, after.as_deref());
+            let request = (self.adapter.encode_range)(prefix, after.as_deref());
             let (status, body) = self.call(request, 0).await?;
-            let page = (self.adapter.page)(status, &body)?;
+            let page = (self.adapter.decode_page)(status, &body)?;
             // Pages are no snapshot: what changes between two of them shows in
             // a watch from the revision of the first.
-            if whole.at == 0 {
-                whole.at = page.at;
+            if whole.store_revision == 0 {
+                whole.store_revision = page.store_revision;
             }
             let more = page.more && !page.items.is_empty();
             whole.items.extend(page.items);
@@ -56,25 +56,25 @@
         prefix: &str,
         after: u64,
         wait_ms: u32,
-    ) -> Result<Page, StoreFault> {
-        let request = (self.adapter.watch)(prefix, after, wait_ms);
+    ) -> Result<Page, StoreCallError> {
+        let request = (self.adapter.encode_watch)(prefix, after, wait_ms);
         let (status, body) = self.call(request, u64::from(wait_ms)).await?;
-        (self.adapter.page)(status, &body)
+        (self.adapter.decode_page)(status, &body)
     }
 
     /// Changes a key under the condition of its revision.
-    pub(crate) async fn swap(&self, swap: &Swap) -> Result<u64, StoreFault> {
-        let (status, body) = self.call((self.adapter.swap)(swap), 0).await?;
-        (self.adapter.swapped)(status, &body)
+    pub(crate) async fn swap(&self, swap: &Swap) -> Result<u64, StoreCallError> {
+        let (status, body) = self.call((self.adapter.encode_swap)(swap), 0).await?;
+        (self.adapter.decode_swap)(status, &body)
     }
 
     async fn call(
         &self,
         request: Request<Bytes>,
         wait_ms: u64,
-    ) -> Result<(StatusCode, Bytes), StoreFault> {
+    ) -> Result<(StatusCode, Bytes), StoreCallError> {
         let due = Instant::now() + Duration::from_millis(wait_ms + self.timeout_ms);
         let answer = self.client.call(&self.address, request, due).await;
-        answer.map_err(|_| StoreFault::Lost)
+        answer.map_err(|_| StoreCallError::Lost)
     }
 }
--- a/endivestile/src/fleet/worker_client.rs
+++ b/endivestile/src/fleet/worker_client.rs
@@ -39,9 +39,10 @@
         let adapter = self.adapter;
         match call {
             WorkerCall::Start(order) => {
-                let answer = self.client.call(&order.address, (adapter.start)(&order), due).await;
+                let answer =
+                    self.client.call(&order.address, (adapter.encode_start)(&order), due).await;
                 let end = match answer {
-                    Ok((status, body)) => (adapter.started)(status, &body),
+                    Ok((status, body)) => (adapter.decode_start)(status, &body),
                     Err(fault) => StartResult::Failed(fault.into()),
                 };
                 FleetEvent::StartResult {
@@ -52,9 +53,10 @@
                 }
             }
             WorkerCall::Stop(order) => {
-                let answer = self.client.call(&order.address, (adapter.stop)(&order), due).await;
+                let answer =
+                    self.client.call(&order.address, (adapter.encode_stop)(&order), due).await;
                 let end = match answer {
-                    Ok((status, body)) => (adapter.stopped)(status, &body),
+                    Ok((status, body)) => (adapter.decode_stop)(status, &body),
                     Err(fault) => Err(fault.into()),
                 };
                 FleetEvent::StopResult {
@@ -65,9 +67,10 @@
                 }
             }
             WorkerCall::Renew(number, order) => {
-                let answer = self.client.call(&order.address, (adapter.hold)(&order), due).await;
+                let answer =
+                    self.client.call(&order.address, (adapter.encode_renewal)(&order), due).await;
                 let end = match answer {
-                    Ok((status, body)) => (adapter.held)(status, &body),
+                    Ok((status, body)) => (adapter.decode_renewal)(status, &body),
                     Err(fault) => Err(fault.into()),
                 };
                 FleetEvent::RenewalResult { worker: order.worker, number, end }
--- a/endivestile/src/fleet/worker_list.rs
+++ b/endivestile/src/fleet/worker_list.rs
@@ -130,7 +130,7 @@
     /// Takes one registration over. Registrations may lapse while the store is away; the
     /// workers serve on, so that a missing entry is kept until they are back.
     fn on_key(&mut self, key: &str, _revision: u64, value: Option<Bytes>) {
-        let Some(id) = key.strip_prefix(self.adapter.keys.workers) else { return };
+        let Some(id) = key.strip_prefix(self.adapter.keys.worker_prefix) else { return };
         self.missing.remove(id);
         self.told = Instant::now();
         let Some(value) = value else {
@@ -141,7 +141,7 @@
             }
             return;
         };
-        match (self.adapter.worker)(id, &value) {
+        match (self.adapter.decode_worker)(id, &value) {
             Some(entry) => {
                 let old = self.entries.insert(id.to_owned(), entry.clone());
                 self.changed |= old != Some(entry);
--- a/endivestile/src/run.rs
+++ b/endivestile/src/run.rs
@@ -72,7 +72,7 @@
     let Some(name) = &settings.platform.adapter else {
         return serve(&settings, counters);
     };
-    let adapter = Adapter::named(name).ok_or_else(|| RunError::Adapter { name: name.clone() })?;
+    let adapter = Adapter::by_name(name).ok_or_else(|| RunError::Adapter { name: name.clone() })?;
     let reloader = SettingsReloader { args: args.clone(), log };
     fleet::serve(&settings, adapter, &counters, reloader)
 }
@@ -112,8 +112,8 @@
     let adopted = CurrentConfig::default();
     let (inbox, inlet) = Inbox::new();
     let net = NetRuntime::start()?;
-    let callers = http::bind(net.handle(), settings.host.http)?;
-    let peers = peers::bind(settings.host.peers)?;
+    let callers = http::bind(net.handle(), settings.host.http_address)?;
+    let peers = peers::bind(settings.host.peer_address)?;
     let address = advertised_address(settings, &peers)?;
     let me = Peer::new(settings.host.name.clone(), since_epoch().as_micros() as u64);
     let checker = ConfigChecker::start(inbox.clone(), adopted.clone())?;
@@ -157,7 +157,7 @@
     let seeds = seeds.map(|(host, at)| seed_of(host, *at)).collect();
     let setup = Setup { me, zone: settings.host.zone.clone(), address, wall_s, seed, seeds };
     let exit = Rc::new(Cell::new(Exit::Failed));
-    let stop_limit_s = settings.stop.limit_s;
+    let stop_limit_s = settings.stop.shutdown_limit_s;
     let parts =
         EngineParts { setup, handlers, clock, adopted, stop_limit_s, exit: Rc::clone(&exit) };
     turn(&inlet, parts);
@@ -170,7 +170,7 @@
     settings: &Settings,
     bound: &TcpListener,
 ) -> Result<Name, RunError> {
-    let mut address = settings.host.advertised();
+    let mut address = settings.host.advertised_address();
     if address.port() == 0 {
         address.set_port(local_address(bound)?.port());
     }
--- a/endivestile/src/statsd.rs
+++ b/endivestile/src/statsd.rs
@@ -39,7 +39,7 @@
 }
 
 fn client(settings: &MetricSettings, host: &str) -> Result<StatsdClient, RunError> {
-    let Some(address) = settings.statsd else {
+    let Some(address) = settings.statsd_address else {
         return Ok(StatsdClient::from_sink(PREFIX, NopMetricSink));
     };
     let failed = |reason: String| RunError::Bind {
--- a/endivestile/src/store/feed.rs
+++ b/endivestile/src/store/feed.rs
@@ -73,7 +73,7 @@
             record_event(shard, revision, value)
         } else if let Some(name) = key.strip_prefix(key::STOPS) {
             Ok(Event::Stop { name: Name::from(name), stop: value.is_some() })
-        } else if let Some(name) = key.strip_prefix(key::PLATFORM) {
+        } else if let Some(name) = key.strip_prefix(key::PLATFORM_HOSTS) {
             platform_event(name, value)
         } else {
             return;
--- a/endivestile/src/store/watch.rs
+++ b/endivestile/src/store/watch.rs
@@ -20,7 +20,8 @@
 
 /// First keys of the watched ranges, and prefixes that end them. The audit
 /// trail sorts before the configuration and is left out: no host needs it.
-const RANGES: [(&str, &str); 2] = [(key::CONFIG, key::STOPS), (key::PLATFORM, key::PLATFORM)];
+const RANGES: [(&str, &str); 2] =
+    [(key::CONFIG, key::STOPS), (key::PLATFORM_HOSTS, key::PLATFORM_HOSTS)];
 
 /// Reads and watches until the process ends.
 pub(crate) async fn run(access: Access, desk: Desk) {
--- a/endivestile_config/src/check.rs
+++ b/endivestile_config/src/check.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::document::MAX_BYTES;
-use crate::error::{ConfigError, Place};
+use crate::error::{ConfigError, Location};
 use crate::model::{Config, Name};
 use crate::raw::nearest;
 
 /// Placement policies that a host knows.
-pub const POLICIES: [&str; 5] =
+pub const PLACEMENT_POLICIES: [&str; 5] =
     ["earliest", "random", "round-robin", "least-outstanding", "two-choices"];
 
 /// Most faults that [`check`] names. One wrong line can make thousands, and
@@ -44,7 +44,7 @@
 pub fn check_change(old: &Config, new: &Config) -> Result<(), Vec<ConfigError>> {
     let mut errors = Vec::new();
     if new.revision <= old.revision {
-        errors.push(ConfigError::Revision { old: old.revision, new: new.revision });
+        errors.push(ConfigError::StaleRevision { old: old.revision, new: new.revision });
     }
     if old.revision > 0 {
         let (was, is) = (&old.rules, &new.rules);
@@ -56,8 +56,12 @@
 
 fn fixed(errors: &mut Vec<ConfigError>, key: &str, old: u64, new: u64) {
     if old != new {
-        let place = Place::key("rules", key);
-        errors.push(ConfigError::Fixed { place, old: old.to_string(), new: new.to_string() });
+        let location = Location::key("rules", key);
+        errors.push(ConfigError::Immutable {
+            location,
+            old: old.to_string(),
+            new: new.to_string(),
+        });
     }
 }
 
@@ -76,10 +80,14 @@
         }
     }
 
-    fn unknown<T>(&mut self, place: Place, value: &str, known: &BTreeMap<Name, T>) {
+    fn unknown<T>(&mut self, location: Location, value: &str, known: &BTreeMap<Name, T>) {
         if self.errors.len() < MAX_ERRORS {
-            let near = nearest(value, known.keys().map(AsRef::as_ref));
-            self.add(ConfigError::Reference { place, value: value.to_owned(), near });
+            let suggestion = nearest(value, known.keys().map(AsRef::as_ref));
+            self.add(ConfigError::UnknownReference {
+                location,
+                value: value.to_owned(),
+                suggestion,
+            });
         }
     }
 
@@ -95,20 +103,20 @@
 
     fn zone(&mut self, kind: &str, name: &str, zone: &str) {
         if !self.config.zones.contains_key(zone) {
-            let place = Place::key(&format!("{kind} {name}"), "zone");
-            self.unknown(place, zone, &self.config.zones);
+            let location = Location::key(&format!("{kind} {name}"), "zone");
+            self.unknown(location, zone, &self.config.zones);
         }
     }
 
     fn services(&mut self) {
         let config = self.config;
         for (name, service) in &config.services {
-            let place = Place::key(&format!("service {name}"), "backend-servers");
+            let location = Location::key(&format!("service {name}"), "backend-servers");
             if service.servers.is_empty() {
-                self.add(ConfigError::Missing { place: place.clone() });
+                self.add(ConfigError::Missing { location: location.clone() });
             }
             for server in service.servers.iter().filter(|s| !config.servers.contains_key(*s)) {
-                self.unknown(place.clone(), server, &config.servers);
+                self.unknown(location.clone(), server, &config.servers);
             }
         }
     }
@@ -123,9 +131,9 @@
         let mut owners: HashMap<&Name, &str> = HashMap::new();
         for (kind, name) in hosts.chain(servers).chain(workers) {
             if let Some(other) = owners.insert(name, kind) {
-                let place = Place::key(&format!("{kind} {name}"), "");
+                let location = Location::key(&format!("{kind} {name}"), "");
                 let (value, other) = (format!("the name {name}"), format!("{other} {name}"));
-                self.add(ConfigError::Clash { place, value, other });
+                self.add(ConfigError::Conflict { location, value, other });
             }
         }
     }
@@ -139,10 +147,10 @@
         let mut owners: HashMap<&Name, String> = HashMap::new();
         for (kind, name, address) in hosts.chain(servers).chain(workers) {
             let section = format!("{kind} {name}");
-            let place = Place::key(&section, "address");
+            let location = Location::key(&section, "address");
             if let Some(other) = owners.insert(address, section) {
                 let value = address.to_string();
-                self.add(ConfigError::Clash { place, value, other });
+                self.add(ConfigError::Conflict { location, value, other });
             }
         }
     }
@@ -175,29 +183,30 @@
 
     fn positive(&mut self, section: &str, key: &str, number: u32) {
         if number == 0 {
-            let place = Place::key(section, key);
+            let location = Location::key(section, key);
             let accepted = "whole numbers from 1".to_owned();
-            self.add(ConfigError::Value { place, value: "0".to_owned(), accepted });
+            self.add(ConfigError::InvalidValue { location, value: "0".to_owned(), accepted });
         }
     }
 
     fn whole(&mut self) {
         let config = self.config;
         if config.hosts.is_empty() {
-            self.add(ConfigError::Missing { place: Place::key("host NAME", "") });
+            self.add(ConfigError::Missing { location: Location::key("host NAME", "") });
         }
         if config.teams.is_empty() {
-            self.add(ConfigError::Missing { place: Place::key("team NAME", "") });
+            self.add(ConfigError::Missing { location: Location::key("team NAME", "") });
         }
-        if !POLICIES.contains(&config.rules.policy.as_ref()) {
-            let place = Place::key("rules", "policy");
-            let (value, accepted) = (config.rules.policy.to_string(), POLICIES.join(", "));
-            self.add(ConfigError::Value { place, value, accepted });
+        if !PLACEMENT_POLICIES.contains(&config.rules.policy.as_ref()) {
+            let location = Location::key("rules", "policy");
+            let (value, accepted) =
+                (config.rules.policy.to_string(), PLACEMENT_POLICIES.join(", "));
+            self.add(ConfigError::InvalidValue { location, value, accepted });
         }
         let bytes = config.canonical().len();
         if bytes > MAX_BYTES {
-            let place = Place { origin: Name::from("canonical form"), ..Place::default() };
-            self.add(ConfigError::Size { place, bytes, limit: MAX_BYTES });
+            let location = Location { origin: Name::from("canonical form"), ..Location::default() };
+            self.add(ConfigError::TooLarge { location, bytes, limit: MAX_BYTES });
         }
     }
 }
--- a/endivestile_config/src/diff.rs
+++ b/endivestile_config/src/diff.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::keys::Keys;
+use crate::keys::SectionFields;
 use crate::model::{Config, Name};
 
 /// One key that differs.
@@ -46,7 +46,7 @@
     changes
 }
 
-fn compare_all<T: Keys>(
+fn compare_all<T: SectionFields>(
     changes: &mut Vec<Change>,
     kind: &str,
     old: &BTreeMap<Name, T>,
@@ -58,7 +58,12 @@
     }
 }
 
-fn compare<T: Keys>(changes: &mut Vec<Change>, section: &str, old: Option<&T>, new: Option<&T>) {
+fn compare<T: SectionFields>(
+    changes: &mut Vec<Change>,
+    section: &str,
+    old: Option<&T>,
+    new: Option<&T>,
+) {
     for key in T::KEYS {
         let was = old.map(|value| value.get(key));
         let is = new.map(|value| value.get(key));
--- a/endivestile_config/src/document.rs
+++ b/endivestile_config/src/document.rs
@@ -2,9 +2,9 @@
 
 use ini::{Ini, ParseOption, Properties};
 
-use crate::error::{ConfigError, Place};
+use crate::error::{ConfigError, Location};
 use crate::model::Name;
-use crate::raw::{Raw, shorten};
+use crate::raw::{RawValue, truncate};
 
 /// Largest text that is accepted, in bytes: the store's largest value, less a
 /// margin for the store's own framing.
@@ -14,13 +14,13 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Section {
     /// Where its header stands; the section as written.
-    pub(crate) place: Place,
+    pub(crate) location: Location,
     /// First word of the header.
     pub(crate) kind: String,
     /// Rest of the header.
     pub(crate) name: String,
     /// Its values in the order of the text.
-    pub(crate) values: Vec<Raw>,
+    pub(crate) values: Vec<RawValue>,
 }
 
 /// Line numbers of a section, which the library doesn't keep.
@@ -33,11 +33,11 @@
 }
 
 /// Splits a text into its sections.
-pub(crate) fn read(text: &str, origin: &str) -> Result<Vec<Section>, ConfigError> {
+pub(crate) fn read_sections(text: &str, origin: &str) -> Result<Vec<Section>, ConfigError> {
     let origin = Name::from(origin);
     if text.len() > MAX_BYTES {
-        let place = Place { origin, ..Place::default() };
-        return Err(ConfigError::Size { place, bytes: text.len(), limit: MAX_BYTES });
+        let location = Location { origin, ..Location::default() };
+        return Err(ConfigError::TooLarge { location, bytes: text.len(), limit: MAX_BYTES });
     }
     let lines = scan(text, &origin)?;
     let ini = load(text, &origin)?;
@@ -66,10 +66,10 @@
     origin: &Name,
 ) -> Result<Section, ConfigError> {
     let (kind, name) = title.split_once(char::is_whitespace).unwrap_or((title, ""));
-    let place = Place {
+    let location = Location {
         origin: origin.clone(),
         line: lines.header,
-        section: shorten(title),
+        section: truncate(title),
         key: String::new(),
     };
     let entries: Vec<(&str, &str)> = keys.iter().collect();
@@ -79,12 +79,12 @@
     let values = entries
         .iter()
         .zip(&lines.keys)
-        .map(|((key, text), line)| Raw {
-            place: Place { line: *line, key: shorten(key.trim()), ..place.clone() },
+        .map(|((key, text), line)| RawValue {
+            location: Location { line: *line, key: truncate(key.trim()), ..location.clone() },
             text: text.trim().to_owned(),
         })
         .collect();
-    Ok(Section { place, kind: kind.to_owned(), name: name.trim().to_owned(), values })
+    Ok(Section { location, kind: kind.to_owned(), name: name.trim().to_owned(), values })
 }
 
 /// Notes the lines of headers and keys, and refuses every line that is
@@ -128,6 +128,6 @@
 }
 
 fn syntax(origin: &Name, line: usize, reason: &str) -> ConfigError {
-    let place = Place { origin: origin.clone(), line, ..Place::default() };
-    ConfigError::Syntax { place, reason: reason.to_owned() }
+    let location = Location { origin: origin.clone(), line, ..Location::default() };
+    ConfigError::Syntax { location, reason: reason.to_owned() }
 }
--- a/endivestile_config/src/error.rs
+++ b/endivestile_config/src/error.rs
@@ -8,7 +8,7 @@
 
 /// Where in a text an error arose.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Place {
+pub struct Location {
     /// File, or another name of the text; empty when not known.
     pub origin: Name,
     /// Line, from 1; 0 when not known.
@@ -19,14 +19,14 @@
     pub key: String,
 }
 
-impl Place {
+impl Location {
     /// Makes a place that knows its section and key only.
     pub(crate) fn key(section: &str, key: &str) -> Self {
         Self { section: section.to_owned(), key: key.to_owned(), ..Self::default() }
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut gap = "";
         if !self.origin.is_empty() {
@@ -57,47 +57,47 @@
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ConfigError {
         /// The text is no INI.
-        Syntax { place: Place, reason: String } {
-            display("{place}: {reason}")
+        Syntax { location: Location, reason: String } {
+            display("{location}: {reason}")
         }
         /// The text is larger than the platform's store holds.
-        Size { place: Place, bytes: usize, limit: usize } {
-            display("{place}: {bytes} bytes, at most {limit} are accepted")
+        TooLarge { location: Location, bytes: usize, limit: usize } {
+            display("{location}: {bytes} bytes, at most {limit} are accepted")
         }
         /// No section of this kind is known.
-        Section { place: Place, near: String } {
-            display("{place}: unknown section, the nearest is [{near}]")
+        UnknownSection { location: Location, suggestion: String } {
+            display("{location}: unknown section, the nearest is [{suggestion}]")
         }
         /// No key of this name is known in its section.
-        Key { place: Place, near: String } {
-            display("{place}: unknown key, the nearest is {near}")
+        UnknownKey { location: Location, suggestion: String } {
+            display("{location}: unknown key, the nearest is {suggestion}")
         }
         /// The section or key stands twice.
-        Twice { place: Place, first: usize } {
-            display("{place}: stands twice, first in line {first}")
+        Duplicate { location: Location, first_line: usize } {
+            display("{location}: stands twice, first in line {first_line}")
         }
         /// The key must be given and isn't.
-        Missing { place: Place } {
-            display("{place}: missing")
+        Missing { location: Location } {
+            display("{location}: missing")
         }
         /// The value is not accepted.
-        Value { place: Place, value: String, accepted: String } {
-            display("{place}: \"{value}\" is not accepted, only {accepted}")
+        InvalidValue { location: Location, value: String, accepted: String } {
+            display("{location}: \"{value}\" is not accepted, only {accepted}")
         }
         /// The value names something that doesn't exist.
-        Reference { place: Place, value: String, near: Option<String> } {
-            display("{place}: there is no \"{value}\"{}", hint(near))
+        UnknownReference { location: Location, value: String, suggestion: Option<String> } {
+            display("{location}: there is no \"{value}\"{}", hint(suggestion))
         }
         /// Two sections claim the same value.
-        Clash { place: Place, value: String, other: String } {
-            display("{place}: {value} belongs to [{other}] already")
+        Conflict { location: Location, value: String, other: String } {
+            display("{location}: {value} belongs to [{other}] already")
         }
         /// The key is fixed once a configuration was accepted.
-        Fixed { place: Place, old: String, new: String } {
-            display("{place}: fixed at {old} once accepted, cannot become {new}")
+        Immutable { location: Location, old: String, new: String } {
+            display("{location}: fixed at {old} once accepted, cannot become {new}")
         }
         /// The revision doesn't grow.
-        Revision { old: u64, new: u64 } {
+        StaleRevision { old: u64, new: u64 } {
             display("[configuration] revision: {new} is not above {old}, which is in force")
         }
     }
@@ -105,43 +105,43 @@
 
 impl ConfigError {
     /// Returns where the error arose, if it has a place.
-    pub fn place(&self) -> Option<&Place> {
+    pub fn location(&self) -> Option<&Location> {
         match self {
-            Self::Syntax { place, .. }
-            | Self::Size { place, .. }
-            | Self::Section { place, .. }
-            | Self::Key { place, .. }
-            | Self::Twice { place, .. }
-            | Self::Missing { place }
-            | Self::Value { place, .. }
-            | Self::Reference { place, .. }
-            | Self::Clash { place, .. }
-            | Self::Fixed { place, .. } => Some(place),
-            Self::Revision { .. } => None,
+            Self::Syntax { location, .. }
+            | Self::TooLarge { location, .. }
+            | Self::UnknownSection { location, .. }
+            | Self::UnknownKey { location, .. }
+            | Self::Duplicate { location, .. }
+            | Self::Missing { location }
+            | Self::InvalidValue { location, .. }
+            | Self::UnknownReference { location, .. }
+            | Self::Conflict { location, .. }
+            | Self::Immutable { location, .. } => Some(location),
+            Self::StaleRevision { .. } => None,
         }
     }
 
     /// Returns the place for a change.
-    pub(crate) fn place_mut(&mut self) -> Option<&mut Place> {
+    pub(crate) fn location_mut(&mut self) -> Option<&mut Location> {
         match self {
-            Self::Syntax { place, .. }
-            | Self::Size { place, .. }
-            | Self::Section { place, .. }
-            | Self::Key { place, .. }
-            | Self::Twice { place, .. }
-            | Self::Missing { place }
-            | Self::Value { place, .. }
-            | Self::Reference { place, .. }
-            | Self::Clash { place, .. }
-            | Self::Fixed { place, .. } => Some(place),
-            Self::Revision { .. } => None,
+            Self::Syntax { location, .. }
+            | Self::TooLarge { location, .. }
+            | Self::UnknownSection { location, .. }
+            | Self::UnknownKey { location, .. }
+            | Self::Duplicate { location, .. }
+            | Self::Missing { location }
+            | Self::InvalidValue { location, .. }
+            | Self::UnknownReference { location, .. }
+            | Self::Conflict { location, .. }
+            | Self::Immutable { location, .. } => Some(location),
+            Self::StaleRevision { .. } => None,
         }
     }
 }
 
-fn hint(near: &Option<String>) -> String {
-    match near {
-        Some(near) => format!(", the nearest is \"{near}\""),
+fn hint(suggestion: &Option<String>) -> String {
+    match suggestion {
+        Some(suggestion) => format!(", the nearest is \"{suggestion}\""),
         None => String::new(),
     }
 }
--- a/endivestile_config/src/lib.rs
+++ b/endivestile_config/src/lib.rs
@@ -13,12 +13,12 @@
 mod raw;
 mod settings;
 
-pub use check::{POLICIES, check, check_change};
+pub use check::{PLACEMENT_POLICIES, check, check_change};
 pub use diff::{Change, diff};
 pub use document::MAX_BYTES;
-pub use error::{ConfigError, Place};
+pub use error::{ConfigError, Location};
 pub use mechanism::{Mechanism, Policy};
-pub use parse::{File, locate, parse, parse_files};
+pub use parse::{SourceFile, locate, parse, parse_files};
 pub use settings::{
     BackendSettings, CallSettings, HostSettings, LogSettings, MetricSettings, PlatformSettings,
     Settings, StopSettings, StoreSettings,
--- a/endivestile_config/src/mechanism.rs
+++ b/endivestile_config/src/mechanism.rs
@@ -6,7 +6,7 @@
     /// Routes with a lower priority number go first.
     Priority,
     /// The other tasks of a job that has begun go before late jobs.
-    BegunFirst,
+    StartedFirst,
     /// Late jobs whose turn cannot come in time are refused at once.
     Shedding,
     /// The speed of each worker is learnt.
@@ -39,7 +39,7 @@
     /// All of them.
     pub const ALL: [Self; 15] = [
         Self::Priority,
-        Self::BegunFirst,
+        Self::StartedFirst,
         Self::Shedding,
         Self::Speeds,
         Self::Durations,
@@ -59,7 +59,7 @@
     pub fn label(self) -> &'static str {
         match self {
             Self::Priority => "priority",
-            Self::BegunFirst => "begun-first",
+            Self::StartedFirst => "begun-first",
             Self::Shedding => "shedding",
             Self::Speeds => "speeds",
             Self::Durations => "durations",
@@ -77,7 +77,7 @@
     }
 
     /// Returns the policy of a word.
-    pub fn named(word: &str) -> Option<Self> {
+    pub fn by_label(word: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|mechanism| mechanism.label() == word)
     }
 }
@@ -102,7 +102,7 @@
     }
 
     /// Returns those that are left out.
-    pub fn left_out(self) -> impl Iterator<Item = Mechanism> {
+    pub fn disabled(self) -> impl Iterator<Item = Mechanism> {
         Mechanism::ALL.into_iter().filter(move |mechanism| !self.has(*mechanism))
     }
 }
--- a/endivestile_config/src/model_keys.rs
+++ b/endivestile_config/src/model_keys.rs
@@ -1,19 +1,19 @@
 //! Keys of the inventory and of the rules.
 
-use crate::check::POLICIES;
+use crate::check::PLACEMENT_POLICIES;
 use crate::error::ConfigError;
-use crate::keys::{Keys, unknown_key};
+use crate::keys::{SectionFields, unknown_key};
 use crate::model::{Host, Name, Rules, Server, Service, Team, WitnessZone, Worker, Zone};
-use crate::raw::{Raw, is_name};
+use crate::raw::{RawValue, is_valid_name};
 
 /// Names of [`WitnessZone`] in a text, in the order of its variants.
 const WITNESS_WORDS: [&str; 2] = ["other", "same"];
 
-impl Keys for Zone {
+impl SectionFields for Zone {
     const KEYS: &'static [&'static str] = &["region"];
     const REQUIRED: &'static [&'static str] = &[];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
         self.region = raw.name_or_empty()?;
         Ok(())
     }
@@ -23,12 +23,12 @@
     }
 }
 
-impl Keys for Host {
+impl SectionFields for Host {
     const KEYS: &'static [&'static str] = &["zone", "address", "weight"];
     const REQUIRED: &'static [&'static str] = &["zone", "address"];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "zone" => self.zone = raw.name()?,
             "address" => self.address = raw.address()?,
             "weight" => self.weight = raw.number(1..=1_000)?,
@@ -46,12 +46,12 @@
     }
 }
 
-impl Keys for Server {
+impl SectionFields for Server {
     const KEYS: &'static [&'static str] = &["zone", "rack", "address", "slots", "connections"];
     const REQUIRED: &'static [&'static str] = &["zone", "address", "slots"];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "zone" => self.zone = raw.name()?,
             "rack" => self.rack = raw.name_or_empty()?,
             "address" => self.address = raw.address()?,
@@ -73,13 +73,13 @@
     }
 }
 
-impl Keys for Worker {
+impl SectionFields for Worker {
     const KEYS: &'static [&'static str] =
         &["zone", "rack", "address", "cpu-milli", "memory-mb", "accelerators"];
     const REQUIRED: &'static [&'static str] = &["zone", "address", "cpu-milli", "memory-mb"];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "zone" => self.zone = raw.name()?,
             "rack" => self.rack = raw.name_or_empty()?,
             "address" => self.address = raw.address()?,
@@ -103,12 +103,12 @@
     }
 }
 
-impl Keys for Service {
+impl SectionFields for Service {
     const KEYS: &'static [&'static str] = &["backend-servers", "path"];
     const REQUIRED: &'static [&'static str] = &["backend-servers", "path"];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "backend-servers" => self.servers = patterns(raw)?,
             "path" => self.path = raw.path()?,
             _ => return Err(unknown_key::<Self>(raw)),
@@ -124,21 +124,21 @@
     }
 }
 
-fn patterns(raw: &Raw) -> Result<Vec<Name>, ConfigError> {
+fn patterns(raw: &RawValue) -> Result<Vec<Name>, ConfigError> {
     let items = raw.list()?;
-    let fits = |item: &Raw| is_name(&item.text.replace('*', "x"));
+    let fits = |item: &RawValue| is_valid_name(&item.text.replace('*', "x"));
     match items.iter().find(|item| !fits(item)) {
-        Some(item) => Err(item.refuse("names of backend servers, * for any run of characters")),
+        Some(item) => Err(item.invalid("names of backend servers, * for any run of characters")),
         None => Ok(items.iter().map(|item| Name::from(item.text.as_str())).collect()),
     }
 }
 
-impl Keys for Team {
+impl SectionFields for Team {
     const KEYS: &'static [&'static str] = &["limit", "weight"];
     const REQUIRED: &'static [&'static str] = &[];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "limit" => self.limit = raw.number(1..=100_000_000)?,
             "weight" => self.weight = raw.number(1..=1_000)?,
             _ => return Err(unknown_key::<Self>(raw)),
@@ -154,7 +154,7 @@
     }
 }
 
-impl Keys for Rules {
+impl SectionFields for Rules {
     const KEYS: &'static [&'static str] = &[
         "shards",
         "window-s",
@@ -167,13 +167,13 @@
     ];
     const REQUIRED: &'static [&'static str] = &[];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "shards" => self.shards = raw.number(1..=4_096)?,
             "window-s" => self.window_s = raw.number(10..=86_400)?,
             "price-us" => self.price_us = raw.number(0..=10_000_000)?,
             "distance-us" => self.distance_us = raw.number(0..=10_000_000)?,
-            "policy" => self.policy = raw.word(&POLICIES)?,
+            "policy" => self.policy = raw.word(&PLACEMENT_POLICIES)?,
             "witness" => self.witness = witness(raw)?,
             "retry-percent" => self.retry_percent = raw.number(0..=100)?,
             "queue-limit" => self.queue_limit = raw.number(1..=1_000_000)?,
@@ -196,7 +196,7 @@
     }
 }
 
-fn witness(raw: &Raw) -> Result<WitnessZone, ConfigError> {
+fn witness(raw: &RawValue) -> Result<WitnessZone, ConfigError> {
     match raw.word(&WITNESS_WORDS)?.as_ref() {
         "other" => Ok(WitnessZone::Other),
         _ => Ok(WitnessZone::Same),
--- a/endivestile_config/src/parse.rs
+++ b/endivestile_config/src/parse.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::document::{MAX_BYTES, Section, read};
-use crate::error::{ConfigError, Place};
-use crate::keys::{Keys, fill, unknown_key, write};
+use crate::document::{MAX_BYTES, Section, read_sections};
+use crate::error::{ConfigError, Location};
+use crate::keys::{SectionFields, set_keys, unknown_key, write_section};
 use crate::model::{Config, Name, Rules, Server, Service};
-use crate::raw::{NAME_ACCEPTED, Raw, is_name, nearest};
+use crate::raw::{NAME_ACCEPTED, RawValue, is_valid_name, nearest};
 
 /// Kinds of sections.
 const KINDS: [&str; 8] = [
@@ -25,7 +25,7 @@
 const RULES: &str = "rules";
 
 /// A text and the name under which errors mention it.
-pub type File<'a> = (&'a str, &'a str);
+pub type SourceFile<'a> = (&'a str, &'a str);
 
 /// Head of the canonical form.
 #[derive(Debug, Default)]
@@ -34,12 +34,12 @@
     revision: u64,
 }
 
-impl Keys for Head {
+impl SectionFields for Head {
     const KEYS: &'static [&'static str] = &["revision"];
     const REQUIRED: &'static [&'static str] = &["revision"];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "revision" => self.revision = raw.number(0..=i64::MAX as u64)?,
             _ => return Err(unknown_key::<Self>(raw)),
         }
@@ -67,21 +67,24 @@
 /// # Errors
 ///
 /// As [`parse`]; the files together may be no larger than [`MAX_BYTES`].
-pub fn parse_files(files: &[File<'_>]) -> Result<Config, ConfigError> {
+pub fn parse_files(files: &[SourceFile<'_>]) -> Result<Config, ConfigError> {
     let bytes = files.iter().map(|(_, text)| text.len()).sum();
     if bytes > MAX_BYTES {
         let origin = files.iter().map(|(origin, _)| *origin).collect::<Vec<_>>().join(" + ");
-        let place = Place { origin: Name::from(origin), ..Place::default() };
-        return Err(ConfigError::Size { place, bytes, limit: MAX_BYTES });
+        let location = Location { origin: Name::from(origin), ..Location::default() };
+        return Err(ConfigError::TooLarge { location, bytes, limit: MAX_BYTES });
     }
     let mut config = Config::default();
     let mut seen: BTreeMap<String, usize> = BTreeMap::new();
     let mut services = Vec::new();
     for (origin, text) in files {
-        for section in read(text, origin)? {
+        for section in read_sections(text, origin)? {
             let title = format!("{} {}", section.kind, section.name);
-            if let Some(first) = seen.insert(title, section.place.line) {
-                return Err(ConfigError::Twice { place: section.place, first });
+            if let Some(first) = seen.insert(title, section.location.line) {
+                return Err(ConfigError::Duplicate {
+                    location: section.location,
+                    first_line: first,
+                });
             }
             add(&mut config, &section)?;
             if section.kind == "service" {
@@ -97,8 +100,8 @@
 
 fn add(config: &mut Config, section: &Section) -> Result<(), ConfigError> {
     if !KINDS.contains(&section.kind.as_str()) {
-        let near = nearest(&section.kind, KINDS).unwrap_or_default();
-        return Err(ConfigError::Section { place: section.place.clone(), near });
+        let suggestion = nearest(&section.kind, KINDS).unwrap_or_default();
+        return Err(ConfigError::UnknownSection { location: section.location.clone(), suggestion });
     }
     check_name(section)?;
     match section.kind.as_str() {
@@ -108,10 +111,10 @@
         "worker" => insert(&mut config.workers, section),
         "service" => insert(&mut config.services, section),
         "team" => insert(&mut config.teams, section),
-        RULES => fill(&mut config.rules, section),
+        RULES => set_keys(&mut config.rules, section),
         _ => {
             let mut head = Head::default();
-            fill(&mut head, section)?;
+            set_keys(&mut head, section)?;
             config.revision = head.revision;
             Ok(())
         }
@@ -120,20 +123,20 @@
 
 fn check_name(section: &Section) -> Result<(), ConfigError> {
     let single = matches!(section.kind.as_str(), RULES | HEAD);
-    if single && section.name.is_empty() || !single && is_name(&section.name) {
+    if single && section.name.is_empty() || !single && is_valid_name(&section.name) {
         return Ok(());
     }
     let accepted = if single { "no name" } else { NAME_ACCEPTED };
-    let raw = Raw { place: section.place.clone(), text: section.name.clone() };
-    Err(raw.refuse(accepted))
+    let raw = RawValue { location: section.location.clone(), text: section.name.clone() };
+    Err(raw.invalid(accepted))
 }
 
-fn insert<T: Keys + Default>(
+fn insert<T: SectionFields + Default>(
     map: &mut BTreeMap<Name, T>,
     section: &Section,
 ) -> Result<(), ConfigError> {
     let mut value = T::default();
-    fill(&mut value, section)?;
+    set_keys(&mut value, section)?;
     map.insert(Name::from(section.name.as_str()), value);
     Ok(())
 }
@@ -152,8 +155,12 @@
         let before = names.len();
         names.extend(matching(&config.servers, pattern));
         if names.len() == before {
-            let place = place_of(section, "backend-servers");
-            return Err(ConfigError::Reference { place, value: pattern.to_string(), near: None });
+            let location = location_of(section, "backend-servers");
+            return Err(ConfigError::UnknownReference {
+                location,
+                value: pattern.to_string(),
+                suggestion: None,
+            });
         }
     }
     names.sort();
@@ -186,24 +193,24 @@
     rest.ends_with(last)
 }
 
-fn place_of(section: &Section, key: &str) -> Place {
-    let raw = section.values.iter().find(|raw| raw.place.key == key);
-    raw.map_or_else(|| section.place.clone(), |raw| raw.place.clone())
+fn location_of(section: &Section, key: &str) -> Location {
+    let raw = section.values.iter().find(|raw| raw.location.key == key);
+    raw.map_or_else(|| section.location.clone(), |raw| raw.location.clone())
 }
 
 /// Adds file and line to errors of [`check`](crate::check()), which knows only
 /// section and key.
-pub fn locate(files: &[File<'_>], errors: &mut [ConfigError]) {
-    let texts = files.iter().map(|(origin, text)| read(text, origin));
+pub fn locate(files: &[SourceFile<'_>], errors: &mut [ConfigError]) {
+    let texts = files.iter().map(|(origin, text)| read_sections(text, origin));
     let sections: Vec<Section> = texts.filter_map(Result::ok).flatten().collect();
-    for place in errors.iter_mut().filter_map(ConfigError::place_mut) {
+    for location in errors.iter_mut().filter_map(ConfigError::location_mut) {
         let title = |section: &&Section| {
-            format!("{} {}", section.kind, section.name).trim_end() == place.section
+            format!("{} {}", section.kind, section.name).trim_end() == location.section
         };
         if let Some(section) = sections.iter().find(title) {
-            let found = place_of(section, &place.key);
-            place.origin = found.origin;
-            place.line = found.line;
+            let found = location_of(section, &location.key);
+            location.origin = found.origin;
+            location.line = found.line;
         }
     }
 }
@@ -214,9 +221,9 @@
     /// Parsing it gives the same configuration again.
     pub fn canonical(&self) -> String {
         let mut out = String::new();
-        write(&mut out, HEAD, &Head { revision: self.revision });
+        write_section(&mut out, HEAD, &Head { revision: self.revision });
         out.push('\n');
-        write::<Rules>(&mut out, RULES, &self.rules);
+        write_section::<Rules>(&mut out, RULES, &self.rules);
         write_all(&mut out, "availability-zone", &self.zones);
         write_all(&mut out, "host", &self.hosts);
         write_all(&mut out, "backend-server", &self.servers);
@@ -227,9 +234,9 @@
     }
 }
 
-fn write_all<T: Keys>(out: &mut String, kind: &str, map: &BTreeMap<Name, T>) {
+fn write_all<T: SectionFields>(out: &mut String, kind: &str, map: &BTreeMap<Name, T>) {
     for (name, value) in map {
         out.push('\n');
-        write(out, &format!("{kind} {name}"), value);
+        write_section(out, &format!("{kind} {name}"), value);
     }
 }
--- a/endivestile_config/src/settings/backend.rs
+++ b/endivestile_config/src/settings/backend.rs
@@ -1,8 +1,8 @@
 //! Section `[backends]` of the settings.
 
 use crate::error::ConfigError;
-use crate::keys::{Keys, unknown_key};
-use crate::raw::Raw;
+use crate::keys::{SectionFields, unknown_key};
+use crate::raw::RawValue;
 
 /// How backend servers and workers are called.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -11,25 +11,25 @@
     pub threads: usize,
     /// Age at which an idle connection is closed, in milliseconds; keep it
     /// under the back ends' own limit.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
     /// Largest answer of a task, in bytes.
     pub answer_limit: usize,
 }
 
 impl Default for BackendSettings {
     fn default() -> Self {
-        Self { threads: 256, idle_ms: 4_000, answer_limit: 4 << 20 }
+        Self { threads: 256, idle_timeout_ms: 4_000, answer_limit: 4 << 20 }
     }
 }
 
-impl Keys for BackendSettings {
+impl SectionFields for BackendSettings {
     const KEYS: &'static [&'static str] = &["threads", "idle-ms", "answer-limit"];
     const REQUIRED: &'static [&'static str] = &[];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "threads" => self.threads = raw.number(1..=4_096)?,
-            "idle-ms" => self.idle_ms = raw.number(0..=600_000)?,
+            "idle-ms" => self.idle_timeout_ms = raw.number(0..=600_000)?,
             "answer-limit" => self.answer_limit = raw.number(1_024..=(64 << 20))?,
             _ => return Err(unknown_key::<Self>(raw)),
         }
@@ -39,7 +39,7 @@
     fn get(&self, key: &str) -> String {
         match key {
             "threads" => self.threads.to_string(),
-            "idle-ms" => self.idle_ms.to_string(),
+            "idle-ms" => self.idle_timeout_ms.to_string(),
             _ => self.answer_limit.to_string(),
         }
     }
--- a/endivestile_config/src/settings/call.rs
+++ b/endivestile_config/src/settings/call.rs
@@ -1,8 +1,8 @@
 //! Section `[calls]` of the settings.
 
 use crate::error::ConfigError;
-use crate::keys::{Keys, unknown_key};
-use crate::raw::Raw;
+use crate::keys::{SectionFields, unknown_key};
+use crate::raw::RawValue;
 
 /// Longest deadline that a setting accepts, in milliseconds: a day.
 const DAY_MS: u64 = 86_400_000;
@@ -31,13 +31,13 @@
     }
 }
 
-impl Keys for CallSettings {
+impl SectionFields for CallSettings {
     const KEYS: &'static [&'static str] =
         &["threads", "body-limit", "default-deadline-ms", "max-deadline-ms"];
     const REQUIRED: &'static [&'static str] = &[];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "threads" => self.threads = raw.number(1..=1_024)?,
             "body-limit" => self.body_limit = raw.number(1_024..=(64 << 20))?,
             "default-deadline-ms" => self.default_deadline_ms = raw.number(1..=DAY_MS)?,
--- a/endivestile_config/src/settings/host.rs
+++ b/endivestile_config/src/settings/host.rs
@@ -3,10 +3,10 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use crate::error::ConfigError;
-use crate::keys::{Keys, unknown_key};
+use crate::keys::{SectionFields, unknown_key};
 use crate::model::Name;
-use crate::raw::{Raw, is_name};
-use crate::settings::{optional, socket_or_none};
+use crate::raw::{RawValue, is_valid_name};
+use crate::settings::{optional, optional_socket};
 
 /// What a seed is, in words.
 const SEED_ACCEPTED: &str = "name@IP:port of another entry host, for example e2@10.0.1.8:8081";
@@ -19,19 +19,19 @@
     /// Availability zone.
     pub zone: Name,
     /// Address for callers.
-    pub http: SocketAddr,
+    pub http_address: SocketAddr,
     /// Address for links from peers.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Address that peers dial; none means the address of `peers`.
-    pub advertise: Option<SocketAddr>,
+    pub advertise_address: Option<SocketAddr>,
     /// Hosts to ask for the configuration while the store is away: name and address of links.
     pub seeds: Vec<(Name, SocketAddr)>,
 }
 
 impl HostSettings {
     /// Returns the address that peers dial, with port 0 still as it is set.
-    pub fn advertised(&self) -> SocketAddr {
-        self.advertise.unwrap_or(self.peers)
+    pub fn advertised_address(&self) -> SocketAddr {
+        self.advertise_address.unwrap_or(self.peer_address)
     }
 }
 
@@ -40,9 +40,9 @@
         Self {
             name: Name::from(""),
             zone: Name::from(""),
-            http: any(8080),
-            peers: any(8081),
-            advertise: None,
+            http_address: any(8080),
+            peer_address: any(8081),
+            advertise_address: None,
             seeds: Vec::new(),
         }
     }
@@ -52,17 +52,17 @@
     SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), port)
 }
 
-impl Keys for HostSettings {
+impl SectionFields for HostSettings {
     const KEYS: &'static [&'static str] = &["name", "zone", "http", "peers", "advertise", "seeds"];
     const REQUIRED: &'static [&'static str] = &[];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "name" => self.name = raw.name()?,
             "zone" => self.zone = raw.name()?,
-            "http" => self.http = raw.socket()?,
-            "peers" => self.peers = raw.socket()?,
-            "advertise" => self.advertise = socket_or_none(raw)?,
+            "http" => self.http_address = raw.socket()?,
+            "peers" => self.peer_address = raw.socket()?,
+            "advertise" => self.advertise_address = optional_socket(raw)?,
             "seeds" => self.seeds = seeds(raw)?,
             _ => return Err(unknown_key::<Self>(raw)),
         }
@@ -73,23 +73,23 @@
         match key {
             "name" => self.name.to_string(),
             "zone" => self.zone.to_string(),
-            "http" => self.http.to_string(),
-            "peers" => self.peers.to_string(),
-            "advertise" => optional(self.advertise),
+            "http" => self.http_address.to_string(),
+            "peers" => self.peer_address.to_string(),
+            "advertise" => optional(self.advertise_address),
             _ => seeds_text(&self.seeds),
         }
     }
 }
 
-fn seeds(raw: &Raw) -> Result<Vec<(Name, SocketAddr)>, ConfigError> {
+fn seeds(raw: &RawValue) -> Result<Vec<(Name, SocketAddr)>, ConfigError> {
     let items = raw.list()?;
-    items.iter().map(|item| seed(item).ok_or_else(|| item.refuse(SEED_ACCEPTED))).collect()
+    items.iter().map(|item| seed(item).ok_or_else(|| item.invalid(SEED_ACCEPTED))).collect()
 }
 
-fn seed(raw: &Raw) -> Option<(Name, SocketAddr)> {
+fn seed(raw: &RawValue) -> Option<(Name, SocketAddr)> {
     let (name, address) = raw.text.split_once('@')?;
     let address = address.parse().ok()?;
-    is_name(name).then(|| (Name::from(name), address))
+    is_valid_name(name).then(|| (Name::from(name), address))
 }
 
 fn seeds_text(seeds: &[(Name, SocketAddr)]) -> String {
--- a/endivestile_config/src/settings/log.rs
+++ b/endivestile_config/src/settings/log.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 
 use crate::error::ConfigError;
-use crate::keys::{Keys, unknown_key};
+use crate::keys::{SectionFields, unknown_key};
 use crate::model::Name;
-use crate::raw::Raw;
+use crate::raw::RawValue;
 use crate::settings::optional;
 
 /// Levels of the log.
@@ -26,12 +26,12 @@
     }
 }
 
-impl Keys for LogSettings {
+impl SectionFields for LogSettings {
     const KEYS: &'static [&'static str] = &["level", "file"];
     const REQUIRED: &'static [&'static str] = &[];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "level" => self.level = raw.word(&LEVELS)?,
             "file" => self.file = (!raw.text.is_empty()).then(|| PathBuf::from(&raw.text)),
             _ => return Err(unknown_key::<Self>(raw)),
--- a/endivestile_config/src/settings/metric.rs
+++ b/endivestile_config/src/settings/metric.rs
@@ -3,36 +3,36 @@
 use std::net::SocketAddr;
 
 use crate::error::ConfigError;
-use crate::keys::{Keys, unknown_key};
-use crate::raw::Raw;
-use crate::settings::{optional, socket_or_none};
+use crate::keys::{SectionFields, unknown_key};
+use crate::raw::RawValue;
+use crate::settings::{optional, optional_socket};
 
 /// Where metrics go.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MetricSettings {
     /// Address of the statsd sink; none sends nothing.
-    pub statsd: Option<SocketAddr>,
+    pub statsd_address: Option<SocketAddr>,
     /// Time between two sends, in milliseconds.
     pub interval_ms: u64,
     /// Address of the page with counters and latencies; none serves no page.
-    pub page: Option<SocketAddr>,
+    pub page_address: Option<SocketAddr>,
 }
 
 impl Default for MetricSettings {
     fn default() -> Self {
-        Self { statsd: None, interval_ms: 10_000, page: None }
+        Self { statsd_address: None, interval_ms: 10_000, page_address: None }
     }
 }
 
-impl Keys for MetricSettings {
+impl SectionFields for MetricSettings {
     const KEYS: &'static [&'static str] = &["statsd", "interval-ms", "page"];
     const REQUIRED: &'static [&'static str] = &[];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
-            "statsd" => self.statsd = socket_or_none(raw)?,
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
+            "statsd" => self.statsd_address = optional_socket(raw)?,
             "interval-ms" => self.interval_ms = raw.number(100..=600_000)?,
-            "page" => self.page = socket_or_none(raw)?,
+            "page" => self.page_address = optional_socket(raw)?,
             _ => return Err(unknown_key::<Self>(raw)),
         }
         Ok(())
@@ -40,9 +40,9 @@
 
     fn get(&self, key: &str) -> String {
         match key {
-            "statsd" => optional(self.statsd),
+            "statsd" => optional(self.statsd_address),
             "interval-ms" => self.interval_ms.to_string(),
-            _ => optional(self.page),
+            _ => optional(self.page_address),
         }
     }
 }
--- a/endivestile_config/src/settings/mod.rs
+++ b/endivestile_config/src/settings/mod.rs
@@ -11,11 +11,11 @@
 
 use std::net::SocketAddr;
 
-use crate::document::read;
-use crate::error::{ConfigError, Place};
-use crate::keys::{fill, set_key, write};
+use crate::document::read_sections;
+use crate::error::{ConfigError, Location};
+use crate::keys::{set_key, set_keys, write_section};
 use crate::model::Name;
-use crate::raw::{Raw, nearest, shorten};
+use crate::raw::{RawValue, nearest, truncate};
 
 pub use backend::BackendSettings;
 pub use call::CallSettings;
@@ -72,24 +72,27 @@
     pub fn load(text: &str, origin: &str, overrides: &[String]) -> Result<Self, ConfigError> {
         let mut settings = Self::default();
         let mut seen: Vec<(String, usize)> = Vec::new();
-        for section in read(text, origin)? {
+        for section in read_sections(text, origin)? {
             if let Some((_, first)) = seen.iter().find(|(kind, _)| *kind == section.kind) {
-                return Err(ConfigError::Twice { place: section.place, first: *first });
+                return Err(ConfigError::Duplicate {
+                    location: section.location,
+                    first_line: *first,
+                });
             }
             if !section.name.is_empty() {
-                return Err(unknown(&section.place, &section.kind));
+                return Err(unknown(&section.location, &section.kind));
             }
-            seen.push((section.kind.clone(), section.place.line));
+            seen.push((section.kind.clone(), section.location.line));
             match section.kind.as_str() {
-                "host" => fill(&mut settings.host, &section)?,
-                "store" => fill(&mut settings.store, &section)?,
-                "calls" => fill(&mut settings.calls, &section)?,
-                "backends" => fill(&mut settings.backends, &section)?,
-                "log" => fill(&mut settings.log, &section)?,
-                "metrics" => fill(&mut settings.metrics, &section)?,
-                "platform" => fill(&mut settings.platform, &section)?,
-                "stop" => fill(&mut settings.stop, &section)?,
-                kind => return Err(unknown(&section.place, kind)),
+                "host" => set_keys(&mut settings.host, &section)?,
+                "store" => set_keys(&mut settings.store, &section)?,
+                "calls" => set_keys(&mut settings.calls, &section)?,
+                "backends" => set_keys(&mut settings.backends, &section)?,
+                "log" => set_keys(&mut settings.log, &section)?,
+                "metrics" => set_keys(&mut settings.metrics, &section)?,
+                "platform" => set_keys(&mut settings.platform, &section)?,
+                "stop" => set_keys(&mut settings.stop, &section)?,
+                kind => return Err(unknown(&section.location, kind)),
             }
         }
         for assignment in overrides {
@@ -106,8 +109,8 @@
     /// An unknown section or key, or a value that is not accepted.
     pub fn set(&mut self, assignment: &str) -> Result<(), ConfigError> {
         let (section, key, text) = split(assignment)?;
-        let place = Place { origin: Name::from(OVERRIDE), ..Place::key(section, key) };
-        let raw = Raw { place, text: text.to_owned() };
+        let location = Location { origin: Name::from(OVERRIDE), ..Location::key(section, key) };
+        let raw = RawValue { location, text: text.to_owned() };
         match section {
             "host" => set_key(&mut self.host, &raw),
             "store" => set_key(&mut self.store, &raw),
@@ -117,59 +120,59 @@
             "metrics" => set_key(&mut self.metrics, &raw),
             "platform" => set_key(&mut self.platform, &raw),
             "stop" => set_key(&mut self.stop, &raw),
-            kind => Err(unknown(&raw.place, kind)),
+            kind => Err(unknown(&raw.location, kind)),
         }
     }
 
     /// Checks what must be given and what must fit together.
     fn check(&self, origin: &str) -> Result<(), ConfigError> {
-        let place = |section: &str, key: &str| Place {
+        let location = |section: &str, key: &str| Location {
             origin: Name::from(origin),
-            ..Place::key(section, key)
+            ..Location::key(section, key)
         };
         let missing = [
             ("host", "name", self.host.name.is_empty()),
             ("host", "zone", self.host.zone.is_empty()),
             ("store", "addresses", self.store.addresses.is_empty()),
-            ("host", "advertise", self.host.advertised().ip().is_unspecified()),
+            ("host", "advertise", self.host.advertised_address().ip().is_unspecified()),
         ];
         if let Some((section, key, _)) = missing.iter().find(|(_, _, missing)| *missing) {
-            return Err(ConfigError::Missing { place: place(section, key) });
+            return Err(ConfigError::Missing { location: location(section, key) });
         }
         if self.calls.default_deadline_ms > self.calls.max_deadline_ms {
-            return Err(ConfigError::Value {
-                place: place("calls", "default-deadline-ms"),
+            return Err(ConfigError::InvalidValue {
+                location: location("calls", "default-deadline-ms"),
                 value: self.calls.default_deadline_ms.to_string(),
                 accepted: format!("up to max-deadline-ms, {}", self.calls.max_deadline_ms),
             });
         }
-        self.check_stop(place("stop", "limit-s"))
+        self.check_stop(location("stop", "limit-s"))
     }
 
     /// Refuses a shutdown that ends before the longest call: it would cut off
     /// requests, and their callers would see a closed connection.
-    fn check_stop(&self, place: Place) -> Result<(), ConfigError> {
+    fn check_stop(&self, location: Location) -> Result<(), ConfigError> {
         let least = self.calls.max_deadline_ms.div_ceil(1_000);
         // A platform sets the limit itself, whatever its callers' deadlines are.
-        if self.stop.limit_s >= least || self.platform.adapter.is_some() {
+        if self.stop.shutdown_limit_s >= least || self.platform.adapter.is_some() {
             return Ok(());
         }
-        let value = self.stop.limit_s.to_string();
+        let value = self.stop.shutdown_limit_s.to_string();
         let accepted = format!("from {least}, the seconds of [calls] max-deadline-ms");
-        Err(ConfigError::Value { place, value, accepted })
+        Err(ConfigError::InvalidValue { location, value, accepted })
     }
 
     /// Returns all settings as a text that [`Self::parse`] reads.
     pub fn canonical(&self) -> String {
         let mut out = String::new();
-        write(&mut out, "host", &self.host);
-        write(&mut out, "store", &self.store);
-        write(&mut out, "calls", &self.calls);
-        write(&mut out, "backends", &self.backends);
-        write(&mut out, "log", &self.log);
-        write(&mut out, "metrics", &self.metrics);
-        write(&mut out, "platform", &self.platform);
-        write(&mut out, "stop", &self.stop);
+        write_section(&mut out, "host", &self.host);
+        write_section(&mut out, "store", &self.store);
+        write_section(&mut out, "calls", &self.calls);
+        write_section(&mut out, "backends", &self.backends);
+        write_section(&mut out, "log", &self.log);
+        write_section(&mut out, "metrics", &self.metrics);
+        write_section(&mut out, "platform", &self.platform);
+        write_section(&mut out, "stop", &self.stop);
         out
     }
 }
@@ -179,20 +182,23 @@
         let (section, key) = path.trim().split_once('.')?;
         Some((section, key, value.trim()))
     });
-    parts.ok_or_else(|| ConfigError::Value {
-        place: Place { origin: Name::from(OVERRIDE), ..Place::default() },
-        value: shorten(assignment),
+    parts.ok_or_else(|| ConfigError::InvalidValue {
+        location: Location { origin: Name::from(OVERRIDE), ..Location::default() },
+        value: truncate(assignment),
         accepted: "section.key=value".to_owned(),
     })
 }
 
-fn unknown(place: &Place, kind: &str) -> ConfigError {
-    let near = nearest(kind, SECTIONS).unwrap_or_default();
-    ConfigError::Section { place: Place { key: String::new(), ..place.clone() }, near }
+fn unknown(location: &Location, kind: &str) -> ConfigError {
+    let suggestion = nearest(kind, SECTIONS).unwrap_or_default();
+    ConfigError::UnknownSection {
+        location: Location { key: String::new(), ..location.clone() },
+        suggestion,
+    }
 }
 
 /// Reads an address or nothing.
-pub(crate) fn socket_or_none(raw: &Raw) -> Result<Option<SocketAddr>, ConfigError> {
+pub(crate) fn optional_socket(raw: &RawValue) -> Result<Option<SocketAddr>, ConfigError> {
     if raw.text.is_empty() { Ok(None) } else { raw.socket().map(Some) }
 }
 
--- a/endivestile_config/src/settings/store.rs
+++ b/endivestile_config/src/settings/store.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use crate::error::ConfigError;
-use crate::keys::{Keys, unknown_key};
-use crate::raw::Raw;
+use crate::keys::{SectionFields, unknown_key};
+use crate::raw::RawValue;
 
 /// How the platform's store is called.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -25,14 +25,15 @@
     }
 }
 
-impl Keys for StoreSettings {
+impl SectionFields for StoreSettings {
     const KEYS: &'static [&'static str] = &["addresses", "timeout-ms", "lease-s", "backoff-ms"];
     const REQUIRED: &'static [&'static str] = &[];
 
-    fn set(&mut self, raw: &Raw) -> Result<(), ConfigError> {
-        match raw.place.key.as_str() {
+    fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
+        match raw.location.key.as_str() {
             "addresses" => {
-                self.addresses = raw.list()?.iter().map(Raw::socket).collect::<Result<_, _>>()?;
+                self.addresses =
+                    raw.list()?.iter().map(RawValue::socket).collect::<Result<_, _>>()?;
             }
             "timeout-ms" => self.timeout_ms = raw.number(10..=60_000)?,
             "lease-s" => self.lease_s = raw.number(2..=600)?,
--- a/endivestile_config/tests/config.rs
+++ b/endivestile_config/tests/config.rs
@@ -92,7 +92,7 @@
 #[test]
 fn parse_too_large() {
     let text = "# comment\n".repeat(MAX_BYTES / 10 + 1);
-    assert!(matches!(parse(&text, "f"), Err(ConfigError::Size { .. })));
+    assert!(matches!(parse(&text, "f"), Err(ConfigError::TooLarge { .. })));
     let half = "# comment\n".repeat(MAX_BYTES / 20 + 1);
     let both = parse_files(&[("a", &half), ("b", &half)]).unwrap_err();
     assert!(both.to_string().starts_with("a + b: "), "{both}");
--- a/endivestile_config/tests/pages.rs
+++ b/endivestile_config/tests/pages.rs
@@ -106,7 +106,7 @@
     let settings = Settings::parse(&read("entry-1.ini"), "entry-1.ini").unwrap();
     let host = &config.hosts[&settings.host.name];
     assert_eq!(host.zone, settings.host.zone);
-    assert_eq!(host.address.as_ref(), settings.host.advertised().to_string());
+    assert_eq!(host.address.as_ref(), settings.host.advertised_address().to_string());
 }
 
 /// The fleet grows to its size in two years, and the configuration no longer
--- a/endivestile_config/tests/settings.rs
+++ b/endivestile_config/tests/settings.rs
@@ -12,7 +12,7 @@
 fn parse_least_has_defaults() {
     let settings = Settings::parse(LEAST, "a.ini").unwrap();
     assert_eq!(settings.host.name.as_ref(), "a");
-    assert_eq!(settings.host.advertised().to_string(), "127.0.0.1:0");
+    assert_eq!(settings.host.advertised_address().to_string(), "127.0.0.1:0");
     assert_eq!(settings.store.addresses.len(), 2);
     assert_eq!(settings.calls.default_deadline_ms, 30_000);
     assert_eq!(settings.log.file, None);
@@ -34,7 +34,7 @@
     assert_eq!(settings.platform.policy, expected);
     assert_eq!(Settings::parse(&settings.canonical(), "canonical").unwrap(), settings);
     for mechanism in Mechanism::ALL {
-        assert_eq!(Mechanism::named(mechanism.label()), Some(mechanism));
+        assert_eq!(Mechanism::by_label(mechanism.label()), Some(mechanism));
     }
 }
 
@@ -67,7 +67,7 @@
     let overrides = ["host.zone = west".to_owned(), "backends.idle-ms=7".to_owned()];
     let settings = Settings::load(LEAST, "a.ini", &overrides).unwrap();
     assert_eq!(settings.host.zone.as_ref(), "west");
-    assert_eq!(settings.backends.idle_ms, 7);
+    assert_eq!(settings.backends.idle_timeout_ms, 7);
 }
 
 #[test_case("host.nmae=b", "command line: [host] nmae: unknown key, the nearest is name"; "unknown key")]
@@ -96,7 +96,7 @@
 fn parse_stop_before_longest_call() {
     let text = format!("{LEAST}[stop]\nlimit-s = 599\n");
     let error = Settings::parse(&text, "a.ini").unwrap_err();
-    assert!(matches!(error, ConfigError::Value { .. }), "{error}");
+    assert!(matches!(error, ConfigError::InvalidValue { .. }), "{error}");
     let shorter = ["calls.max-deadline-ms=599000".to_owned()];
     assert!(Settings::load(&text, "a.ini", &shorter).is_ok());
 }
--- a/endivestile_kernel/src/fleet/admission/order.rs
+++ b/endivestile_kernel/src/fleet/admission/order.rs
@@ -37,7 +37,7 @@
         let priority = if policy.has(Mechanism::Priority) { self.priority } else { 0 };
         // What has begun is finished: left to the late ones it would wait to its
         // deadline in a burst, and what its other tasks did would be lost.
-        let begun = self.started && policy.has(Mechanism::BegunFirst);
+        let begun = self.started && policy.has(Mechanism::StartedFirst);
         let late = !begun && now.after_us(self.run_us) > self.objective;
         if policy.has(Mechanism::LeastWork) {
             return (late, (priority, self.behind()));
--- a/endivestile_testkit/src/store/stand_in.rs
+++ b/endivestile_testkit/src/store/stand_in.rs
@@ -134,7 +134,7 @@
 
     /// Sets `live`, `leaving` or `gone` in the platform's list of hosts.
     pub fn platform(&self, name: &str, state: &str) {
-        self.put(&format!("{}{name}", key::PLATFORM), state);
+        self.put(&format!("{}{name}", key::PLATFORM_HOSTS), state);
     }
 }
 
--- a/endivestile_wire/src/adapter.rs
+++ b/endivestile_wire/src/adapter.rs
@@ -17,7 +17,7 @@
 
 /// What a caller wants.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Demand {
+pub enum CallerRequest {
     /// Run a job and answer with its end.
     Submit(Box<Job>),
     /// How many accepted jobs of a route wait.
@@ -50,13 +50,13 @@
 
 /// What a caller is told.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Say {
+pub enum CallerResponse {
     /// How its job ended; the instant is now.
     Ended(JobEnd, Time),
     /// How many accepted jobs of the route wait.
     Pending(u32),
     /// Whether the id's job is at work here.
-    State(bool),
+    Running(bool),
     /// Whether there was a job to stop.
     Cancelled(bool),
     /// Whether new connections are welcome.
@@ -84,7 +84,7 @@
     /// Whether there are further ones behind the last.
     pub more: bool,
     /// Revision of the store.
-    pub at: u64,
+    pub store_revision: u64,
 }
 
 /// A change of one key under the condition of its revision.
@@ -100,7 +100,7 @@
 
 /// Why a call to the store brought nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreFault {
+pub enum StoreCallError {
     /// The store did nothing: it turned the call away.
     Busy,
     /// The history that a watch asked for is gone.
@@ -113,119 +113,124 @@
 
 /// Keys of the store that others write.
 #[derive(Debug, Clone, Copy)]
-pub struct Keys {
+pub struct StoreKeys {
     /// Prefix of everything that operators write.
-    pub operator: &'static str,
+    pub operator_prefix: &'static str,
     /// The configuration.
-    pub config: &'static str,
+    pub config_key: &'static str,
     /// Prefix of the keys that each name a zone to be evacuated for as long as they stand.
-    pub evacuations: &'static str,
+    pub evacuation_prefix: &'static str,
     /// Prefix of the workers' registrations.
-    pub workers: &'static str,
+    pub worker_prefix: &'static str,
 }
 
 /// Pure functions between the platform's messages and the project's types.
-pub trait Translate {
+pub trait PlatformCodec {
     /// Keys of the store that others write.
-    const KEYS: Keys;
+    const KEYS: StoreKeys;
 
     /// Reads a caller's call.
-    fn demand(head: &Parts, body: &[u8], table: Option<&RouteTable>, now: Time) -> Demand;
+    fn decode_call(
+        head: &Parts,
+        body: &[u8],
+        table: Option<&RouteTable>,
+        now: Time,
+    ) -> CallerRequest;
     /// Writes the answer to a caller.
-    fn say(say: &Say) -> Response<Bytes>;
+    fn encode_response(say: &CallerResponse) -> Response<Bytes>;
 
     /// Writes an order to start.
-    fn start(order: &StartRequest) -> Request<Bytes>;
+    fn encode_start(order: &StartRequest) -> Request<Bytes>;
     /// Reads its answer.
-    fn started(status: StatusCode, body: &[u8]) -> StartResult;
+    fn decode_start(status: StatusCode, body: &[u8]) -> StartResult;
     /// Writes an order to stop.
-    fn stop(order: &StopRequest) -> Request<Bytes>;
+    fn encode_stop(order: &StopRequest) -> Request<Bytes>;
     /// Reads its answer.
-    fn stopped(status: StatusCode, body: &[u8]) -> Result<u64, CallError>;
+    fn decode_stop(status: StatusCode, body: &[u8]) -> Result<u64, CallError>;
     /// Writes a hold.
-    fn hold(order: &RenewRequest) -> Request<Bytes>;
+    fn encode_renewal(order: &RenewRequest) -> Request<Bytes>;
     /// Reads its answer.
-    fn held(status: StatusCode, body: &[u8]) -> Result<RenewReply, CallError>;
+    fn decode_renewal(status: StatusCode, body: &[u8]) -> Result<RenewReply, CallError>;
 
     /// Reads a worker's registration; none when it names nothing to use.
-    fn worker(id: &str, value: &[u8]) -> Option<WorkerEntry>;
+    fn decode_worker(id: &str, value: &[u8]) -> Option<WorkerEntry>;
     /// Reads the configuration.
     ///
     /// # Errors
     ///
     /// What cannot be read, in words.
-    fn table(value: &[u8]) -> Result<RouteTable, String>;
+    fn decode_routes(value: &[u8]) -> Result<RouteTable, String>;
 
     /// Asks for the keys with a prefix, behind a key where one is given.
-    fn range(prefix: &str, after: Option<&str>) -> Request<Bytes>;
+    fn encode_range(prefix: &str, after: Option<&str>) -> Request<Bytes>;
     /// Asks for changes of keys with a prefix after a revision, for so many milliseconds.
-    fn watch(prefix: &str, after: u64, wait: u32) -> Request<Bytes>;
+    fn encode_watch(prefix: &str, after: u64, wait: u32) -> Request<Bytes>;
     /// Reads the answer to either.
     ///
     /// # Errors
     ///
     /// Why there is none.
-    fn page(status: StatusCode, body: &[u8]) -> Result<Page, StoreFault>;
+    fn decode_page(status: StatusCode, body: &[u8]) -> Result<Page, StoreCallError>;
     /// Asks for a change under a condition.
-    fn swap(swap: &Swap) -> Request<Bytes>;
+    fn encode_swap(swap: &Swap) -> Request<Bytes>;
     /// Reads the new revision.
     ///
     /// # Errors
     ///
     /// Why it took no effect, as far as that is known.
-    fn swapped(status: StatusCode, body: &[u8]) -> Result<u64, StoreFault>;
+    fn decode_swap(status: StatusCode, body: &[u8]) -> Result<u64, StoreCallError>;
 }
 
 /// The functions of an adapter, without dynamic dispatch.
 #[derive(Debug, Clone, Copy)]
-#[allow(missing_docs, reason = "each is the function of that name of `Translate`")]
+#[allow(missing_docs, reason = "each is the function of that name of `PlatformCodec`")]
 pub struct Adapter {
     /// Name by which settings choose it.
     pub name: &'static str,
-    pub keys: Keys,
-    pub demand: fn(&Parts, &[u8], Option<&RouteTable>, Time) -> Demand,
-    pub say: fn(&Say) -> Response<Bytes>,
-    pub start: fn(&StartRequest) -> Request<Bytes>,
-    pub started: fn(StatusCode, &[u8]) -> StartResult,
-    pub stop: fn(&StopRequest) -> Request<Bytes>,
-    pub stopped: fn(StatusCode, &[u8]) -> Result<u64, CallError>,
-    pub hold: fn(&RenewRequest) -> Request<Bytes>,
-    pub held: fn(StatusCode, &[u8]) -> Result<RenewReply, CallError>,
-    pub worker: fn(&str, &[u8]) -> Option<WorkerEntry>,
-    pub table: fn(&[u8]) -> Result<RouteTable, String>,
-    pub range: fn(&str, Option<&str>) -> Request<Bytes>,
-    pub watch: fn(&str, u64, u32) -> Request<Bytes>,
-    pub page: fn(StatusCode, &[u8]) -> Result<Page, StoreFault>,
-    pub swap: fn(&Swap) -> Request<Bytes>,
-    pub swapped: fn(StatusCode, &[u8]) -> Result<u64, StoreFault>,
+    pub keys: StoreKeys,
+    pub decode_call: fn(&Parts, &[u8], Option<&RouteTable>, Time) -> CallerRequest,
+    pub encode_response: fn(&CallerResponse) -> Response<Bytes>,
+    pub encode_start: fn(&StartRequest) -> Request<Bytes>,
+    pub decode_start: fn(StatusCode, &[u8]) -> StartResult,
+    pub encode_stop: fn(&StopRequest) -> Request<Bytes>,
+    pub decode_stop: fn(StatusCode, &[u8]) -> Result<u64, CallError>,
+    pub encode_renewal: fn(&RenewRequest) -> Request<Bytes>,
+    pub decode_renewal: fn(StatusCode, &[u8]) -> Result<RenewReply, CallError>,
+    pub decode_worker: fn(&str, &[u8]) -> Option<WorkerEntry>,
+    pub decode_routes: fn(&[u8]) -> Result<RouteTable, String>,
+    pub encode_range: fn(&str, Option<&str>) -> Request<Bytes>,
+    pub encode_watch: fn(&str, u64, u32) -> Request<Bytes>,
+    pub decode_page: fn(StatusCode, &[u8]) -> Result<Page, StoreCallError>,
+    pub encode_swap: fn(&Swap) -> Request<Bytes>,
+    pub decode_swap: fn(StatusCode, &[u8]) -> Result<u64, StoreCallError>,
 }
 
 impl Adapter {
     /// Makes the table of a translation.
-    pub const fn of<T: Translate>(name: &'static str) -> Self {
+    pub const fn from_codec<T: PlatformCodec>(name: &'static str) -> Self {
         Self {
             name,
             keys: T::KEYS,
-            demand: T::demand,
-            say: T::say,
-            start: T::start,
-            started: T::started,
-            stop: T::stop,
-            stopped: T::stopped,
-            hold: T::hold,
-            held: T::held,
-            worker: T::worker,
-            table: T::table,
-            range: T::range,
-            watch: T::watch,
-            page: T::page,
-            swap: T::swap,
-            swapped: T::swapped,
+            decode_call: T::decode_call,
+            encode_response: T::encode_response,
+            encode_start: T::encode_start,
+            decode_start: T::decode_start,
+            encode_stop: T::encode_stop,
+            decode_stop: T::decode_stop,
+            encode_renewal: T::encode_renewal,
+            decode_renewal: T::decode_renewal,
+            decode_worker: T::decode_worker,
+            decode_routes: T::decode_routes,
+            encode_range: T::encode_range,
+            encode_watch: T::encode_watch,
+            decode_page: T::decode_page,
+            encode_swap: T::encode_swap,
+            decode_swap: T::decode_swap,
         }
     }
 
     /// Returns the adapter of a name.
-    pub fn named(name: &str) -> Option<&'static Self> {
+    pub fn by_name(name: &str) -> Option<&'static Self> {
         inventory::iter::<Self>.into_iter().find(|adapter| adapter.name == name)
     }
 }
--- a/endivestile_wire/src/key.rs
+++ b/endivestile_wire/src/key.rs
@@ -15,7 +15,7 @@
 /// Head of the audit trail: the serial number that its next entry gets.
 pub const AUDIT_HEAD: &str = "endivestile/audit-head";
 /// Prefix of the platform's own list of live and leaving hosts.
-pub const PLATFORM: &str = "platform/hosts/";
+pub const PLATFORM_HOSTS: &str = "platform/hosts/";
 
 /// Returns the end of the key range that covers every key under `prefix`.
 pub fn range_end(prefix: &str) -> Vec<u8> {
