--- a/endivestile/src/fleet/open_calls.rs
+++ b/endivestile/src/fleet/open_calls.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use endivestile_kernel::CallId;
-use endivestile_wire::adapter::{Adapter, Say};
+use endivestile_wire::adapter::{Adapter, CallerResponse};
 use http::header::CONNECTION;
 use http::{HeaderValue, Response};
 use tokio::sync::oneshot::Sender;
@@ -29,15 +29,15 @@
     }
 
     /// Answers an open call; does nothing if its caller has disconnected.
-    pub(crate) fn answer(&mut self, call: CallId, answer: &Say) {
+    pub(crate) fn answer(&mut self, call: CallId, answer: &CallerResponse) {
         if let Some(reply) = self.calls.remove(&call) {
             self.respond(reply, answer);
         }
     }
 
     /// Sends an answer to a caller.
-    pub(crate) fn respond(&self, reply: Sender<Response<Bytes>>, answer: &Say) {
-        let mut response = (self.adapter.say)(answer);
+    pub(crate) fn respond(&self, reply: Sender<Response<Bytes>>, answer: &CallerResponse) {
+        let mut response = (self.adapter.encode_response)(answer);
         if self.closing {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
--- a/endivestile/src/fleet/prefix_watch.rs
+++ b/endivestile/src/fleet/prefix_watch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use endivestile_wire::adapter::{Item, Page, StoreFault};
+use endivestile_wire::adapter::{Item, Page, StoreCallError};
 use tokio::time::sleep;
 
 use super::store_client::StoreClient;
@@ -101,7 +101,7 @@
                 return WatchEnd::Failed { answered: false };
             }
         };
-        let mut revision = page.at;
+        let mut revision = page.store_revision;
         let mut changes = 0;
         self.handle_page(page);
         loop {
@@ -116,12 +116,12 @@
             };
             match watched {
                 Ok(page) => {
-                    revision = page.at.max(revision);
+                    revision = page.store_revision.max(revision);
                     changes = page.items.len();
                     page.items.into_iter().for_each(|item| self.handle_item(item));
                 }
                 // The changes that were missed are covered by reading all keys again.
-                Err(StoreFault::Compacted) => return WatchEnd::Failed { answered: true },
+                Err(StoreCallError::Compacted) => return WatchEnd::Failed { answered: true },
                 Err(fault) => {
                     log::debug!("event=store_call_failed step=watch fault={fault:?}");
                     return WatchEnd::Failed { answered: true };
@@ -139,9 +139,9 @@
             self.handle_item(item);
         }
         for key in missing.into_keys() {
-            self.handle_item(Item { key, value: None, revision: page.at });
+            self.handle_item(Item { key, value: None, revision: page.store_revision });
         }
-        self.handler.handle_loaded(page.at);
+        self.handler.handle_loaded(page.store_revision);
     }
 
     fn handle_item(&mut self, item: Item) {
--- a/endivestile/src/fleet/records.rs
+++ b/endivestile/src/fleet/records.rs
@@ -6,7 +6,7 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{FleetEvent, HOST_KEY_PREFIX, HostEntry, POOL_KEY_PREFIX};
 use endivestile_kernel::{StoreOp, Stored};
-use endivestile_wire::adapter::{StoreFault, Swap};
+use endivestile_wire::adapter::{StoreCallError, Swap};
 use tokio::sync::watch;
 use tokio::time::sleep;
 
@@ -130,7 +130,7 @@
     store: &StoreClient,
     entry: &HostEntry,
     revision: u64,
-) -> Result<u64, StoreFault> {
+) -> Result<u64, StoreCallError> {
     let key = Name::from(format!("{HOST_KEY_PREFIX}{}", entry.peer.host));
     // Serializing plain data to JSON cannot fail.
     let value = Bytes::from(serde_json::to_vec(entry).unwrap_or_default());
@@ -144,7 +144,7 @@
     tokio::spawn(async move {
         let result = match store.swap(&Swap { key, revision, value }).await {
             Ok(revision) => Stored::Swapped(revision),
-            Err(StoreFault::Raced(_)) => Stored::Raced,
+            Err(StoreCallError::Raced(_)) => Stored::Raced,
             // A call that the store refused counts as lost, so that it is not retried at once.
             Err(_) => Stored::Lost,
         };
--- a/endivestile/src/fleet/worker_client.rs
+++ b/endivestile/src/fleet/worker_client.rs
@@ -40,9 +40,9 @@
         match call {
             WorkerCall::Start(order) => {
                 let response =
-                    self.client.call(&order.address, (adapter.start)(&order), deadline).await;
+                    self.client.call(&order.address, (adapter.encode_start)(&order), deadline).await;
                 let end = match response {
-                    Ok((status, body)) => (adapter.started)(status, &body),
+                    Ok((status, body)) => (adapter.decode_start)(status, &body),
                     Err(error) => StartResult::Failed(error.into()),
                 };
                 FleetEvent::StartEnded {
@@ -54,9 +54,9 @@
             }
             WorkerCall::Stop(order) => {
                 let response =
-                    self.client.call(&order.address, (adapter.stop)(&order), deadline).await;
+                    self.client.call(&order.address, (adapter.encode_stop)(&order), deadline).await;
                 let end = match response {
-                    Ok((status, body)) => (adapter.stopped)(status, &body),
+                    Ok((status, body)) => (adapter.decode_stop)(status, &body),
                     Err(error) => Err(error.into()),
                 };
                 FleetEvent::StopEnded {
@@ -68,9 +68,9 @@
             }
             WorkerCall::Renew(number, order) => {
                 let response =
-                    self.client.call(&order.address, (adapter.hold)(&order), deadline).await;
+                    self.client.call(&order.address, (adapter.encode_renewal)(&order), deadline).await;
                 let end = match response {
-                    Ok((status, body)) => (adapter.held)(status, &body),
+                    Ok((status, body)) => (adapter.decode_renewal)(status, &body),
                     Err(error) => Err(error.into()),
                 };
                 FleetEvent::RenewalEnded { worker: order.worker, number, end }
--- a/endivestile/src/fleet/worker_list.rs
+++ b/endivestile/src/fleet/worker_list.rs
@@ -134,7 +134,7 @@
     /// but their workers continue to serve, so missing entries are kept until the workers
     /// have registered again.
     fn handle_key(&mut self, key: &str, _revision: u64, value: Option<Bytes>) {
-        let Some(id) = key.strip_prefix(self.adapter.keys.workers) else { return };
+        let Some(id) = key.strip_prefix(self.adapter.keys.worker_prefix) else { return };
         self.missing.remove(id);
         self.last_change = Instant::now();
         let Some(value) = value else {
@@ -145,7 +145,7 @@
             }
             return;
         };
-        match (self.adapter.worker)(id, &value) {
+        match (self.adapter.decode_worker)(id, &value) {
             Some(entry) => {
                 let old = self.entries.insert(id.to_owned(), entry.clone());
                 self.changed |= old != Some(entry);
--- a/endivestile/src/run.rs
+++ b/endivestile/src/run.rs
@@ -72,7 +72,7 @@
     let Some(name) = &settings.platform.adapter else {
         return serve(&settings, counters);
     };
-    let adapter = Adapter::named(name).ok_or_else(|| RunError::Adapter { name: name.clone() })?;
+    let adapter = Adapter::by_name(name).ok_or_else(|| RunError::Adapter { name: name.clone() })?;
     let reloader = SettingsReloader { args: args.clone(), log };
     fleet::serve(&settings, adapter, &counters, reloader)
 }
@@ -112,8 +112,8 @@
     let current_config = CurrentConfig::default();
     let (inbox, inbox_receiver) = Inbox::new();
     let net = NetRuntime::start()?;
-    let http_listener = http::bind(net.handle(), settings.host.http)?;
-    let peer_listener = peers::bind(settings.host.peers)?;
+    let http_listener = http::bind(net.handle(), settings.host.http_address)?;
+    let peer_listener = peers::bind(settings.host.peer_address)?;
     let address = advertised_address(settings, &peer_listener)?;
     let me = Peer::new(settings.host.name.clone(), since_epoch().as_micros() as u64);
     let checker = ConfigChecker::start(inbox.clone(), current_config.clone())?;
@@ -157,7 +157,7 @@
     let seeds = seeds.map(|(host, address)| seed_host(host, *address)).collect();
     let setup = Setup { me, zone: settings.host.zone.clone(), address, wall_s, seed, seeds };
     let exit = Rc::new(Cell::new(Exit::Failed));
-    let stop_limit_s = settings.stop.limit_s;
+    let stop_limit_s = settings.stop.shutdown_limit_s;
     let parts = EngineParts {
         setup,
         handlers,
@@ -176,7 +176,7 @@
     settings: &Settings,
     bound: &TcpListener,
 ) -> Result<Name, RunError> {
-    let mut address = settings.host.advertised();
+    let mut address = settings.host.advertised_address();
     if address.port() == 0 {
         address.set_port(local_address(bound)?.port());
     }
--- a/endivestile_kernel/src/fleet/admission/order.rs
+++ b/endivestile_kernel/src/fleet/admission/order.rs
@@ -39,7 +39,7 @@
         let priority = if policy.has(Mechanism::Priority) { self.priority } else { 0 };
         // A started job never counts as late: in a burst it would wait among the late ones
         // until its deadline, and the work of its other tasks would be wasted.
-        let on_time = self.started && policy.has(Mechanism::BegunFirst);
+        let on_time = self.started && policy.has(Mechanism::StartedFirst);
         let late = !on_time && now.after_us(self.run_us) > self.objective;
         if policy.has(Mechanism::LeastWork) {
             return (late, (priority, self.delayed_arrival()));
