--- a/endivestile/src/fleet/engine.rs
+++ b/endivestile/src/fleet/engine.rs
@@ -275,7 +275,8 @@
         let open = self.open_calls.len();
         for call in self.open_calls.ids() {
             self.fleet.handle(now, FleetEvent::Cancel(call));
-            self.open_calls.answer(call, &CallerResponse::Ended(JobEnd::Lost(Reason::Deadline), now));
+            self.open_calls
+                .answer(call, &CallerResponse::Ended(JobEnd::Lost(Reason::Deadline), now));
         }
         self.finish_batch(cx);
         log::info!("event=stop_limit open_calls={open}");
--- a/endivestile/src/fleet/worker_client.rs
+++ b/endivestile/src/fleet/worker_client.rs
@@ -39,8 +39,10 @@
         let adapter = self.adapter;
         match call {
             WorkerCall::Start(order) => {
-                let response =
-                    self.client.call(&order.address, (adapter.encode_start)(&order), deadline).await;
+                let response = self
+                    .client
+                    .call(&order.address, (adapter.encode_start)(&order), deadline)
+                    .await;
                 let end = match response {
                     Ok((status, body)) => (adapter.decode_start)(status, &body),
                     Err(error) => StartResult::Failed(error.into()),
@@ -67,8 +69,10 @@
                 }
             }
             WorkerCall::Renew(number, order) => {
-                let response =
-                    self.client.call(&order.address, (adapter.encode_renewal)(&order), deadline).await;
+                let response = self
+                    .client
+                    .call(&order.address, (adapter.encode_renewal)(&order), deadline)
+                    .await;
                 let end = match response {
                     Ok((status, body)) => (adapter.decode_renewal)(status, &body),
                     Err(error) => Err(error.into()),
