--- a/endivestile/src/backend/calls.rs
+++ b/endivestile/src/backend/calls.rs
@@ -5,7 +5,7 @@
 
 use endivestile_config::BackendSettings;
 use endivestile_config::model::Name;
-use endivestile_kernel::{AttemptId, End, Event, Peer};
+use endivestile_kernel::{AttemptEnd, AttemptId, Event, Peer};
 
 use super::agent::Agents;
 use super::run::Run;
@@ -51,16 +51,16 @@
     }
 
     /// Ends a call; one that was aborted has ended already.
-    pub(crate) fn end(&self, attempt: AttemptId, end: End) {
+    pub(crate) fn end(&self, attempt: AttemptId, end: AttemptEnd) {
         if self.open().remove(&attempt).is_none() {
             return;
         }
         match end {
-            End::Lost => self.counters.count_io(IoMetric::BackendCallsLost, 1),
-            End::Unreachable => self.counters.count_io(IoMetric::BackendCallsUnreachable, 1),
+            AttemptEnd::Lost => self.counters.count_io(IoMetric::BackendCallsLost, 1),
+            AttemptEnd::Unreachable => self.counters.count_io(IoMetric::BackendCallsUnreachable, 1),
             _ => {}
         }
-        self.inbox.post_event(Event::End { attempt, end });
+        self.inbox.post_event(Event::AttemptEnded { attempt, end });
     }
 
     fn open(&self) -> MutexGuard<'_, HashMap<AttemptId, Option<Name>>> {
@@ -117,7 +117,7 @@
     /// comes back later finds the call closed. A worker is told to stop.
     pub(crate) fn abort(&self, attempt: AttemptId) {
         let worker = self.env.open().get(&attempt).cloned();
-        self.env.end(attempt, End::Lost);
+        self.env.end(attempt, AttemptEnd::Lost);
         if let Some(Some(address)) = worker
             && self.stops.queued() < MAX_STOPS
         {
--- a/endivestile/src/backend/run.rs
+++ b/endivestile/src/backend/run.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_kernel::{AttemptId, End, Need, Order, Target};
+use endivestile_kernel::{AttemptEnd, AttemptId, Need, PlaceRequest, Target};
 use endivestile_wire::call::{DEADLINE_HEADER, LEASE_HEADER, NOT_RUN_HEADER, TASK_HEADER};
 use ureq::http::Response;
 use ureq::http::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -35,7 +35,7 @@
     /// Path to call; empty for a worker.
     pub(crate) path: Name,
     /// The order.
-    pub(crate) order: Order,
+    pub(crate) request: PlaceRequest,
 }
 
 impl Run {
@@ -45,17 +45,17 @@
     }
 
     /// Makes the call and says how it ended.
-    fn end(&self, env: &Env) -> End {
-        let left = self.order.deadline.since(env.clock.now());
+    fn end(&self, env: &Env) -> AttemptEnd {
+        let left = self.request.deadline.since(env.clock.now());
         if left.is_zero() {
             // It waited for a thread until its deadline and nothing was sent:
             // no fault of the back end, which therefore is not called out of reach.
             log::warn!("event=no_thread step=start-task peer={}", self.address);
-            return End::Busy;
+            return AttemptEnd::Busy;
         }
         match self.send(env, left) {
             Ok(response) => self.read(env, response),
-            Err(Error::ConnectionFailed) => End::Unreachable,
+            Err(Error::ConnectionFailed) => AttemptEnd::Unreachable,
             Err(e) => self.lost(&e.to_string()),
         }
     }
@@ -70,18 +70,18 @@
             .post(format!("http://{}{path}", self.address))
             .header(TASK_HEADER, env.key(self.attempt))
             .header(DEADLINE_HEADER, &left_ms);
-        if let Target::Need(need) = &self.order.task.target {
+        if let Target::Need(need) = &self.request.task.target {
             call = call.header(LEASE_HEADER, &left_ms);
             for (name, value) in amounts(need) {
                 call = call.header(name, value);
             }
         }
         let call = call.config().timeout_global(Some(left)).build();
-        call.send(self.order.task.work.as_ref())
+        call.send(self.request.task.work.as_ref())
     }
 
     /// Reads the answer to its end.
-    fn read(&self, env: &Env, mut response: Response<Body>) -> End {
+    fn read(&self, env: &Env, mut response: Response<Body>) -> AttemptEnd {
         let status = response.status().as_u16();
         if status != 200 {
             let end = refusal(status, &response);
@@ -94,15 +94,15 @@
             return self.lost("neither Content-Length nor chunks");
         }
         match response.body_mut().with_config().limit(env.answer_limit).read_to_vec() {
-            Ok(body) => End::Answered(Bytes::from(body)),
+            Ok(body) => AttemptEnd::Answered(Bytes::from(body)),
             Err(e) => self.lost(&e.to_string()),
         }
     }
 
     /// The task may have run and its answer is gone.
-    fn lost(&self, reason: &str) -> End {
+    fn lost(&self, reason: &str) -> AttemptEnd {
         log::debug!("event=answer_lost step=call peer={} error={reason:?}", self.address);
-        End::Lost
+        AttemptEnd::Lost
     }
 }
 
@@ -113,7 +113,7 @@
         if !env.wants(self.attempt) {
             return;
         }
-        let ending = Ending { env, attempt: self.attempt, end: End::Lost };
+        let ending = Ending { env, attempt: self.attempt, end: AttemptEnd::Lost };
         ending.close(self.end(env));
     }
 }
@@ -125,19 +125,19 @@
     /// Number of the call.
     attempt: AttemptId,
     /// How it ends.
-    end: End,
+    end: AttemptEnd,
 }
 
 impl Ending<'_> {
     /// Ends the call.
-    fn close(mut self, end: End) {
+    fn close(mut self, end: AttemptEnd) {
         self.end = end;
     }
 }
 
 impl Drop for Ending<'_> {
     fn drop(&mut self) {
-        self.env.end(self.attempt, std::mem::replace(&mut self.end, End::Lost));
+        self.env.end(self.attempt, std::mem::replace(&mut self.end, AttemptEnd::Lost));
     }
 }
 
@@ -151,12 +151,12 @@
 }
 
 /// Reads an error status; only a status of overload with the header says that nothing ran.
-fn refusal(status: u16, response: &Response<Body>) -> End {
+fn refusal(status: u16, response: &Response<Body>) -> AttemptEnd {
     let word = response.headers().get(NOT_RUN_HEADER).and_then(|word| word.to_str().ok());
     match (status, word) {
-        (429 | 503, Some("busy")) => End::Busy,
-        (429 | 503, Some("leaving")) => End::Leaving,
-        _ => End::Rejected(status),
+        (429 | 503, Some("busy")) => AttemptEnd::Busy,
+        (429 | 503, Some("leaving")) => AttemptEnd::Leaving,
+        _ => AttemptEnd::Rejected(status),
     }
 }
 
--- a/endivestile/src/effects.rs
+++ b/endivestile/src/effects.rs
@@ -32,12 +32,12 @@
     pub(crate) fn execute(&self, effect: Effect) -> Option<Effect> {
         match effect {
             Effect::Send { address, frame } => self.links.send(address, frame),
-            Effect::Start { attempt, address, path, order } => {
-                self.backends.run(Run { attempt, address, path, order });
+            Effect::Start { attempt, address, path, request } => {
+                self.backends.run(Run { attempt, address, path, request });
             }
             Effect::Abort(attempt) => self.backends.abort(attempt),
-            Effect::Store { token, op } => self.store.call(token, op),
-            Effect::Offer(text) => self.checker.enqueue("peer", text),
+            Effect::StoreCall { op_id, op } => self.store.call(op_id, op),
+            Effect::OfferConfig(text) => self.checker.enqueue("peer", text),
             Effect::Register { leaving } => self.store.register(leaving),
             Effect::Log(note) => logs::log_note(&note),
             Effect::Count(metric, count) => self.counters.count_kernel(metric, count),
--- a/endivestile/src/engine.rs
+++ b/endivestile/src/engine.rs
@@ -148,7 +148,7 @@
         match demand {
             Demand::Submit(submission, shape) => {
                 let call = self.open(cx, Open { request, ids, shape });
-                self.event(cx, Event::Call { call, submission });
+                self.event(cx, Event::Submitted { call, submission });
             }
             Demand::Ask(id, ask) => {
                 let cancel = ask == endivestile_kernel::Ask::Cancel;
--- a/endivestile/src/fleet/records.rs
+++ b/endivestile/src/fleet/records.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{FleetEvent, HOST_KEY_PREFIX, HostEntry, POOL_KEY_PREFIX};
-use endivestile_kernel::{StoreOp, Stored};
+use endivestile_kernel::{StoreOp, StoreResult};
 use endivestile_wire::adapter::{StoreFault, Swap};
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -137,10 +137,10 @@
     let (reader, inbox) = (reader.clone(), inbox.clone());
     tokio::spawn(async move {
         let stored = match reader.swap(&Swap { key, revision, value }).await {
-            Ok(revision) => Stored::Swapped(revision),
-            Err(StoreFault::Raced(_)) => Stored::Raced,
+            Ok(revision) => StoreResult::Swapped(revision),
+            Err(StoreFault::Raced(_)) => StoreResult::Raced,
             // A store that turns calls away is not asked again at once.
-            Err(_) => Stored::Lost,
+            Err(_) => StoreResult::Lost,
         };
         inbox.post_event(FleetEvent::StoreResult { op_id: token, result: stored });
     });
--- a/endivestile/src/http/check.rs
+++ b/endivestile/src/http/check.rs
@@ -52,7 +52,7 @@
             }
         };
         let work = Bytes::from(body.work.into_bytes());
-        Ok(Arc::new(Task { target, work, declared: body.declared_ms.unwrap_or(0) }))
+        Ok(Arc::new(Task { target, work, declared_ms: body.declared_ms.unwrap_or(0) }))
     }
 
     /// Returns a need that at least one worker can meet when it is empty.
--- a/endivestile/src/http/desk.rs
+++ b/endivestile/src/http/desk.rs
@@ -119,7 +119,7 @@
 }
 
 fn single(target: Target, work: Bytes) -> Arc<Task> {
-    Arc::new(Task { target, work, declared: 0 })
+    Arc::new(Task { target, work, declared_ms: 0 })
 }
 
 fn parse(text: &[u8]) -> Result<JobBody, Invalid> {
--- a/endivestile/src/http/head.rs
+++ b/endivestile/src/http/head.rs
@@ -1,7 +1,7 @@
 //! Headers of a submission.
 
 use endivestile_config::CallSettings;
-use endivestile_kernel::{Form, MAX_CLOCK_SKEW_S, SubmissionId};
+use endivestile_kernel::{IdForm, MAX_CLOCK_SKEW_S, SubmissionId};
 use endivestile_wire::call::{DEADLINE_HEADER, ID_HEADER, TEAM_HEADER};
 use tiny_http::Request;
 
@@ -69,7 +69,7 @@
 fn id(request: &Request) -> Result<Option<SubmissionId>, Invalid> {
     let Some(text) = header(request, ID_HEADER)? else { return Ok(None) };
     let id = SubmissionId::parse(text).map_err(|e| Invalid::field(ID_HEADER, e.to_string()))?;
-    if let Form::Dated(secs) = id.form() {
+    if let IdForm::Dated(secs) = id.form() {
         // The table would forget an id dated further ahead while it is still valid.
         let latest = since_epoch().as_secs() + MAX_CLOCK_SKEW_S;
         if *secs > latest {
--- a/endivestile/src/run.rs
+++ b/endivestile/src/run.rs
@@ -12,7 +12,7 @@
 use clap::Parser;
 use endivestile_config::Settings;
 use endivestile_config::model::Name;
-use endivestile_kernel::{Peer, Seed, Setup};
+use endivestile_kernel::{Peer, SeedHost, Setup};
 use endivestile_wire::adapter::Adapter;
 use flexi_logger::LoggerHandle;
 use stakker::{Actor, Stakker, actor, call, ret_nop};
@@ -154,8 +154,8 @@
     let wall_s = since_epoch().as_secs();
     let seed = me.birth;
     let seeds = settings.host.seeds.iter();
-    let seeds = seeds.map(|(host, at)| seed_of(host, *at)).collect();
-    let setup = Setup { me, zone: settings.host.zone.clone(), address, wall_s, seed, seeds };
+    let seed_hosts = seeds.map(|(host, at)| seed_of(host, *at)).collect();
+    let setup = Setup { me, zone: settings.host.zone.clone(), address, wall_s, seed, seed_hosts };
     let exit = Rc::new(Cell::new(Exit::Failed));
     let stop_limit_s = settings.stop.limit_s;
     let parts =
@@ -187,8 +187,8 @@
 }
 
 /// Returns a host of the settings as one to ask for the configuration.
-fn seed_of(host: &Name, address: SocketAddr) -> Seed {
-    Seed { host: host.clone(), address: Name::from(address.to_string()) }
+fn seed_of(host: &Name, address: SocketAddr) -> SeedHost {
+    SeedHost { host: host.clone(), address: Name::from(address.to_string()) }
 }
 
 /// Runs the loop until the engine ends it.
--- a/endivestile/src/store/feed.rs
+++ b/endivestile/src/store/feed.rs
@@ -72,7 +72,7 @@
         } else if let Some(shard) = key.strip_prefix(key::SHARDS) {
             record_event(shard, revision, value)
         } else if let Some(name) = key.strip_prefix(key::STOPS) {
-            Ok(Event::Stop { name: Name::from(name), stop: value.is_some() })
+            Ok(Event::PlannedStop { name: Name::from(name), stop: value.is_some() })
         } else if let Some(name) = key.strip_prefix(key::PLATFORM) {
             platform_event(name, value)
         } else {
@@ -99,12 +99,16 @@
         Some(value) => Some(serde_json::from_slice(&value).map_err(|e| e.to_string())?),
         None => None,
     };
-    Ok(Event::Host { host: Name::from(host), registration })
+    Ok(Event::HostRegistration { host: Name::from(host), registration })
 }
 
 fn record_event(shard: &str, revision: i64, value: Option<Bytes>) -> Result<Event, String> {
     let shard = shard.parse().map_err(|_| "the key names no shard".to_owned())?;
-    Ok(Event::Record { shard, revision: revision as u64, value: value.unwrap_or_default() })
+    Ok(Event::ShardRecordChange {
+        shard,
+        revision: revision as u64,
+        value: value.unwrap_or_default(),
+    })
 }
 
 fn platform_event(name: &str, value: Option<Bytes>) -> Result<Event, String> {
@@ -115,5 +119,5 @@
         Some(b"gone") => Some(PlatformState::Gone),
         Some(_) => return Err("accepted: live, leaving, gone".to_owned()),
     };
-    Ok(Event::Platform { name: Name::from(name), state })
+    Ok(Event::PlatformChange { name: Name::from(name), state })
 }
--- a/endivestile/src/store/mod.rs
+++ b/endivestile/src/store/mod.rs
@@ -72,8 +72,8 @@
     }
 
     /// Makes a call for the kernel.
-    pub(crate) fn call(&self, token: u64, op: StoreOp) {
-        let _ = self.asks.send(Ask { token, op });
+    pub(crate) fn call(&self, op_id: u64, op: StoreOp) {
+        let _ = self.asks.send(Ask { op_id, op });
     }
 
     /// Registers the host anew, as leaving or not.
--- a/endivestile/src/store/ops.rs
+++ b/endivestile/src/store/ops.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use endivestile_kernel::{Event, StoreOp, Stored};
+use endivestile_kernel::{Event, StoreOp, StoreResult};
 use endivestile_wire::store::compare::{CompareResult, CompareTarget, TargetUnion};
 use endivestile_wire::store::request_op::Request;
 use endivestile_wire::store::{Compare, PutRequest, RangeRequest, RequestOp, TxnRequest};
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct Ask {
     /// Number of the call.
-    pub(crate) token: u64,
+    pub(crate) op_id: u64,
     /// The call.
     pub(crate) op: StoreOp,
 }
@@ -33,17 +33,17 @@
         let Ok(permit) = Arc::clone(&open).acquire_owned().await else { return };
         let (access, inbox) = (access.clone(), inbox.clone());
         tokio::spawn(async move {
-            let stored = perform(&access, ask.op).await.unwrap_or_else(|e| {
+            let result = perform(&access, ask.op).await.unwrap_or_else(|e| {
                 log::warn!("event=store_call_failed {e}");
-                Stored::Lost
+                StoreResult::Lost
             });
-            inbox.post_event(Event::Stored { token: ask.token, stored });
+            inbox.post_event(Event::StoreCallEnded { op_id: ask.op_id, result });
             drop(permit);
         });
     }
 }
 
-async fn perform(access: &Access, op: StoreOp) -> Result<Stored, StoreError> {
+async fn perform(access: &Access, op: StoreOp) -> Result<StoreResult, StoreError> {
     match op {
         StoreOp::Get { key } => get(access, &key).await,
         StoreOp::Swap { key, revision, value } => {
@@ -54,13 +54,13 @@
 }
 
 /// Reads a key.
-pub(crate) async fn get(access: &Access, key: &str) -> Result<Stored, StoreError> {
+pub(crate) async fn get(access: &Access, key: &str) -> Result<StoreResult, StoreError> {
     let request = RangeRequest { key: key.as_bytes().to_vec(), ..RangeRequest::default() };
     let mut client = access.keys();
     let answer = access.call("get", None, client.range(request)).await?.into_inner();
     let stored = answer.kvs.into_iter().next().map_or(
-        Stored::Value { revision: 0, value: Bytes::new() },
-        |kv| Stored::Value { revision: kv.mod_revision as u64, value: Bytes::from(kv.value) },
+        StoreResult::Value { revision: 0, value: Bytes::new() },
+        |kv| StoreResult::Value { revision: kv.mod_revision as u64, value: Bytes::from(kv.value) },
     );
     Ok(stored)
 }
@@ -71,7 +71,7 @@
     step: &'static str,
     revision: i64,
     put: PutRequest,
-) -> Result<Stored, StoreError> {
+) -> Result<StoreResult, StoreError> {
     let request = TxnRequest {
         compare: vec![unchanged(&put.key, revision)],
         success: vec![RequestOp { request: Some(Request::RequestPut(put)) }],
@@ -80,10 +80,10 @@
     let mut client = access.keys();
     let answer = access.call(step, None, client.txn(request)).await?.into_inner();
     if !answer.succeeded {
-        return Ok(Stored::Raced);
+        return Ok(StoreResult::Raced);
     }
     let revision = answer.header.map_or(0, |header| header.revision);
-    Ok(Stored::Swapped(revision as u64))
+    Ok(StoreResult::Swapped(revision as u64))
 }
 
 fn unchanged(key: &[u8], revision: i64) -> Compare {
--- a/endivestile/src/store/register.rs
+++ b/endivestile/src/store/register.rs
@@ -2,7 +2,7 @@
 
 use std::sync::mpsc::SyncSender;
 
-use endivestile_kernel::{Registration, Stored};
+use endivestile_kernel::{Registration, StoreResult};
 use endivestile_wire::key;
 use endivestile_wire::store::PutRequest;
 use tokio::sync::watch::Receiver;
@@ -115,7 +115,7 @@
         let key = format!("{}{}", key::HOSTS, self.desk.me.host);
         loop {
             let (revision, value) = match ops::get(&self.access, &key).await? {
-                Stored::Value { revision, value } => (revision, value),
+                StoreResult::Value { revision, value } => (revision, value),
                 _ => (0, bytes::Bytes::new()),
             };
             if let Ok(held) = serde_json::from_slice::<Registration>(&value)
@@ -125,7 +125,7 @@
             }
             let put = self.request(&key, lease);
             let stored = ops::swap(&self.access, "register", revision as i64, put).await?;
-            if stored != Stored::Raced {
+            if stored != StoreResult::Raced {
                 return Ok(());
             }
         }
--- a/endivestile/src/store/watch.rs
+++ b/endivestile/src/store/watch.rs
@@ -36,7 +36,7 @@
         first = false;
         if session.up {
             session.up = false;
-            session.desk.inbox.post_event(Input::Store(false));
+            session.desk.inbox.post_event(Input::StoreAvailable(false));
         }
         backoff.wait().await;
     }
@@ -76,7 +76,7 @@
         self.up = true;
         backoff.reset();
         log::info!("event=store_up revision={revision}");
-        self.desk.inbox.post_event(Input::Store(true));
+        self.desk.inbox.post_event(Input::StoreAvailable(true));
         self.follow(feed, &mut answers).await
     }
 
--- a/endivestile/tests/hostile_frames.rs
+++ b/endivestile/tests/hostile_frames.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use endivestile_config::model::{Config, Host, Name, Server, Service, Team, Zone};
 use endivestile_kernel::{
-    Answer, Ask, Event, Frame, Kernel, Known, Msg, Order, Outcome, Peer, Registration, Setup,
-    Submission, SubmissionId, Target, Task, TaskKey, Time,
+    Answer, Ask, Event, Frame, Kernel, KnownId, Msg, Outcome, Peer, PlaceRequest, Registration,
+    Setup, Submission, SubmissionId, Target, Task, TaskKey, Time,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config as RunnerConfig, RngAlgorithm, TestRng, TestRunner};
@@ -96,7 +96,7 @@
         address: Name::from("10.0.0.1:1"),
         wall_s: WALL_S,
         seed: 1,
-        seeds: Vec::new(),
+        seed_hosts: Vec::new(),
     });
     let registration = Registration {
         peer: peer(),
@@ -106,8 +106,8 @@
     };
     let events = [
         Event::Config { config: Arc::new(config()), text: Bytes::from("1") },
-        Event::Store(true),
-        Event::Host { host: Name::from("a2"), registration: Some(registration) },
+        Event::StoreAvailable(true),
+        Event::HostRegistration { host: Name::from("a2"), registration: Some(registration) },
     ];
     let mut effects = Vec::new();
     for event in events {
@@ -156,10 +156,10 @@
 fn messages() -> Vec<Msg> {
     let id = SubmissionId::parse(&format!("{WALL_S}:order")).expect("an id");
     let target = Target::Service(Name::from("orders"));
-    let task = Arc::new(Task { target, work: Bytes::from("w"), declared: 5 });
+    let task = Arc::new(Task { target, work: Bytes::from("w"), declared_ms: 5 });
     let deadline = Time::ZERO.after_ms(900);
     let key = TaskKey { run: 1, index: 0, attempt: 0 };
-    let known = Known { id: id.clone(), digest: 3, runner: peer(), forget: deadline };
+    let known = KnownId { id: id.clone(), digest: 3, runner: peer(), forget: deadline };
     let submission = Arc::new(Submission {
         id: Some(id.clone()),
         team: Name::from("m1"),
@@ -167,11 +167,18 @@
         idempotent: false,
         tasks: vec![task.clone(); 2],
     });
-    let order = Order { key, team: Name::from("m1"), deadline, arrived: Time::ZERO, left: 2, task };
+    let order = PlaceRequest {
+        key,
+        team: Name::from("m1"),
+        deadline,
+        arrived: Time::ZERO,
+        remaining: 2,
+        task,
+    };
     let (shard, epoch, batch) = (1, 1, 1);
     let ids = vec![known];
     vec![
-        Msg::Submit { call: 1, submission, hops: 0, known: true },
+        Msg::Submit { call: 1, submission, hops: 0, recorded: true },
         Msg::Ask { call: 1, id, ask: Ask::Cancel, hops: 0 },
         Msg::Reply { call: 1, answer: Arc::new(Answer::Running) },
         Msg::Place(order),
--- a/endivestile_kernel/benches/place.rs
+++ b/endivestile_kernel/benches/place.rs
@@ -10,8 +10,8 @@
 use criterion::{BenchmarkId, Criterion};
 use endivestile_config::model::{Config, Name, Server, Service, Team, Worker};
 use endivestile_kernel::{
-    AttemptId, End, HostState, HostView, Need, Order, Peer, PlaceEffect, Placer, PlacerSetup,
-    Target, Task, TaskKey, Time, View,
+    AttemptEnd, AttemptId, HostState, HostView, Need, Peer, PlaceEffect, PlaceRequest, Placer,
+    PlacerSetup, Target, Task, TaskKey, Time, View,
 };
 
 const SLOTS: u32 = 8;
@@ -76,7 +76,13 @@
     let zone = Name::from("z");
     let (peer, state) = (me.clone(), HostState::Live);
     let host = HostView { peer, zone: zone.clone(), address: address(), weight: 1, state };
-    View { me, zone, hosts: [(Name::from("h"), host)].into(), store: true, inventory: true }
+    View {
+        me,
+        zone,
+        hosts: [(Name::from("h"), host)].into(),
+        store_available: true,
+        has_inventory: true,
+    }
 }
 
 /// A placer under load, and the calls it has open.
@@ -102,7 +108,7 @@
         } else {
             Target::Service(Name::from("s"))
         };
-        let task = Arc::new(Task { target, work: Bytes::new(), declared: 100 });
+        let task = Arc::new(Task { target, work: Bytes::new(), declared_ms: 100 });
         let teams = (0..TEAMS).map(|at| name("m", at)).collect();
         let open = std::collections::VecDeque::new();
         Self { placer, me, teams, open, task, now: Time::ZERO, run: 0, out }
@@ -110,12 +116,12 @@
 
     fn order(&mut self) {
         self.run += 1;
-        let order = Order {
+        let order = PlaceRequest {
             key: TaskKey { run: self.run, index: 0, attempt: 0 },
             team: self.teams[self.run as usize % TEAMS].clone(),
             deadline: self.now.after_ms(100_000_000),
             arrived: self.now,
-            left: 1,
+            remaining: 1,
             task: self.task.clone(),
         };
         self.placer.order(self.now, &self.me, order, &mut self.out);
@@ -124,7 +130,7 @@
 
     fn end(&mut self) {
         let Some(attempt) = self.open.pop_front() else { return };
-        self.placer.end(self.now, attempt, End::Answered(Bytes::new()), &mut self.out);
+        self.placer.end(self.now, attempt, AttemptEnd::Answered(Bytes::new()), &mut self.out);
         self.collect();
     }
 
@@ -221,7 +227,7 @@
     let me = Peer::new(name("h", 0), 1);
     let hosts = hosts.collect();
     let zone = name("z", 0);
-    let view = View { me: me.clone(), zone, hosts, store: true, inventory: true };
+    let view = View { me: me.clone(), zone, hosts, store_available: true, has_inventory: true };
     let mut placer = Placer::new(PlacerSetup { me, seed: 1 });
     let mut out = Vec::new();
     placer.configure(Time::ZERO, &config, &view, &mut out);
--- a/endivestile_kernel/benches/shards.rs
+++ b/endivestile_kernel/benches/shards.rs
@@ -6,8 +6,8 @@
 use criterion::{BatchSize, Criterion};
 use endivestile_config::model::{Name, Rules};
 use endivestile_kernel::{
-    Admission, HostState, HostView, Known, Msg, Peer, ShardEffect, ShardSetup, Shards, StoreOp,
-    Stored, SubmissionId, Time, View,
+    Admission, HostState, HostView, KnownId, Msg, Peer, ShardEffect, ShardSetup, Shards, StoreOp,
+    StoreResult, SubmissionId, Time, View,
 };
 
 const WALL_S: u64 = 1_800_000_000;
@@ -58,7 +58,7 @@
                         self.now,
                         view,
                         token,
-                        Stored::Swapped(*revision),
+                        StoreResult::Swapped(*revision),
                         &mut out,
                     );
                 }
@@ -96,7 +96,8 @@
         let view = HostView { peer, zone, address, weight, state: HostState::Live };
         (view.peer.host.clone(), view)
     });
-    let view = View { me, zone, hosts: hosts.collect(), store: true, inventory: true };
+    let view =
+        View { me, zone, hosts: hosts.collect(), store_available: true, has_inventory: true };
     (shards, view)
 }
 
@@ -141,7 +142,7 @@
     for part in 0..IDS / 1_000 {
         for id in ids(part * 1_000, 1_000) {
             let shard = id.shard(SHARDS);
-            let known = Known { id, digest: 7, runner: home.clone(), forget: Time::NEVER };
+            let known = KnownId { id, digest: 7, runner: home.clone(), forget: Time::NEVER };
             let msg = Msg::Record { shard, epoch: 1, batch: 1, ids: vec![known] };
             witness.handle_message(pair.now, view, &home, msg, &mut Vec::new());
         }
--- a/endivestile_kernel/src/past.rs
+++ b/endivestile_kernel/src/answer_cache.rs
@@ -14,13 +14,13 @@
 
 /// What is left of a submission that has ended.
 #[derive(Debug)]
-pub(crate) struct Ended {
+pub(crate) struct CachedAnswer {
     /// Digest of the submission.
     pub(crate) digest: u64,
     /// Its answer.
     pub(crate) answer: Arc<Answer>,
     /// When it may be forgotten.
-    pub(crate) keep: Time,
+    pub(crate) keep_until: Time,
 }
 
 /// Submissions that have ended, by id.
@@ -28,19 +28,19 @@
 /// At the target one host remembers hundreds of thousands of them: so only the
 /// digest and the answer are kept, and ids are forgotten by the second.
 #[derive(Debug, Default)]
-pub(crate) struct Past {
-    ended: HashMap<Name, Ended>,
+pub(crate) struct AnswerCache {
+    ended: HashMap<Name, CachedAnswer>,
     forget: BTreeMap<u64, Vec<Name>>,
     results: VecDeque<(Name, usize)>,
     bytes: usize,
 }
 
-impl Past {
+impl AnswerCache {
     /// Keeps an answer until its time has come.
-    pub(crate) fn insert(&mut self, id: &SubmissionId, ended: Ended) {
+    pub(crate) fn insert(&mut self, id: &SubmissionId, ended: CachedAnswer) {
         let name = id.text().clone();
         let size = ended.answer.payload();
-        self.forget.entry(step(ended.keep)).or_default().push(name.clone());
+        self.forget.entry(step(ended.keep_until)).or_default().push(name.clone());
         if size > 0 {
             self.results.push_back((name.clone(), size));
             self.bytes += size;
@@ -50,7 +50,7 @@
     }
 
     /// Returns what is kept of an id.
-    pub(crate) fn get(&self, id: &SubmissionId) -> Option<&Ended> {
+    pub(crate) fn get(&self, id: &SubmissionId) -> Option<&CachedAnswer> {
         self.ended.get(id.text())
     }
 
@@ -60,14 +60,14 @@
     }
 
     /// Forgets the ids whose time has come.
-    pub(crate) fn forget(&mut self, now: Time) {
+    pub(crate) fn evict_expired(&mut self, now: Time) {
         while let Some(entry) = self.forget.first_entry() {
             if entry.key() * STEP_US > now.as_micros() {
                 return;
             }
             for name in entry.remove() {
                 // An id that was started again after "not run" has a later time.
-                if self.ended.get(&name).is_some_and(|ended| ended.keep <= now) {
+                if self.ended.get(&name).is_some_and(|ended| ended.keep_until <= now) {
                     self.ended.remove(&name);
                 }
             }
@@ -102,6 +102,6 @@
 }
 
 /// Returns the first step that ends no earlier than `keep`.
-fn step(keep: Time) -> u64 {
-    keep.as_micros().div_ceil(STEP_US)
+fn step(keep_until: Time) -> u64 {
+    keep_until.as_micros().div_ceil(STEP_US)
 }
--- a/endivestile_kernel/src/channel.rs
+++ b/endivestile_kernel/src/channel.rs
@@ -5,7 +5,7 @@
 
 use endivestile_config::model::Name;
 
-use crate::{Figure, Frame, Msg, Peer, Time};
+use crate::{Frame, Msg, Peer, TargetLoad, Time};
 
 /// Wait before a lone acknowledgement, in milliseconds; most ride on other frames.
 const ACK_MS: u64 = 200;
@@ -44,7 +44,7 @@
     beat_due: Option<Time>,
     heard: Option<Time>,
     wanting: Option<Time>,
-    load: Option<Arc<[Figure]>>,
+    load: Option<Arc<[TargetLoad]>>,
     load_next: Time,
     load_due: Time,
 }
@@ -82,17 +82,21 @@
     }
 
     /// Returns since when messages have waited without the peer being heard.
-    pub(crate) fn silent_since(&self) -> Option<Time> {
+    pub(crate) fn unanswered_since(&self) -> Option<Time> {
         if self.unacked.is_empty() { None } else { self.wanting }
     }
 
     /// Returns when a frame last arrived.
-    pub(crate) fn heard(&self) -> Option<Time> {
+    pub(crate) fn last_frame(&self) -> Option<Time> {
         self.heard
     }
 
     /// Returns the load to put on the next frame: none when it was told already.
-    pub(crate) fn tell_load(&mut self, now: Time, load: &Arc<[Figure]>) -> Option<Arc<[Figure]>> {
+    pub(crate) fn next_load(
+        &mut self,
+        now: Time,
+        load: &Arc<[TargetLoad]>,
+    ) -> Option<Arc<[TargetLoad]>> {
         let same = self.load.as_ref().is_some_and(|told| told == load);
         let due = if same { self.load_due } else { self.load_next };
         if due > now || load.is_empty() {
@@ -105,29 +109,29 @@
     }
 
     /// Asks for a frame at `at` even when there is nothing to say.
-    pub(crate) fn beat(&mut self, at: Time) {
+    pub(crate) fn schedule_heartbeat(&mut self, at: Time) {
         let due = self.beat_due.map_or(at, |due| due.min(at));
         self.beat_due = Some(due);
     }
 
     /// Asks for a frame by `at` unless one leaves or is due before.
-    pub(crate) fn beat_by(&mut self, at: Time) {
+    pub(crate) fn schedule_heartbeat_by(&mut self, at: Time) {
         self.beat_due.get_or_insert(at);
     }
 
     /// Answers a peer that asked for a sign of life. Unlike a beat it is not given up when
     /// the peer is not watched: the peer may wait for it to count this host as live.
-    pub(crate) fn answer(&mut self, now: Time) {
+    pub(crate) fn ack_now(&mut self, now: Time) {
         self.ack_due = Some(now);
     }
 
-    /// Ends the regular frames of [`Self::beat`].
-    pub(crate) fn rest(&mut self) {
+    /// Ends the regular frames of [`Self::schedule_heartbeat`].
+    pub(crate) fn stop_heartbeats(&mut self) {
         self.beat_due = None;
     }
 
     /// Notes that the link broke: what was not acknowledged is sent again.
-    pub(crate) fn broken(&mut self, now: Time) {
+    pub(crate) fn resend_unacked(&mut self, now: Time) {
         self.sent = self.acked;
         if !self.unacked.is_empty() {
             self.resend_due = Some(now.after_ms(self.resend_ms));
@@ -158,14 +162,14 @@
     }
 
     /// Returns whether there may be a frame to send, without making it.
-    pub(crate) fn wants_frame(&self, now: Time) -> bool {
+    pub(crate) fn has_frame_due(&self, now: Time) -> bool {
         let unsent = self.unacked.len() as u64 > self.sent - self.acked;
         let resend = self.resend_due.is_some_and(|due| due <= now);
         unsent || resend || self.due(now)
     }
 
     /// Returns the next frame, if one is due.
-    pub(crate) fn frame(&mut self, now: Time, me: &Peer) -> Option<Frame> {
+    pub(crate) fn next_frame(&mut self, now: Time, me: &Peer) -> Option<Frame> {
         if self.resend_due.is_some_and(|due| due <= now) {
             self.sent = self.acked;
             self.resend_due = None;
--- a/endivestile_kernel/src/event.rs
+++ b/endivestile_kernel/src/event.rs
@@ -7,7 +7,8 @@
 use endivestile_config::model::{Config, Name};
 
 use crate::{
-    Answer, Ask, AttemptId, End, Frame, Order, Peer, Registration, Submission, SubmissionId,
+    Answer, Ask, AttemptEnd, AttemptId, Frame, Peer, PlaceRequest, Registration, Submission,
+    SubmissionId,
 };
 
 /// Number of an open call of a caller, never used twice by one process.
@@ -28,7 +29,7 @@
 
 /// How a call to the platform's store ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Stored {
+pub enum StoreResult {
     /// The value and its revision; 0 and empty when the key is absent.
     Value {
         /// Revision of the last change of the key.
@@ -67,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A caller submits.
-    Call {
+    Submitted {
         /// The open call.
         call: CallId,
         /// What to run.
@@ -87,21 +88,21 @@
     /// The link to a peer broke or could not be made.
     LinkDown(Peer),
     /// A call to a back end ended.
-    End {
+    AttemptEnded {
         /// The call.
         attempt: AttemptId,
         /// How it ended.
-        end: End,
+        end: AttemptEnd,
     },
     /// A call to the store ended.
-    Stored {
+    StoreCallEnded {
         /// Number of the call.
-        token: u64,
+        op_id: u64,
         /// How it ended.
-        stored: Stored,
+        result: StoreResult,
     },
     /// Another value of a shard record.
-    Record {
+    ShardRecordChange {
         /// Shard.
         shard: u32,
         /// Revision of the key.
@@ -110,28 +111,28 @@
         value: Bytes,
     },
     /// A host registered, or its registration ended.
-    Host {
+    HostRegistration {
         /// Name of the host.
         host: Name,
         /// The registration, none when its lease ended.
         registration: Option<Registration>,
     },
     /// The platform's list changed for a host or back end.
-    Platform {
+    PlatformChange {
         /// Name of the host or back end.
         name: Name,
         /// State; none when the platform does not list it any more.
         state: Option<PlatformState>,
     },
     /// An operator planned a stop of a host or back end, or took it back.
-    Stop {
+    PlannedStop {
         /// Name of the host or back end.
         name: Name,
         /// Whether it is to stop.
         stop: bool,
     },
     /// The watch on the store came up or broke.
-    Store(bool),
+    StoreAvailable(bool),
     /// A checked configuration was read, with its canonical text.
     Config {
         /// The configuration.
@@ -171,19 +172,19 @@
         /// Path to call; empty for a worker.
         path: Name,
         /// The order.
-        order: Order,
+        request: PlaceRequest,
     },
     /// Stop a call to a back end whose answer nobody wants any more.
     Abort(AttemptId),
     /// Call the store.
-    Store {
+    StoreCall {
         /// Number of the call.
-        token: u64,
+        op_id: u64,
         /// The call.
         op: StoreOp,
     },
     /// Check and offer a configuration that a peer passed on.
-    Offer(Bytes),
+    OfferConfig(Bytes),
     /// Register anew in the store, as leaving or not.
     Register {
         /// Whether the host is leaving.
--- a/endivestile_kernel/src/fleet/core.rs
+++ b/endivestile_kernel/src/fleet/core.rs
@@ -23,7 +23,7 @@
 use crate::fleet::workers::call::WorkerCall;
 use crate::fleet::workers::protocol::{CallError, RenewReply, StartResult, WorkerEntry};
 use crate::fleet::workers::run::RunId;
-use crate::{CallId, Frame, Level, Note, Peer, StoreOp, Stored, Time};
+use crate::{CallId, Frame, Level, Note, Peer, StoreOp, StoreResult, Time};
 
 /// Time between two looks at everything that is due, in milliseconds, while
 /// there is work.
@@ -117,7 +117,7 @@
         /// Number of the call.
         op_id: u64,
         /// How.
-        result: Stored,
+        result: StoreResult,
     },
     /// An order to start ended.
     StartResult {
@@ -315,7 +315,7 @@
             FleetEvent::Frame(frame) => self.receive_frame(now, *frame),
             FleetEvent::LinkDown(peer) => {
                 if let Some(channel) = self.channels.get_mut(&peer) {
-                    channel.broken(now);
+                    channel.resend_unacked(now);
                 }
             }
             FleetEvent::Shutdown => self.shutdown(now),
--- a/endivestile_kernel/src/fleet/hosts/frames.rs
+++ b/endivestile_kernel/src/fleet/hosts/frames.rs
@@ -142,7 +142,7 @@
             let Some(beat) = beat_ms(own, member.owned_recently(now), touch) else { continue };
             let channel = self.channels.entry(member.peer.clone());
             let channel = channel.or_insert_with(|| Channel::new(member.peer.clone()));
-            channel.beat_by(now.after_ms(beat));
+            channel.schedule_heartbeat_by(now.after_ms(beat));
             let limit = if member.zone == self.setup.zone { QUIET_MS } else { FAR_QUIET_MS };
             let quiet = member.unechoed_since.is_some_and(|at| at.after_ms(limit) <= now);
             if quiet && member.reconnect_due <= now {
@@ -232,7 +232,7 @@
 
     /// Sends what is due to every peer.
     pub(crate) fn send_frames(&mut self, now: Time) {
-        let wanting = self.channels.iter().filter(|(_, channel)| channel.wants_frame(now));
+        let wanting = self.channels.iter().filter(|(_, channel)| channel.has_frame_due(now));
         let peers: Vec<Peer> = wanting.map(|(peer, _)| peer.clone()).collect();
         if peers.is_empty() {
             return;
@@ -250,7 +250,7 @@
     fn send_frame(&mut self, now: Time, peer: &Peer, report: &Arc<HostReport>) -> bool {
         let Some(member) = self.members.get_mut(peer) else { return false };
         let Some(channel) = self.channels.get_mut(peer) else { return false };
-        let Some(mut frame) = channel.frame(now, &self.setup.me) else { return false };
+        let Some(mut frame) = channel.next_frame(now, &self.setup.me) else { return false };
         member.unechoed_since.get_or_insert(now);
         frame.leaving = self.leaving;
         frame.echo = member.peer_clock;
--- a/endivestile_kernel/src/fleet/ownership/claim.rs
+++ b/endivestile_kernel/src/fleet/ownership/claim.rs
@@ -12,7 +12,7 @@
 use crate::fleet::ownership::partition::{pool_of, zone_of};
 use crate::fleet::ownership::pools::{POOL_KEY_PREFIX, Pool, RecordSwap};
 use crate::fleet::workers::protocol::{CallError, RenewReply, WorkerEntry};
-use crate::{Level, Peer, StoreOp, Stored, Time};
+use crate::{Level, Peer, StoreOp, StoreResult, Time};
 
 /// Wait before workers without any owner are claimed, in milliseconds: hosts
 /// that start together have to find each other first.
@@ -60,13 +60,13 @@
     }
 
     /// Takes in how a change of a record ended.
-    pub(crate) fn apply_swap_result(&mut self, now: Time, token: u64, stored: &Stored) {
+    pub(crate) fn apply_swap_result(&mut self, now: Time, token: u64, stored: &StoreResult) {
         let Some((name, done)) = self.pools.apply_swap_result(now, token, stored) else { return };
         let pairs = vec![("pool", name.to_string()), ("outcome", format!("{stored:?}"))];
         self.log(Level::Info, "owner_change_ended", pairs);
         if done {
             self.owners_changed(now, &name);
-        } else if *stored == Stored::Lost {
+        } else if *stored == StoreResult::Lost {
             self.transfer_after_lost_swap(now, &name);
         }
     }
--- a/endivestile_kernel/src/fleet/ownership/pools.rs
+++ b/endivestile_kernel/src/fleet/ownership/pools.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::ownership::partition::zone_of;
-use crate::{Peer, Stored, Time};
+use crate::{Peer, StoreResult, Time};
 
 /// Prefix of the records' keys.
 pub const POOL_KEY_PREFIX: &str = "endivestile/pools/";
@@ -261,7 +261,7 @@
         &mut self,
         now: Time,
         token: u64,
-        stored: &Stored,
+        stored: &StoreResult,
     ) -> Option<(Name, bool)> {
         let found = self
             .by_name
@@ -270,7 +270,7 @@
         let (name, pool) = found?;
         let swap = pool.swap.take()?;
         match stored {
-            Stored::Swapped(revision) if *revision > pool.revision => {
+            StoreResult::Swapped(revision) if *revision > pool.revision => {
                 pool.revision = *revision;
                 let challenge = swap.record.challenge.is_some();
                 let changed = pool.take(now, Some(swap.record));
@@ -281,7 +281,7 @@
             }
             // The next try waits for its due time; the watch brings the record
             // that stood in the way, or the change itself.
-            Stored::Lost | Stored::Raced => {
+            StoreResult::Lost | StoreResult::Raced => {
                 pool.swap = Some(swap);
                 Some((name.clone(), false))
             }
--- a/endivestile_kernel/src/passed.rs
+++ b/endivestile_kernel/src/forwards.rs
@@ -8,7 +8,7 @@
 
 /// What was passed on.
 #[derive(Debug, Clone)]
-pub(crate) enum What {
+pub(crate) enum Forwarded {
     /// A submission.
     Submission(Arc<Submission>),
     /// A question or a cancellation.
@@ -21,7 +21,7 @@
     /// Who waits.
     pub(crate) waiter: Waiter,
     /// What was passed on.
-    pub(crate) what: What,
+    pub(crate) request: Forwarded,
     /// To whom.
     pub(crate) to: Peer,
     /// When to give up.
@@ -47,16 +47,16 @@
 
 /// All calls passed on or parked.
 #[derive(Debug, Default)]
-pub(crate) struct Passed {
+pub(crate) struct Forwards {
     forwards: BTreeMap<u64, Forward>,
     due: BTreeSet<(Time, u64)>,
     parked: BTreeMap<(Time, u64), Parked>,
     next: u64,
 }
 
-impl Passed {
+impl Forwards {
     /// Notes a call as passed on and returns its number.
-    pub(crate) fn forward(&mut self, forward: Forward) -> u64 {
+    pub(crate) fn add(&mut self, forward: Forward) -> u64 {
         self.next += 1;
         self.due.insert((forward.due, self.next));
         self.forwards.insert(self.next, forward);
@@ -77,13 +77,13 @@
     }
 
     /// Returns a call that was passed on and not answered in time.
-    pub(crate) fn late(&mut self, now: Time) -> Option<Forward> {
+    pub(crate) fn pop_late(&mut self, now: Time) -> Option<Forward> {
         let &(due, call) = self.due.first()?;
         if due > now { None } else { self.take(call) }
     }
 
     /// Returns a parked submission whose time has come.
-    pub(crate) fn unpark(&mut self, now: Time) -> Option<Parked> {
+    pub(crate) fn pop_parked(&mut self, now: Time) -> Option<Parked> {
         let (&(at, number), _) = self.parked.first_key_value()?;
         if at > now { None } else { self.parked.remove(&(at, number)) }
     }
--- a/endivestile_kernel/src/id.rs
+++ b/endivestile_kernel/src/id.rs
@@ -25,7 +25,7 @@
             display("byte {at} is not printable ASCII without space and comma")
         }
         /// The text has neither of the two accepted forms.
-        Form {
+        IdForm {
             display("accepted: `<seconds since 1970>:<key>` or an id returned in Minted-Ids")
         }
     }
@@ -33,7 +33,7 @@
 
 /// What an id tells about where it may be started, and until when.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Form {
+pub enum IdForm {
     /// `m:<host>:<birth>:<serial>`, number `serial` of one incarnation, which alone may start it.
     Minted(Peer, u64),
     /// `<seconds since 1970>:<key>`, chosen by the caller at its first try.
@@ -45,7 +45,7 @@
 #[serde(try_from = "String", into = "String")]
 pub struct SubmissionId {
     text: Name,
-    form: Form,
+    form: IdForm,
 }
 
 impl SubmissionId {
@@ -60,14 +60,14 @@
         if let Some(at) = text.bytes().position(|b| !b.is_ascii_graphic() || b == b',') {
             return Err(IdError::Byte(at));
         }
-        let form = parse_minted(text).or_else(|| parse_dated(text)).ok_or(IdError::Form)?;
+        let form = parse_minted(text).or_else(|| parse_dated(text)).ok_or(IdError::IdForm)?;
         Ok(Self { text: Name::from(text), form })
     }
 
     /// Makes the id number `serial` of `issuer`.
     pub fn mint(issuer: &Peer, serial: u64) -> Self {
         let text = format!("m:{}:{:x}:{serial:x}", issuer.host, issuer.birth);
-        Self { text: Name::from(text), form: Form::Minted(issuer.clone(), serial) }
+        Self { text: Name::from(text), form: IdForm::Minted(issuer.clone(), serial) }
     }
 
     /// Returns the id as callers write it.
@@ -76,7 +76,7 @@
     }
 
     /// Returns what the id tells.
-    pub fn form(&self) -> &Form {
+    pub fn form(&self) -> &IdForm {
         &self.form
     }
 
@@ -132,18 +132,18 @@
     }
 }
 
-fn parse_minted(text: &str) -> Option<Form> {
+fn parse_minted(text: &str) -> Option<IdForm> {
     let mut parts = text.strip_prefix("m:")?.rsplitn(3, ':');
     let serial = u64::from_str_radix(parts.next()?, 16).ok()?;
     let birth = u64::from_str_radix(parts.next()?, 16).ok()?;
     let host = parts.next().filter(|host| !host.is_empty())?;
-    Some(Form::Minted(Peer::new(host, birth), serial))
+    Some(IdForm::Minted(Peer::new(host, birth), serial))
 }
 
-fn parse_dated(text: &str) -> Option<Form> {
+fn parse_dated(text: &str) -> Option<IdForm> {
     let (secs, key) = text.split_once(':')?;
     if key.is_empty() {
         return None;
     }
-    Some(Form::Dated(secs.parse().ok()?))
+    Some(IdForm::Dated(secs.parse().ok()?))
 }
--- a/endivestile_kernel/src/kernel.rs
+++ b/endivestile_kernel/src/kernel.rs
@@ -1,15 +1,15 @@
 //! The kernel: takes events in, gives effects out.
 
-mod ask;
-mod grant;
-mod link;
-mod pass;
+mod forward;
+mod frames;
+mod liveness;
+mod query;
 mod reply;
+mod shard_effect;
+mod shutdown;
 mod status;
-mod stop;
 mod submit;
 mod task;
-mod watch;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 use bytes::Bytes;
 use endivestile_config::model::{Config, Name};
 
-use crate::budget::Budget;
 use crate::channel::Channel;
-use crate::hosts::{Hosts, Seed};
+use crate::forwards::Forwards;
+use crate::membership::{Membership, SeedHost};
 use crate::mint::Mint;
-use crate::passed::Passed;
+use crate::retry_budget::RetryBudget;
 use crate::routes::Routes;
 use crate::runs::Runs;
 use crate::{
@@ -48,7 +48,7 @@
     /// Seed of everything that is drawn at random.
     pub seed: u64,
     /// Hosts to ask for the configuration while the store is away.
-    pub seeds: Vec<Seed>,
+    pub seed_hosts: Vec<SeedHost>,
 }
 
 /// All decisions of one entry host.
@@ -56,23 +56,23 @@
 pub struct Kernel {
     setup: Setup,
     config: Option<Arc<Config>>,
-    text: Bytes,
-    wanted: Option<Time>,
-    hosts: Hosts,
+    config_text: Bytes,
+    config_request_due: Option<Time>,
+    membership: Membership,
     channels: BTreeMap<Peer, Channel>,
-    watched: BTreeMap<Peer, Time>,
-    survey_due: Time,
-    load: (Time, Arc<[crate::Figure]>),
+    monitored: BTreeMap<Peer, Time>,
+    check_due: Time,
+    own_load: (Time, Arc<[crate::TargetLoad]>),
     shards: Shards,
     placer: Placer,
     runs: Runs,
-    passed: Passed,
-    replacing: BTreeSet<(Time, TaskKey)>,
+    forwards: Forwards,
+    retries: BTreeSet<(Time, TaskKey)>,
     mint: Mint,
-    budget: Budget,
+    budget: RetryBudget,
     routes: Routes,
     totals: BTreeMap<Metric, u64>,
-    stopping: Option<stop::Stopping>,
+    stopping: Option<shutdown::DrainState>,
     leaving: bool,
     drained: bool,
     shard_effects: Vec<ShardEffect>,
@@ -92,20 +92,25 @@
         };
         Self {
             config: None,
-            text: Bytes::new(),
-            wanted: None,
-            hosts: Hosts::new(me.clone(), setup.zone.clone(), setup.address.clone(), &setup.seeds),
+            config_text: Bytes::new(),
+            config_request_due: None,
+            membership: Membership::new(
+                me.clone(),
+                setup.zone.clone(),
+                setup.address.clone(),
+                &setup.seed_hosts,
+            ),
             channels: BTreeMap::new(),
-            watched: BTreeMap::new(),
-            survey_due: Time::ZERO,
-            load: (Time::ZERO, Arc::from([])),
+            monitored: BTreeMap::new(),
+            check_due: Time::ZERO,
+            own_load: (Time::ZERO, Arc::from([])),
             shards: Shards::new(shard_setup),
             placer: Placer::new(PlacerSetup { me: me.clone(), seed: setup.seed }),
             runs: Runs::default(),
-            passed: Passed::default(),
-            replacing: BTreeSet::new(),
+            forwards: Forwards::default(),
+            retries: BTreeSet::new(),
             mint: Mint::new(me),
-            budget: Budget::new(),
+            budget: RetryBudget::new(),
             routes: Routes::default(),
             totals: BTreeMap::new(),
             stopping: None,
@@ -121,7 +126,7 @@
     /// Takes one event in. Frames to peers wait for [`Self::flush`], so that
     /// one frame carries what several events caused.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
-        self.dispatch(now, event);
+        self.handle_event(now, event);
         self.settle(now);
         out.append(&mut self.out);
     }
@@ -140,11 +145,11 @@
             channels,
             drain,
             self.runs.deadline(),
-            self.passed.deadline(),
-            self.replacing.first().map(|&(due, _)| due),
+            self.forwards.deadline(),
+            self.retries.first().map(|&(due, _)| due),
             self.shards.deadline(),
             self.placer.deadline(),
-            Some(self.survey_due),
+            Some(self.check_due),
         ]
         .into_iter()
         .flatten()
@@ -167,51 +172,51 @@
         self.mint.issue(now, count, window_s)
     }
 
-    fn dispatch(&mut self, now: Time, event: Event) {
+    fn handle_event(&mut self, now: Time, event: Event) {
         match event {
-            Event::Call { call, submission } => self.call(now, call, submission),
-            Event::Ask { call, id, ask } => self.called(now, call, id, ask),
-            Event::Frame(frame) => self.frame(now, frame),
-            Event::LinkDown(peer) => self.link_down(now, &peer),
-            Event::End { attempt, end } => {
+            Event::Submitted { call, submission } => self.handle_submit(now, call, submission),
+            Event::Ask { call, id, ask } => self.handle_ask(now, call, id, ask),
+            Event::Frame(frame) => self.handle_frame(now, frame),
+            Event::LinkDown(peer) => self.handle_link_down(now, &peer),
+            Event::AttemptEnded { attempt, end } => {
                 self.placer.end(now, attempt, end, &mut self.place_effects);
             }
-            Event::Stored { token, stored } => {
-                let view = self.hosts.view();
-                self.shards.handle_store_reply(now, view, token, stored, &mut self.shard_effects);
+            Event::StoreCallEnded { op_id, result } => {
+                let view = self.membership.view();
+                self.shards.handle_store_reply(now, view, op_id, result, &mut self.shard_effects);
             }
-            Event::Record { shard, revision, value } => {
-                let view = self.hosts.view();
+            Event::ShardRecordChange { shard, revision, value } => {
+                let view = self.membership.view();
                 let out = &mut self.shard_effects;
                 self.shards.handle_watch_event(now, view, shard, revision, &value, out);
             }
-            Event::Host { host, registration } => {
-                let changed = self.hosts.register(now, &host, registration.as_ref());
-                self.viewed(now, changed);
+            Event::HostRegistration { host, registration } => {
+                let changed = self.membership.apply_registration(now, &host, registration.as_ref());
+                self.apply_view_change(now, changed);
             }
-            Event::Platform { name, state } => self.platform(now, &name, state),
-            Event::Stop { name, stop } => self.planned_stop(now, &name, stop),
-            Event::Store(up) => {
-                self.hosts.store(up);
-                self.viewed(now, true);
+            Event::PlatformChange { name, state } => self.handle_platform_change(now, &name, state),
+            Event::PlannedStop { name, stop } => self.handle_planned_stop(now, &name, stop),
+            Event::StoreAvailable(up) => {
+                self.membership.set_store_available(up);
+                self.apply_view_change(now, true);
             }
-            Event::Config { config, text } => self.adopt(now, config, text),
-            Event::Shutdown => self.shutdown(now),
+            Event::Config { config, text } => self.adopt_config(now, config, text),
+            Event::Shutdown => self.handle_shutdown(now),
             Event::Tick => self.tick(now),
         }
     }
 
     fn tick(&mut self, now: Time) {
-        self.survey(now);
-        self.passed_due(now);
-        self.replace_due(now);
-        let view = self.hosts.view();
+        self.check_peers(now);
+        self.resume_forwards(now);
+        self.retry_due_tasks(now);
+        let view = self.membership.view();
         self.shards.tick(now, view, &mut self.shard_effects);
         self.placer.tick(now, &mut self.place_effects);
         // The placer gives up what still waits at the deadline and proves that
         // it never ran; a run that ended first would be told as failed.
         self.settle(now);
-        self.runs_due(now);
+        self.end_due_runs(now);
         self.check_drained(now);
     }
 
@@ -224,30 +229,30 @@
                 return;
             }
             for effect in shard_effects {
-                self.shard_effect(now, effect);
+                self.handle_shard_effect(now, effect);
             }
             for effect in place_effects {
-                self.place_effect(now, effect);
+                self.handle_place_effect(now, effect);
             }
         }
         unreachable!("the kernel's parts answer each other without end");
     }
 
-    fn adopt(&mut self, now: Time, config: Arc<Config>, text: Bytes) {
+    fn adopt_config(&mut self, now: Time, config: Arc<Config>, text: Bytes) {
         // A slow peer or a lagging watch may offer an older revision; taking it
         // would put rules in force again that operators have replaced.
         if self.config.as_ref().is_some_and(|own| own.revision >= config.revision) {
             return;
         }
-        self.text = text;
+        self.config_text = text;
         self.budget.configure(config.rules.retry_percent);
-        self.hosts.configure(now, &config);
+        self.membership.configure(now, &config);
         self.shards.configure(&config.rules);
         self.config = Some(config.clone());
-        let view = self.hosts.view();
+        let view = self.membership.view();
         self.placer.configure(now, &config, view, &mut self.place_effects);
         self.info("config_adopted", vec![("revision", config.revision.to_string())]);
-        self.viewed(now, true);
+        self.apply_view_change(now, true);
     }
 
     fn count(&mut self, metric: Metric, count: u64) {
@@ -256,6 +261,6 @@
     }
 
     fn refusal(&self, now: Time, class: crate::Class, cause: crate::Cause) -> Refusal {
-        Refusal { class, cause, retry: self.retry_at(now, cause) }
+        Refusal { class, cause, retry: self.retry_after(now, cause) }
     }
 }
--- a/endivestile_kernel/src/kernel/pass.rs
+++ b/endivestile_kernel/src/kernel/forward.rs
@@ -2,18 +2,18 @@
 
 use std::sync::Arc;
 
-use crate::kernel::reply::RETRY_MS;
-use crate::kernel::submit::{Arrival, MAX_HOPS, PATIENCE_MS};
-use crate::passed::{Forward, Parked, What};
+use crate::forwards::{Forward, Forwarded, Parked};
+use crate::kernel::reply::RETRY_AFTER_MS;
+use crate::kernel::submit::{Arrival, MAX_HOPS, MAX_PARK_MS};
 use crate::run::Waiter;
-use crate::{Answer, Cause, Class, Failure, Form, HostState, Kernel, Metric, Msg, Peer, Time};
+use crate::{Answer, Cause, Class, Failure, HostState, IdForm, Kernel, Metric, Msg, Peer, Time};
 
 /// Wait before a parked submission is tried again, in milliseconds.
 const PARK_MS: u64 = 100;
 
 impl Kernel {
-    pub(super) fn forward_home(&mut self, now: Time, arrival: Arrival, home: Peer) {
-        let state = self.hosts.view().state(&home);
+    pub(super) fn forward_to_home(&mut self, now: Time, arrival: Arrival, home: Peer) {
+        let state = self.membership.view().state(&home);
         let reachable = matches!(state, HostState::Live | HostState::Leaving);
         if reachable && arrival.hops < MAX_HOPS {
             self.forward(now, arrival, home, false);
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Passes a submission on; `known` says that it is recorded as the receiver's own.
-    pub(super) fn forward(&mut self, now: Time, arrival: Arrival, to: Peer, known: bool) {
+    /// Passes a submission on; `recorded` says that it is recorded as the receiver's own.
+    pub(super) fn forward(&mut self, now: Time, arrival: Arrival, to: Peer, recorded: bool) {
         if self.is_closing(now) && matches!(arrival.waiter, Waiter::Call(_)) {
             self.refuse(now, &arrival.waiter, Class::Unknown, Cause::Stopping);
             return;
@@ -31,16 +31,16 @@
         let submission = arrival.submission;
         let forward = Forward {
             waiter: arrival.waiter,
-            due: submission.deadline.after_ms(RETRY_MS),
-            what: What::Submission(submission.clone()),
+            due: submission.deadline.after_ms(RETRY_AFTER_MS),
+            request: Forwarded::Submission(submission.clone()),
             to: to.clone(),
             hops: arrival.hops + 1,
-            until: arrival.until.max(now.after_ms(PATIENCE_MS)),
+            until: arrival.until.max(now.after_ms(MAX_PARK_MS)),
         };
         let hops = forward.hops;
-        let call = self.passed.forward(forward);
+        let call = self.forwards.add(forward);
         self.count(Metric::Forwards, 1);
-        self.push(&to, Msg::Submit { call, submission, hops, known });
+        self.send(&to, Msg::Submit { call, submission, hops, recorded });
     }
 
     /// Waits for the shard to get a usable home while that can be hoped for;
@@ -54,7 +54,7 @@
     ) {
         let passing = matches!(cause, Cause::HomeAway | Cause::WitnessAway | Cause::ShardMoving);
         // At the start the store may not have answered yet.
-        let hope = self.hosts.view().store || now < Time::ZERO.after_ms(PATIENCE_MS);
+        let hope = self.membership.view().store_available || now < Time::ZERO.after_ms(MAX_PARK_MS);
         if passing && hope && Self::may_park(now, &arrival) {
             self.park(now, arrival);
         } else {
@@ -70,55 +70,56 @@
     /// Has a submission tried again soon.
     pub(super) fn park(&mut self, now: Time, arrival: Arrival) {
         let Arrival { waiter, submission, hops, until } = arrival;
-        self.passed.park(now.after_ms(PARK_MS), Parked { waiter, submission, hops, until });
+        self.forwards.park(now.after_ms(PARK_MS), Parked { waiter, submission, hops, until });
     }
 
-    pub(super) fn replied(&mut self, call: u64, answer: Arc<Answer>) {
-        let Some(forward) = self.passed.take(call) else { return };
+    pub(super) fn handle_reply(&mut self, call: u64, answer: Arc<Answer>) {
+        let Some(forward) = self.forwards.take(call) else { return };
         self.reply(&forward.waiter, answer);
     }
 
     /// Takes back what was passed on to hosts that went silent or are gone.
-    pub(super) fn reroute(&mut self, now: Time) {
-        let view = self.hosts.view();
+    pub(super) fn retry_unreachable(&mut self, now: Time) {
+        let view = self.membership.view();
         let away = |peer: &Peer| matches!(view.state(peer), HostState::Suspect | HostState::Gone);
-        for forward in self.passed.take_to(away) {
-            self.reroute_one(now, forward);
+        for forward in self.forwards.take_to(away) {
+            self.retry_forward(now, forward);
         }
     }
 
-    fn reroute_one(&mut self, now: Time, forward: Forward) {
-        let gone = self.hosts.view().state(&forward.to) == HostState::Gone;
-        let Forward { waiter, what, hops, until, .. } = forward;
-        let What::Submission(submission) = what else {
+    fn retry_forward(&mut self, now: Time, forward: Forward) {
+        let gone = self.membership.view().state(&forward.to) == HostState::Gone;
+        let Forward { waiter, request, hops, until, .. } = forward;
+        let Forwarded::Submission(submission) = request else {
             self.refuse(now, &waiter, Class::Unknown, Cause::HomeAway);
             return;
         };
-        let minted = submission.id.as_ref().is_some_and(|id| matches!(id.form(), Form::Minted(..)));
+        let minted =
+            submission.id.as_ref().is_some_and(|id| matches!(id.form(), IdForm::Minted(..)));
         if minted && gone {
             self.reply(&waiter, Arc::new(Answer::Failed(Failure::HomeLost)));
         } else if minted {
             self.refuse(now, &waiter, Class::Unknown, Cause::HomeAway);
         } else {
             let hops = hops.saturating_sub(1);
-            let until = until.max(now.after_ms(PATIENCE_MS)).min(submission.deadline);
+            let until = until.max(now.after_ms(MAX_PARK_MS)).min(submission.deadline);
             let arrival = Arrival { waiter, submission, hops, until };
             self.park_or_refuse(now, arrival, Class::Unknown, Cause::HomeAway);
         }
     }
 
-    pub(super) fn passed_due(&mut self, now: Time) {
-        while let Some(parked) = self.passed.unpark(now) {
+    pub(super) fn resume_forwards(&mut self, now: Time) {
+        while let Some(parked) = self.forwards.pop_parked(now) {
             let Parked { waiter, submission, hops, until } = parked;
             self.submit(now, Arrival { waiter, submission, hops, until });
         }
-        while let Some(forward) = self.passed.late(now) {
-            match forward.what {
-                What::Submission(_) => {
+        while let Some(forward) = self.forwards.pop_late(now) {
+            match forward.request {
+                Forwarded::Submission(_) => {
                     let answer = Answer::Failed(Failure::Deadline);
                     self.reply(&forward.waiter, Arc::new(answer));
                 }
-                What::Ask => {
+                Forwarded::Ask => {
                     self.refuse(now, &forward.waiter, Class::Unknown, Cause::HomeAway);
                 }
             }
--- a/endivestile_kernel/src/kernel/link.rs
+++ b/endivestile_kernel/src/kernel/frames.rs
@@ -5,8 +5,8 @@
 use endivestile_config::model::Name;
 
 use crate::channel::{Channel, address_of};
-use crate::hosts::BEAT_MS;
-use crate::{Effect, Figure, Frame, HostState, Kernel, Level, Metric, Msg, Note, Peer, Time};
+use crate::membership::HEARTBEAT_MS;
+use crate::{Effect, Frame, HostState, Kernel, Level, Metric, Msg, Note, Peer, TargetLoad, Time};
 
 /// Age at which the load figures are worked out anew, in milliseconds.
 const FIGURES_MS: u64 = 50;
@@ -16,37 +16,37 @@
 const MAX_FRAMES: usize = 16;
 
 impl Kernel {
-    pub(super) fn frame(&mut self, now: Time, mut frame: Frame) {
+    pub(super) fn handle_frame(&mut self, now: Time, mut frame: Frame) {
         let hello = frame.to.birth == 0 && frame.msgs.is_empty();
         if frame.to != self.setup.me && !(hello && frame.to.host == self.setup.me.host) {
             return;
         }
         let from = frame.from.clone();
-        let Some(changed) = self.hosts.heard(now, &from, frame.leaving) else { return };
+        let Some(changed) = self.membership.apply_frame(now, &from, frame.leaving) else { return };
         if let Some(figures) = frame.load.take() {
-            self.routes.tell(now, &from, figures);
+            self.routes.update(now, &from, figures);
         }
-        self.want_config(now, &from, frame.revision);
+        self.request_config(now, &from, frame.revision);
         let channel = self.channel(&from);
         if hello {
-            channel.answer(now);
+            channel.ack_now(now);
         }
         let msgs = channel.receive(now, frame);
         for msg in msgs {
-            self.message(now, &from, msg);
+            self.handle_msg(now, &from, msg);
         }
-        self.viewed(now, changed);
+        self.apply_view_change(now, changed);
     }
 
-    pub(super) fn link_down(&mut self, now: Time, peer: &Peer) {
+    pub(super) fn handle_link_down(&mut self, now: Time, peer: &Peer) {
         if let Some(channel) = self.channels.get_mut(peer) {
-            channel.broken(now);
+            channel.resend_unacked(now);
         }
-        let changed = self.hosts.broken(now, peer);
-        self.viewed(now, changed);
+        let changed = self.membership.mark_link_down(now, peer);
+        self.apply_view_change(now, changed);
     }
 
-    pub(super) fn push(&mut self, to: &Peer, msg: Msg) {
+    pub(super) fn send(&mut self, to: &Peer, msg: Msg) {
         self.channel(to).push(msg);
     }
 
@@ -54,22 +54,22 @@
         self.channels.entry(peer.clone()).or_insert_with(|| Channel::new(peer.clone()))
     }
 
-    fn message(&mut self, now: Time, from: &Peer, msg: Msg) {
+    fn handle_msg(&mut self, now: Time, from: &Peer, msg: Msg) {
         match msg {
-            Msg::Submit { call, submission, hops, known } => {
+            Msg::Submit { call, submission, hops, recorded } => {
                 let waiter = crate::run::Waiter::Front(from.clone(), call);
-                self.submitted(now, waiter, submission, hops, known);
+                self.handle_forwarded_submit(now, waiter, submission, hops, recorded);
             }
             Msg::Ask { call, id, ask, hops } => {
                 let waiter = crate::run::Waiter::Front(from.clone(), call);
-                self.ask(now, waiter, id, ask, hops);
+                self.answer_query(now, waiter, id, ask, hops);
             }
-            Msg::Reply { call, answer } => self.replied(call, answer),
-            Msg::Place(order) => self.placer.order(now, from, order, &mut self.place_effects),
+            Msg::Reply { call, answer } => self.handle_reply(call, answer),
+            Msg::Place(request) => self.placer.order(now, from, request, &mut self.place_effects),
             Msg::Drop(key) => self.placer.drop_task(now, from, key, &mut self.place_effects),
-            Msg::Placed { key, outcome } => self.placed(now, from, key, outcome),
-            Msg::WantConfig(revision) => self.give_config(from, revision),
-            Msg::Config { text, .. } => self.out.push(Effect::Offer(text)),
+            Msg::Placed { key, outcome } => self.handle_placed(now, from, key, outcome),
+            Msg::WantConfig(revision) => self.send_config(from, revision),
+            Msg::Config { text, .. } => self.out.push(Effect::OfferConfig(text)),
             // Hosts of this kind serve no jobs of that kind.
             Msg::Job(_) | Msg::DirectTransfer(_) => {}
             Msg::Record { .. }
@@ -78,7 +78,7 @@
             | Msg::Sync { .. }
             | Msg::Synced { .. }
             | Msg::Yield { .. } => {
-                let view = self.hosts.view();
+                let view = self.membership.view();
                 self.shards.handle_message(now, view, from, msg, &mut self.shard_effects);
             }
         }
@@ -94,39 +94,36 @@
     ///
     /// A host that fell silent and is still registered is greeted too: with nobody
     /// else would it show that it is back, once nothing is shared with it any more.
-    pub(super) fn greet(&mut self, now: Time) {
+    pub(super) fn greet_unknown_hosts(&mut self, now: Time) {
         let alone = self.config.is_none();
-        let greeted = self
-            .hosts
-            .view()
-            .hosts
-            .values()
-            .filter(|host| (alone && host.peer.birth == 0) || self.hosts.doubted(&host.peer));
+        let greeted = self.membership.view().hosts.values().filter(|host| {
+            (alone && host.peer.birth == 0) || self.membership.suspected_for_silence(&host.peer)
+        });
         let greeted: Vec<(Name, Name)> =
             greeted.map(|host| (host.peer.host.clone(), host.address.clone())).collect();
         for (host, address) in greeted {
             let mut channel = Channel::new(Peer::new(host, 0));
-            channel.beat(now);
-            let Some(frame) = channel.frame(now, &self.setup.me) else { continue };
+            channel.schedule_heartbeat(now);
+            let Some(frame) = channel.next_frame(now, &self.setup.me) else { continue };
             self.out.push(Effect::Send { address, frame });
             self.count(Metric::Frames, 1);
         }
     }
 
-    fn want_config(&mut self, now: Time, from: &Peer, revision: u64) {
+    fn request_config(&mut self, now: Time, from: &Peer, revision: u64) {
         let own = self.revision();
-        if revision <= own || self.wanted.is_some_and(|due| due > now) {
+        if revision <= own || self.config_request_due.is_some_and(|due| due > now) {
             return;
         }
-        self.wanted = Some(now.after_ms(WANT_MS));
-        self.push(from, Msg::WantConfig(own));
+        self.config_request_due = Some(now.after_ms(WANT_MS));
+        self.send(from, Msg::WantConfig(own));
     }
 
-    fn give_config(&mut self, to: &Peer, revision: u64) {
+    fn send_config(&mut self, to: &Peer, revision: u64) {
         let Some(config) = &self.config else { return };
         if config.revision > revision {
-            let msg = Msg::Config { revision: config.revision, text: self.text.clone() };
-            self.push(to, msg);
+            let msg = Msg::Config { revision: config.revision, text: self.config_text.clone() };
+            self.send(to, msg);
         }
     }
 
@@ -134,10 +131,10 @@
     pub(super) fn send_frames(&mut self, now: Time) {
         self.update_load(now);
         // A host knows hundreds of peers, and one event concerns few of them.
-        let wanting = self.channels.iter().filter(|(_, channel)| channel.wants_frame(now));
+        let wanting = self.channels.iter().filter(|(_, channel)| channel.has_frame_due(now));
         let peers: Vec<Peer> = wanting.map(|(peer, _)| peer.clone()).collect();
         for peer in peers {
-            if self.hosts.view().state(&peer) == HostState::Gone {
+            if self.membership.view().state(&peer) == HostState::Gone {
                 continue;
             }
             for _ in 0..MAX_FRAMES {
@@ -149,16 +146,16 @@
     }
 
     fn send_frame(&mut self, now: Time, peer: &Peer) -> bool {
-        let Some(address) = address_of(self.hosts.view(), peer) else { return false };
-        let watched = self.watched.contains_key(peer);
+        let Some(address) = address_of(self.membership.view(), peer) else { return false };
+        let watched = self.monitored.contains_key(peer);
         let Some(channel) = self.channels.get_mut(peer) else { return false };
-        let Some(mut frame) = channel.frame(now, &self.setup.me) else { return false };
+        let Some(mut frame) = channel.next_frame(now, &self.setup.me) else { return false };
         if watched {
-            channel.beat(now.after_ms(BEAT_MS));
+            channel.schedule_heartbeat(now.after_ms(HEARTBEAT_MS));
         }
         frame.revision = self.config.as_ref().map_or(0, |config| config.revision);
         frame.leaving = self.leaving;
-        frame.load = channel.tell_load(now, &self.load.1);
+        frame.load = channel.next_load(now, &self.own_load.1);
         let idle = frame.msgs.is_empty();
         self.out.push(Effect::Send { address, frame });
         self.count(Metric::Frames, 1);
@@ -169,11 +166,11 @@
     }
 
     fn update_load(&mut self, now: Time) {
-        if self.load.0 > now {
+        if self.own_load.0 > now {
             return;
         }
-        let figures: Arc<[Figure]> = self.placer.figures(now).into();
-        self.load = (now.after_ms(FIGURES_MS), figures);
+        let figures: Arc<[TargetLoad]> = self.placer.figures(now).into();
+        self.own_load = (now.after_ms(FIGURES_MS), figures);
     }
 
     pub(super) fn info(&mut self, event: &'static str, pairs: Vec<(&'static str, String)>) {
@@ -187,7 +184,7 @@
             ("answer", answer.label().to_owned()),
             ("ms", (now.since(run.arrived).as_millis()).to_string()),
         ];
-        let id = run.label();
+        let id = run.log_id();
         self.out.push(Effect::Log(Note { level: Level::Debug, event: "ended", id, pairs }));
     }
 }
--- a/endivestile_kernel/src/kernel/watch.rs
+++ b/endivestile_kernel/src/kernel/liveness.rs
@@ -2,115 +2,115 @@
 
 use std::collections::BTreeSet;
 
-use crate::hosts::{BEAT_MS, SUSPECT_MS};
-use crate::kernel::task::LOST_MS;
+use crate::kernel::task::TASKS_LOST_MS;
+use crate::membership::{HEARTBEAT_MS, SUSPECT_MS};
 use crate::{HostState, Kernel, Peer, Time};
 
 /// Surveys that a process may miss before it takes itself to have been paused.
 const PAUSED_SURVEYS: u64 = 3;
 
 impl Kernel {
-    /// Looks at every peer once per [`BEAT_MS`].
-    pub(super) fn survey(&mut self, now: Time) {
-        if self.survey_due > now {
+    /// Looks at every peer once per [`HEARTBEAT_MS`].
+    pub(super) fn check_peers(&mut self, now: Time) {
+        if self.check_due > now {
             return;
         }
-        if self.survey_due.after_ms(PAUSED_SURVEYS * BEAT_MS) < now {
-            self.forgive(now);
+        if self.check_due.after_ms(PAUSED_SURVEYS * HEARTBEAT_MS) < now {
+            self.reset_silence(now);
         }
-        self.survey_due = now.after_ms(BEAT_MS);
-        self.greet(now);
-        self.choose_watched(now);
+        self.check_due = now.after_ms(HEARTBEAT_MS);
+        self.greet_unknown_hosts(now);
+        self.select_monitored(now);
         for (peer, channel) in &self.channels {
-            let watched = self.watched.get(peer).copied();
+            let watched = self.monitored.get(peer).copied();
             let silent = watched
-                .map(|since| channel.heard().map_or(since, |heard| heard.max(since)))
-                .or_else(|| channel.silent_since());
-            self.hosts.silent(peer, silent);
+                .map(|since| channel.last_frame().map_or(since, |heard| heard.max(since)))
+                .or_else(|| channel.unanswered_since());
+            self.membership.set_silent_since(peer, silent);
         }
-        let changed = self.hosts.refresh(now);
-        self.viewed(now, changed);
-        self.lose_silent(now);
+        let changed = self.membership.refresh(now);
+        self.apply_view_change(now, changed);
+        self.lose_tasks_of_unreachable(now);
     }
 
     /// After a pause of this process every peer looks silent, though it was
     /// this host that did not listen: without this, a paused host would wake
     /// up and try to take over every shard it is witness of.
-    fn forgive(&mut self, now: Time) {
-        for since in self.watched.values_mut() {
+    fn reset_silence(&mut self, now: Time) {
+        for since in self.monitored.values_mut() {
             *since = now;
         }
     }
 
     /// Watches the hosts of the own zone and the partners of shared shards: a
     /// number that does not grow with the deployment.
-    fn choose_watched(&mut self, now: Time) {
-        let view = self.hosts.view();
+    fn select_monitored(&mut self, now: Time) {
+        let view = self.membership.view();
         let known = |peer: &Peer| peer.birth != 0 && view.state(peer) != HostState::Gone;
         let mates = view.hosts.values().filter(|host| host.zone == view.zone);
         let mut peers: BTreeSet<Peer> = mates.map(|host| host.peer.clone()).collect();
         peers.extend(self.shards.replica_peers().cloned());
         peers.remove(&self.setup.me);
         peers.retain(known);
-        self.watched.retain(|peer, _| peers.contains(peer));
+        self.monitored.retain(|peer, _| peers.contains(peer));
         for (peer, channel) in &mut self.channels {
             if !peers.contains(peer) {
-                channel.rest();
+                channel.stop_heartbeats();
             }
         }
         for peer in peers {
-            if !self.watched.contains_key(&peer) {
-                self.watched.insert(peer.clone(), now);
+            if !self.monitored.contains_key(&peer) {
+                self.monitored.insert(peer.clone(), now);
                 self.channels
                     .entry(peer.clone())
                     .or_insert_with(|| crate::channel::Channel::new(peer))
-                    .beat(now);
+                    .schedule_heartbeat(now);
             }
         }
     }
 
     /// Acts on a change of the view.
-    pub(super) fn viewed(&mut self, now: Time, changed: bool) {
+    pub(super) fn apply_view_change(&mut self, now: Time, changed: bool) {
         if !changed {
             return;
         }
-        let leaving = self.hosts.told_to_stop() || self.stopping.is_some();
+        let leaving = self.membership.stop_requested() || self.stopping.is_some();
         self.set_leaving(now, leaving);
-        self.bury_gone(now);
-        let view = self.hosts.view();
+        self.remove_gone_peers(now);
+        let view = self.membership.view();
         self.shards.handle_view_change(now, view, &mut self.shard_effects);
         self.placer.view_changed(now, view, &mut self.place_effects);
         self.settle(now);
-        self.reroute(now);
-        self.repeat_silent(now);
+        self.retry_unreachable(now);
+        self.retry_tasks_of_suspects(now);
     }
 
-    fn bury_gone(&mut self, now: Time) {
-        let view = self.hosts.view();
+    fn remove_gone_peers(&mut self, now: Time) {
+        let view = self.membership.view();
         let gone = |peer: &&Peer| view.state(peer) == HostState::Gone;
         let gone: Vec<Peer> = self.channels.keys().filter(gone).cloned().collect();
         for peer in gone {
             self.channels.remove(&peer);
-            self.watched.remove(&peer);
+            self.monitored.remove(&peer);
             self.routes.forget(&peer);
             self.placer.home_gone(now, &peer, &mut self.place_effects);
             self.lose_tasks(now, &peer);
         }
     }
 
-    fn repeat_silent(&mut self, now: Time) {
-        let view = self.hosts.view();
+    fn retry_tasks_of_suspects(&mut self, now: Time) {
+        let view = self.membership.view();
         let silent = |peer: &&Peer| view.state(peer) == HostState::Suspect;
         let silent: Vec<Peer> = self.channels.keys().filter(silent).cloned().collect();
         for peer in silent {
-            self.repeat_tasks(now, &peer);
+            self.retry_tasks(now, &peer);
         }
     }
 
-    fn lose_silent(&mut self, now: Time) {
-        let limit = SUSPECT_MS + LOST_MS;
+    fn lose_tasks_of_unreachable(&mut self, now: Time) {
+        let limit = SUSPECT_MS + TASKS_LOST_MS;
         let silent = |peer: &&Peer| {
-            let since = self.hosts.silence(peer);
+            let since = self.membership.silent_since(peer);
             since.is_some_and(|since| since.after_ms(limit) <= now)
         };
         let lost: Vec<Peer> = self.channels.keys().filter(silent).cloned().collect();
--- a/endivestile_kernel/src/kernel/ask.rs
+++ b/endivestile_kernel/src/kernel/query.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
+use crate::forwards::{Forward, Forwarded};
 use crate::kernel::submit::MAX_HOPS;
-use crate::passed::{Forward, What};
 use crate::run::Waiter;
 use crate::{
-    Answer, Ask, CallId, Cause, Class, Failure, Form, HostState, Kernel, Msg, Peer, SubmissionId,
+    Answer, Ask, CallId, Cause, Class, Failure, HostState, IdForm, Kernel, Msg, Peer, SubmissionId,
     Time,
 };
 
@@ -14,23 +14,30 @@
 const ASK_MS: u64 = 2_000;
 
 impl Kernel {
-    pub(super) fn called(&mut self, now: Time, call: CallId, id: SubmissionId, ask: Ask) {
-        self.ask(now, Waiter::Call(call), id, ask, 0);
+    pub(super) fn handle_ask(&mut self, now: Time, call: CallId, id: SubmissionId, ask: Ask) {
+        self.answer_query(now, Waiter::Call(call), id, ask, 0);
     }
 
-    pub(super) fn ask(&mut self, now: Time, waiter: Waiter, id: SubmissionId, ask: Ask, hops: u8) {
+    pub(super) fn answer_query(
+        &mut self,
+        now: Time,
+        waiter: Waiter,
+        id: SubmissionId,
+        ask: Ask,
+        hops: u8,
+    ) {
         if let Some(number) = self.runs.by_id(&id) {
             self.answer_ask(now, &waiter, number, ask);
             return;
         }
-        if let Some(ended) = self.runs.past().get(&id) {
+        if let Some(ended) = self.runs.answers().get(&id) {
             let answer = ended.answer.clone();
             self.reply(&waiter, answer);
             return;
         }
         let owner = match id.form() {
-            Form::Minted(issuer, _) => Some(issuer.clone()),
-            Form::Dated(_) => match self.shards.lookup(&id) {
+            IdForm::Minted(issuer, _) => Some(issuer.clone()),
+            IdForm::Dated(_) => match self.shards.lookup(&id) {
                 Some(known) => Some(known.runner.clone()),
                 None => self.shards.home_of(&id).cloned(),
             },
@@ -43,7 +50,7 @@
             self.reply(&waiter, Arc::new(Answer::NotFound));
             return;
         }
-        match self.hosts.view().state(&owner) {
+        match self.membership.view().state(&owner) {
             HostState::Gone => {
                 let answer = Answer::Failed(Failure::HomeLost);
                 self.reply(&waiter, Arc::new(answer));
@@ -65,9 +72,10 @@
         hops: u8,
     ) {
         let due = now.after_ms(ASK_MS);
-        let forward = Forward { waiter, what: What::Ask, to: to.clone(), due, hops, until: due };
-        let call = self.passed.forward(forward);
-        self.push(&to, Msg::Ask { call, id, ask, hops });
+        let forward =
+            Forward { waiter, request: Forwarded::Ask, to: to.clone(), due, hops, until: due };
+        let call = self.forwards.add(forward);
+        self.send(&to, Msg::Ask { call, id, ask, hops });
     }
 
     fn answer_ask(&mut self, now: Time, waiter: &Waiter, number: u64, ask: Ask) {
@@ -87,7 +95,7 @@
     fn keep_cancelled(&mut self, now: Time, number: u64) {
         let keep = now.after_ms(self.keep_ms());
         if let Some(run) = self.runs.get_mut(number) {
-            run.keep = run.keep.max(keep);
+            run.keep_until = run.keep_until.max(keep);
         }
     }
 }
--- a/endivestile_kernel/src/kernel/reply.rs
+++ b/endivestile_kernel/src/kernel/reply.rs
@@ -6,7 +6,7 @@
 use crate::{Answer, Cause, Class, Effect, Kernel, Metric, Msg, Time};
 
 /// Wait that a refusal suggests when nothing better is known, in milliseconds.
-pub(super) const RETRY_MS: u64 = 1_000;
+pub(super) const RETRY_AFTER_MS: u64 = 1_000;
 
 impl Kernel {
     pub(super) fn refuse(&mut self, now: Time, waiter: &Waiter, class: Class, cause: Cause) {
@@ -22,16 +22,16 @@
             }
             Waiter::Front(peer, call) => {
                 let msg = Msg::Reply { call: *call, answer };
-                self.push_alive(peer, msg);
+                self.send_unless_gone(peer, msg);
             }
         }
     }
 
-    pub(super) fn retry_at(&self, now: Time, cause: Cause) -> Time {
+    pub(super) fn retry_after(&self, now: Time, cause: Cause) -> Time {
         match cause {
             Cause::Expired => Time::NEVER,
-            Cause::Full | Cause::Limit | Cause::Deadline => self.drain_at(now),
-            _ => now.after_ms(RETRY_MS),
+            Cause::Full | Cause::Limit | Cause::Deadline => self.queue_drained_at(now),
+            _ => now.after_ms(RETRY_AFTER_MS),
         }
     }
 
--- a/endivestile_kernel/src/kernel/grant.rs
+++ b/endivestile_kernel/src/kernel/shard_effect.rs
@@ -1,38 +1,38 @@
 //! What the shards let this host do.
 
-use crate::kernel::submit::{Arrival, PATIENCE_MS};
+use crate::kernel::submit::{Arrival, MAX_PARK_MS};
 use crate::run::RunState;
 use crate::{Answer, Cause, Class, Effect, Kernel, MAX_CLOCK_SKEW_S, Metric, ShardEffect, Time};
 
 impl Kernel {
-    pub(super) fn shard_effect(&mut self, now: Time, effect: ShardEffect) {
+    pub(super) fn handle_shard_effect(&mut self, now: Time, effect: ShardEffect) {
         match effect {
-            ShardEffect::Send { to, msg } => self.push(&to, msg),
+            ShardEffect::Send { to, msg } => self.send(&to, msg),
             ShardEffect::Store { token, op } => {
                 self.count(Metric::StoreCalls, 1);
-                self.out.push(Effect::Store { token, op });
+                self.out.push(Effect::StoreCall { op_id: token, op });
             }
-            ShardEffect::Granted { ticket } => self.granted(now, ticket),
+            ShardEffect::Granted { ticket } => self.handle_grant(now, ticket),
             ShardEffect::Refused { ticket, class, cause } => {
-                self.ungranted(now, ticket, class, cause);
+                self.handle_denial(now, ticket, class, cause);
             }
             ShardEffect::Readmit { ticket } => {
-                self.ungranted(now, ticket, Class::Unknown, Cause::ShardMoving);
+                self.handle_denial(now, ticket, Class::Unknown, Cause::ShardMoving);
             }
             ShardEffect::Log(note) => self.out.push(Effect::Log(note)),
             ShardEffect::Count(metric, count) => self.count(metric, count),
         }
     }
 
-    fn granted(&mut self, now: Time, ticket: u64) {
+    fn handle_grant(&mut self, now: Time, ticket: u64) {
         let keep_ms = self.keep_ms();
         let Some(run) = self.runs.get_mut(ticket) else { return };
         match run.state {
-            RunState::Asking => {
-                run.keep = run.arrived.after_ms(keep_ms);
+            RunState::AwaitingWitness => {
+                run.keep_until = run.arrived.after_ms(keep_ms);
                 self.start(now, ticket);
             }
-            RunState::Refusing(cause) => {
+            RunState::ConfirmingRefusal(cause) => {
                 let refusal = self.refusal(now, Class::NotRun, cause);
                 self.finish(now, ticket, Answer::Refused(refusal));
             }
@@ -40,11 +40,11 @@
         }
     }
 
-    fn ungranted(&mut self, now: Time, ticket: u64, class: Class, cause: Cause) {
+    fn handle_denial(&mut self, now: Time, ticket: u64, class: Class, cause: Cause) {
         let Some(run) = self.runs.get_mut(ticket) else { return };
         let submission = run.submission.clone();
         let waiters = std::mem::take(&mut run.waiters);
-        let until = run.arrived.after_ms(PATIENCE_MS).min(submission.deadline);
+        let until = run.arrived.after_ms(MAX_PARK_MS).min(submission.deadline);
         self.runs.remove(ticket);
         for waiter in waiters {
             let arrival = Arrival { waiter, submission: submission.clone(), hops: 0, until };
@@ -60,7 +60,7 @@
     }
 
     /// Gives up on a run that the witness has not let start.
-    pub(super) fn give_up_asking(&mut self, now: Time, ticket: u64) {
+    pub(super) fn end_unconfirmed(&mut self, now: Time, ticket: u64) {
         self.shards.cancel(ticket);
         let refusal = self.refusal(now, Class::Unknown, Cause::WitnessAway);
         self.finish(now, ticket, Answer::Refused(refusal));
--- a/endivestile_kernel/src/kernel/stop.rs
+++ b/endivestile_kernel/src/kernel/shutdown.rs
@@ -11,14 +11,14 @@
 
 /// A graceful shutdown under way.
 #[derive(Debug)]
-pub(super) struct Stopping {
+pub(super) struct DrainState {
     /// When the process may end at the earliest.
     until: Time,
     /// When to look again whether everything is drained.
     look: Time,
 }
 
-impl Stopping {
+impl DrainState {
     fn new(now: Time) -> Self {
         Self { until: now.after_ms(LINGER_MS), look: now.after_ms(DRAIN_POLL_MS) }
     }
@@ -37,25 +37,30 @@
 }
 
 impl Kernel {
-    pub(super) fn shutdown(&mut self, now: Time) {
+    pub(super) fn handle_shutdown(&mut self, now: Time) {
         if self.stopping.is_none() {
-            self.stopping = Some(Stopping::new(now));
+            self.stopping = Some(DrainState::new(now));
             self.info("stopping", vec![("runs", self.runs.active().to_string())]);
         }
-        self.viewed(now, true);
+        self.apply_view_change(now, true);
     }
 
-    pub(super) fn platform(&mut self, now: Time, name: &str, state: Option<PlatformState>) {
-        let changed = self.hosts.platform(now, name, state);
+    pub(super) fn handle_platform_change(
+        &mut self,
+        now: Time,
+        name: &str,
+        state: Option<PlatformState>,
+    ) {
+        let changed = self.membership.apply_platform_state(now, name, state);
         let leaving = matches!(state, Some(PlatformState::Leaving | PlatformState::Gone));
         self.placer.leaving(now, name, leaving, &mut self.place_effects);
-        self.viewed(now, changed || *name == *self.setup.me.host);
+        self.apply_view_change(now, changed || *name == *self.setup.me.host);
     }
 
-    pub(super) fn planned_stop(&mut self, now: Time, name: &str, stop: bool) {
-        let changed = self.hosts.stop(now, name, stop);
+    pub(super) fn handle_planned_stop(&mut self, now: Time, name: &str, stop: bool) {
+        let changed = self.membership.apply_planned_stop(now, name, stop);
         self.placer.leaving(now, name, stop, &mut self.place_effects);
-        self.viewed(now, changed || *name == *self.setup.me.host);
+        self.apply_view_change(now, changed || *name == *self.setup.me.host);
     }
 
     /// A leaving host gives its share and its shards away, and finishes what it runs.
@@ -64,16 +69,16 @@
             return;
         }
         self.leaving = leaving;
-        self.hosts.leave(now, leaving);
+        self.membership.mark_leaving(now, leaving);
         self.out.push(Effect::Register { leaving });
         self.info("leaving", vec![("leaving", leaving.to_string())]);
         if leaving {
-            let view = self.hosts.view();
+            let view = self.membership.view();
             self.shards.start_drain(now, view, &mut self.shard_effects);
         }
         // Told at once: the next heartbeat may be half a second away.
         for channel in self.channels.values_mut() {
-            channel.beat(now);
+            channel.schedule_heartbeat(now);
         }
     }
 
@@ -99,12 +104,12 @@
     }
 
     fn busy(&self) -> bool {
-        let view = self.hosts.view();
+        let view = self.membership.view();
         let owed = self.channels.iter().any(|(peer, channel)| {
             let state = view.state(peer);
             channel.backlog() > 0 && matches!(state, HostState::Live | HostState::Leaving)
         });
-        let calls = self.runs.active() + self.passed.len();
+        let calls = self.runs.active() + self.forwards.len();
         calls > 0 || owed || !self.placer.idle() || !self.shards.is_drained()
     }
 }
--- a/endivestile_kernel/src/kernel/status.rs
+++ b/endivestile_kernel/src/kernel/status.rs
@@ -62,11 +62,11 @@
             revision: self.revision(),
             ready: self.ready(),
             leaving: self.leaving,
-            store: self.hosts.view().store,
+            store: self.membership.view().store_available,
             active: self.runs.active(),
             waiting: self.waiting_calls(),
             remembered: self.runs.len(),
-            passed: self.passed.len(),
+            passed: self.forwards.len(),
             totals: totals.collect(),
             hosts: self.host_status(),
             shards: self.shards.status(),
@@ -75,7 +75,7 @@
     }
 
     fn host_status(&self) -> BTreeMap<String, HostStatus> {
-        let hosts = self.hosts.view().hosts.iter();
+        let hosts = self.membership.view().hosts.iter();
         let status = hosts.map(|(name, host)| {
             let backlog = self.channels.get(&host.peer).map_or(0, |channel| channel.backlog());
             let status = HostStatus {
--- a/endivestile_kernel/src/kernel/submit.rs
+++ b/endivestile_kernel/src/kernel/submit.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use crate::mint::Standing;
+use crate::mint::IdValidity;
 use crate::run::{Run, RunState, Waiter};
 use crate::{
-    Admission, Answer, CallId, Cause, Class, Failure, Form, HostState, Kernel, Known, Peer,
+    Admission, Answer, CallId, Cause, Class, Failure, HostState, IdForm, Kernel, KnownId, Peer,
     Submission, SubmissionId, Time,
 };
 
@@ -13,7 +13,7 @@
 pub(super) const MAX_HOPS: u8 = 3;
 /// Longest wait for a shard to get a usable home, in milliseconds: somewhat
 /// more than a take-over takes while the store answers.
-pub(super) const PATIENCE_MS: u64 = 4_000;
+pub(super) const MAX_PARK_MS: u64 = 4_000;
 
 /// A submission on its way, with how it came here.
 #[derive(Debug, Clone)]
@@ -25,24 +25,24 @@
 }
 
 impl Kernel {
-    pub(super) fn call(&mut self, now: Time, call: CallId, submission: Submission) {
-        let until = submission.deadline.min(now.after_ms(PATIENCE_MS));
+    pub(super) fn handle_submit(&mut self, now: Time, call: CallId, submission: Submission) {
+        let until = submission.deadline.min(now.after_ms(MAX_PARK_MS));
         let submission = Arc::new(submission);
         self.submit(now, Arrival { waiter: Waiter::Call(call), submission, hops: 0, until });
     }
 
-    pub(super) fn submitted(
+    pub(super) fn handle_forwarded_submit(
         &mut self,
         now: Time,
         waiter: Waiter,
         submission: Arc<Submission>,
         hops: u8,
-        known: bool,
+        recorded: bool,
     ) {
-        let until = submission.deadline.min(now.after_ms(PATIENCE_MS));
+        let until = submission.deadline.min(now.after_ms(MAX_PARK_MS));
         let arrival = Arrival { waiter, submission, hops, until };
         match arrival.submission.id.clone() {
-            Some(id) if known => self.submit_known(now, &id, arrival),
+            Some(id) if recorded => self.submit_known(now, &id, arrival),
             _ => self.submit(now, arrival),
         }
     }
@@ -60,9 +60,9 @@
         let window_s = self.config.as_ref().map_or(0, |config| config.rules.window_s);
         let wall_s = self.setup.wall_s + now.as_micros() / 1_000_000;
         match id.form() {
-            Form::Dated(secs) if wall_s <= secs.saturating_add(window_s) => {
+            IdForm::Dated(secs) if wall_s <= secs.saturating_add(window_s) => {
                 let keep = now.after_ms(self.keep_ms());
-                self.begin(now, arrival, keep);
+                self.start_run(now, arrival, keep);
             }
             _ => self.refuse(now, &arrival.waiter, Class::Unknown, Cause::Expired),
         }
@@ -71,7 +71,7 @@
     pub(super) fn submit(&mut self, now: Time, arrival: Arrival) {
         let submission = arrival.submission.clone();
         let Some(id) = &submission.id else {
-            self.begin(now, arrival, Time::ZERO);
+            self.start_run(now, arrival, Time::ZERO);
             return;
         };
         if self.config.is_none() {
@@ -80,11 +80,11 @@
         }
         let Some(arrival) = self.attach(id, arrival) else { return };
         match id.form() {
-            Form::Minted(issuer, serial) if *issuer == self.setup.me => {
+            IdForm::Minted(issuer, serial) if *issuer == self.setup.me => {
                 self.submit_minted(now, arrival, *serial);
             }
-            Form::Minted(issuer, _) => self.pass_minted(now, arrival, issuer),
-            Form::Dated(_) => self.submit_dated(now, id, arrival),
+            IdForm::Minted(issuer, _) => self.forward_minted(now, arrival, issuer),
+            IdForm::Dated(_) => self.submit_dated(now, id, arrival),
         }
     }
 
@@ -100,13 +100,13 @@
             }
             return None;
         }
-        let Some(ended) = self.runs.past().get(id) else { return Some(arrival) };
+        let Some(ended) = self.runs.answers().get(id) else { return Some(arrival) };
         if ended.digest != digest {
             self.reply(&arrival.waiter, Arc::new(Answer::Conflict));
             return None;
         }
         if ended.answer.is_not_run() {
-            self.runs.past_mut().remove(id);
+            self.runs.answers_mut().remove(id);
             return Some(arrival);
         }
         let answer = ended.answer.clone();
@@ -115,16 +115,16 @@
     }
 
     fn submit_minted(&mut self, now: Time, arrival: Arrival, serial: u64) {
-        match self.mint.standing(now, serial) {
-            Standing::Valid(expires) => self.begin(now, arrival, expires),
-            Standing::Expired | Standing::Forged => {
+        match self.mint.validity(now, serial) {
+            IdValidity::Valid(expires) => self.start_run(now, arrival, expires),
+            IdValidity::Expired | IdValidity::NotIssued => {
                 self.refuse(now, &arrival.waiter, Class::Unknown, Cause::Expired);
             }
         }
     }
 
-    fn pass_minted(&mut self, now: Time, arrival: Arrival, issuer: &Peer) {
-        match self.hosts.view().state(issuer) {
+    fn forward_minted(&mut self, now: Time, arrival: Arrival, issuer: &Peer) {
+        match self.membership.view().state(issuer) {
             HostState::Gone => {
                 let answer = Answer::Failed(Failure::HomeLost);
                 self.reply(&arrival.waiter, Arc::new(answer));
@@ -140,25 +140,26 @@
 
     fn submit_dated(&mut self, now: Time, id: &SubmissionId, arrival: Arrival) {
         let digest = arrival.submission.digest();
-        let verdict = self.admission(now, &arrival.submission);
-        let state = verdict.map_or_else(RunState::Refusing, |()| RunState::Asking);
+        let verdict = self.check_admission(now, &arrival.submission);
+        let state =
+            verdict.map_or_else(RunState::ConfirmingRefusal, |()| RunState::AwaitingWitness);
         // An id that was recorded before is met as such, however full the host is:
         // "not run" would be untrue of it.
-        let asking = state == RunState::Asking || self.shards.lookup(id).is_some();
+        let asking = state == RunState::AwaitingWitness || self.shards.lookup(id).is_some();
         let mut run = Run::new(now, arrival.submission.clone(), state);
         run.due = arrival.until;
         run.waiters.push(arrival.waiter.clone());
         let ticket = self.runs.add(run);
-        let (view, out) = (self.hosts.view(), &mut self.shard_effects);
+        let (view, out) = (self.membership.view(), &mut self.shard_effects);
         let admit = if asking {
             self.shards.admit(now, view, id, digest, ticket, out)
         } else {
             self.shards.confirm_not_run(now, view, id, ticket, out)
         };
-        self.admitted(now, id, arrival, ticket, admit);
+        self.handle_admission(now, id, arrival, ticket, admit);
     }
 
-    fn admitted(
+    fn handle_admission(
         &mut self,
         now: Time,
         id: &SubmissionId,
@@ -173,14 +174,14 @@
             && known.runner == self.setup.me
             && known.digest == arrival.submission.digest()
         {
-            self.restart(now, id, arrival, ticket);
+            self.confirm_unstarted(now, id, arrival, ticket);
             return;
         }
         self.runs.remove(ticket);
         match admit {
             Admission::Wait => {}
-            Admission::Forward(peer) => self.forward_home(now, arrival, peer),
-            Admission::Known(known) => self.meet_known(now, arrival, &known),
+            Admission::Forward(peer) => self.forward_to_home(now, arrival, peer),
+            Admission::Known(known) => self.forward_to_runner(now, arrival, &known),
             Admission::Refused(class, cause) => self.park_or_refuse(now, arrival, class, cause),
         }
     }
@@ -188,13 +189,13 @@
     /// Starts an id that this incarnation recorded and never started: whatever
     /// it started is in the table of runs for as long as the id may come back.
     /// The witness has to confirm that nobody took the shard over meanwhile.
-    fn restart(&mut self, now: Time, id: &SubmissionId, arrival: Arrival, ticket: u64) {
-        let (view, out) = (self.hosts.view(), &mut self.shard_effects);
+    fn confirm_unstarted(&mut self, now: Time, id: &SubmissionId, arrival: Arrival, ticket: u64) {
+        let (view, out) = (self.membership.view(), &mut self.shard_effects);
         match self.shards.confirm_not_run(now, view, id, ticket, out) {
             Admission::Wait => {}
             Admission::Forward(peer) => {
                 self.runs.remove(ticket);
-                self.forward_home(now, arrival, peer);
+                self.forward_to_home(now, arrival, peer);
             }
             Admission::Known(_) => {
                 self.runs.remove(ticket);
@@ -208,12 +209,12 @@
     }
 
     /// Meets an id that another incarnation may have started: only that one knows the answer.
-    fn meet_known(&mut self, now: Time, arrival: Arrival, known: &Known) {
+    fn forward_to_runner(&mut self, now: Time, arrival: Arrival, known: &KnownId) {
         if known.digest != arrival.submission.digest() {
             self.reply(&arrival.waiter, Arc::new(Answer::Conflict));
             return;
         }
-        let state = self.hosts.view().state(&known.runner);
+        let state = self.membership.view().state(&known.runner);
         let reachable = matches!(state, HostState::Live | HostState::Leaving);
         if reachable && arrival.hops + 1 < MAX_HOPS && known.runner != self.setup.me {
             self.forward(now, arrival, known.runner.clone(), true);
--- a/endivestile_kernel/src/kernel/task.rs
+++ b/endivestile_kernel/src/kernel/task.rs
@@ -7,8 +7,8 @@
 use crate::routes::{Route, Routes};
 use crate::run::{Run, RunState, RunTask, TaskState, Waiter};
 use crate::{
-    Answer, Cause, Class, Effect, Failure, HostState, Kernel, Metric, Msg, Order, Outcome, Peer,
-    PlaceEffect, Placer, Submission, Target, Task, TaskKey, Time,
+    Answer, Cause, Class, Effect, Failure, HostState, Kernel, Metric, Msg, Outcome, Peer,
+    PlaceEffect, PlaceRequest, Placer, Submission, Target, Task, TaskKey, Time,
 };
 
 /// Starts of one repeatable task at most.
@@ -23,26 +23,26 @@
 /// Time that a placer's word takes besides the distance, in microseconds.
 const WORD_US: u64 = 5_000;
 /// Silence of a placer after which its tasks count as lost, in milliseconds.
-pub(super) const LOST_MS: u64 = 5_000;
+pub(super) const TASKS_LOST_MS: u64 = 5_000;
 /// Wait that a refusal suggests when the queue says nothing, in milliseconds.
 const DRAIN_MS: u64 = 250;
 
 impl Kernel {
     /// Runs a submission that needs nobody's leave.
-    pub(super) fn begin(&mut self, now: Time, arrival: Arrival, keep: Time) {
-        if let Err(cause) = self.admission(now, &arrival.submission) {
+    pub(super) fn start_run(&mut self, now: Time, arrival: Arrival, keep: Time) {
+        if let Err(cause) = self.check_admission(now, &arrival.submission) {
             self.refuse(now, &arrival.waiter, Class::NotRun, cause);
             return;
         }
         let mut run = Run::new(now, arrival.submission, RunState::Running);
-        run.keep = keep;
+        run.keep_until = keep;
         run.waiters.push(arrival.waiter);
         let number = self.runs.add(run);
         self.start(now, number);
     }
 
     /// Says at once what cannot end in time, so that the caller can turn elsewhere.
-    pub(super) fn admission(&self, now: Time, submission: &Submission) -> Result<(), Cause> {
+    pub(super) fn check_admission(&self, now: Time, submission: &Submission) -> Result<(), Cause> {
         let Some(config) = &self.config else { return Err(Cause::NoConfig) };
         if self.is_closing(now) {
             return Err(Cause::Stopping);
@@ -64,9 +64,13 @@
                 return Err(if self.leaving { Cause::Stopping } else { Cause::NoBackend });
             };
             // The other tasks of a job end one turn after the other.
-            let turn = self.routes.turn_us(self.hosts.view(), &self.load.1, &task.target);
+            let turn = self.routes.task_interval_us(
+                self.membership.view(),
+                &self.own_load.1,
+                &task.target,
+            );
             let late = route.end.after_us(turn * (count - 1)) > submission.deadline;
-            if late && !self.may_try(now, task, count, submission.deadline) {
+            if late && !self.may_probe_duration(now, task, count, submission.deadline) {
                 return Err(Cause::Deadline);
             }
         }
@@ -75,7 +79,7 @@
 
     /// Returns whether tasks that look too long are tried all the same, so that
     /// a wrong belief about their run time is corrected.
-    fn may_try(&self, now: Time, task: &Task, count: u64, deadline: Time) -> bool {
+    fn may_probe_duration(&self, now: Time, task: &Task, count: u64, deadline: Time) -> bool {
         if count > 1 {
             return self.placer.untried(task);
         }
@@ -89,7 +93,7 @@
         run.state = RunState::Running;
         let deadline = run.submission.deadline;
         let count = run.tasks.len();
-        self.runs.postpone(number, deadline);
+        self.runs.set_due(number, deadline);
         for index in 0..count {
             self.budget.first();
             self.place(now, TaskKey { run: number, index: index as u16, attempt: 0 });
@@ -99,7 +103,7 @@
     /// Returns where a task would end first, none of `avoid`.
     fn route(&self, now: Time, task: &Task, avoid: &[Peer]) -> Option<Route> {
         let config = self.config.as_ref()?;
-        let view = self.hosts.view();
+        let view = self.membership.view();
         let me = &self.setup.me;
         let own = self.placer.expected(now, task).filter(|_| !avoid.contains(me));
         let own = own.map(|end| Route { peer: me.clone(), end });
@@ -125,30 +129,30 @@
             return;
         }
         let Some(task) = run.submission.tasks.get(usize::from(index)).cloned() else { return };
-        let order = Order {
+        let request = PlaceRequest {
             key,
             team: run.submission.team.clone(),
             deadline: run.submission.deadline,
             arrived: run.arrived,
-            left: run.left,
+            remaining: run.remaining,
             task,
         };
-        let Some(route) = self.route(now, &order.task, &run.full) else {
-            let cause = if run.full.is_empty() { Cause::NoBackend } else { Cause::Limit };
-            self.unplaced(now, key, cause);
+        let Some(route) = self.route(now, &request.task, &run.full_placers) else {
+            let cause = if run.full_placers.is_empty() { Cause::NoBackend } else { Cause::Limit };
+            self.end_unplaced(now, key, cause);
             return;
         };
         if let Some(run) = self.runs.get_mut(number) {
             run.tasks[usize::from(index)].state = TaskState::Placed(route.peer.clone());
         }
-        let deadline = self.placer_deadline(&route.peer, order.deadline);
-        self.hand_over(now, &route.peer, Order { deadline, ..order });
+        let deadline = self.remote_deadline(&route.peer, request.deadline);
+        self.send_request(now, &route.peer, PlaceRequest { deadline, ..request });
     }
 
     /// Returns when another host's placer has to give a task up: early enough for
     /// its word that the task never ran to come before this host's own deadline,
     /// after which it could only say that it may have run.
-    fn placer_deadline(&self, to: &Peer, deadline: Time) -> Time {
+    fn remote_deadline(&self, to: &Peer, deadline: Time) -> Time {
         if *to == self.setup.me {
             return deadline;
         }
@@ -157,28 +161,28 @@
         Time::from_micros(deadline.as_micros().saturating_sub(early_us))
     }
 
-    fn hand_over(&mut self, now: Time, to: &Peer, order: Order) {
+    fn send_request(&mut self, now: Time, to: &Peer, request: PlaceRequest) {
         if *to == self.setup.me {
             let me = self.setup.me.clone();
-            self.placer.order(now, &me, order, &mut self.place_effects);
+            self.placer.order(now, &me, request, &mut self.place_effects);
             return;
         }
         self.count(Metric::Handoffs, 1);
-        self.routes.assume(to, &order.task.target);
-        self.push(to, Msg::Place(order));
+        self.routes.record_handoff(to, &request.task.target);
+        self.send(to, Msg::Place(request));
     }
 
-    pub(super) fn place_effect(&mut self, now: Time, effect: PlaceEffect) {
+    pub(super) fn handle_place_effect(&mut self, now: Time, effect: PlaceEffect) {
         match effect {
             PlaceEffect::Start { attempt, address, path, order, .. } => {
-                self.out.push(Effect::Start { attempt, address, path, order });
+                self.out.push(Effect::Start { attempt, address, path, request: order });
             }
             PlaceEffect::Abort(attempt) => self.out.push(Effect::Abort(attempt)),
             PlaceEffect::Ended { home, key, outcome } => {
                 if home == self.setup.me {
-                    self.placed(now, &home, key, outcome);
+                    self.handle_placed(now, &home, key, outcome);
                 } else {
-                    self.push_alive(&home, Msg::Placed { key, outcome });
+                    self.send_unless_gone(&home, Msg::Placed { key, outcome });
                 }
             }
             PlaceEffect::Log(note) => self.out.push(Effect::Log(note)),
@@ -187,7 +191,7 @@
     }
 
     /// Takes in how a task ended at a placer; a late word on an earlier try is dropped.
-    pub(super) fn placed(&mut self, now: Time, from: &Peer, key: TaskKey, outcome: Outcome) {
+    pub(super) fn handle_placed(&mut self, now: Time, from: &Peer, key: TaskKey, outcome: Outcome) {
         let Some(run) = self.runs.get_mut(key.run) else { return };
         let Some(task) = run.tasks.get_mut(usize::from(key.index)) else { return };
         if task.attempt != key.attempt || task.state != TaskState::Placed(from.clone()) {
@@ -196,26 +200,26 @@
         match outcome {
             Outcome::Done(result) => {
                 task.state = TaskState::Done(result);
-                run.left -= 1;
+                run.remaining -= 1;
                 if let Some(results) = run.results() {
                     self.finish(now, key.run, Answer::Complete(results));
                 }
             }
             Outcome::NotRun(Cause::Limit) => {
-                if !run.full.contains(from) {
-                    run.full.push(from.clone());
+                if !run.full_placers.contains(from) {
+                    run.full_placers.push(from.clone());
                 }
-                self.again(now, key);
+                self.replace_task(now, key);
             }
-            Outcome::NotRun(cause) => self.not_run(now, key, cause),
+            Outcome::NotRun(cause) => self.handle_not_run(now, key, cause),
             Outcome::Rejected { peer, status } => {
-                run.starts += 1;
+                run.ambiguous_ends += 1;
                 let failure = Failure::Rejected { task: key.index, peer, status };
-                self.ambiguous(now, key, failure, status >= SERVER_ERROR);
+                self.handle_ambiguous(now, key, failure, status >= SERVER_ERROR);
             }
             Outcome::Lost { peer } => {
-                run.starts += 1;
-                self.ambiguous(now, key, Failure::Lost { task: key.index, peer }, true);
+                run.ambiguous_ends += 1;
+                self.handle_ambiguous(now, key, Failure::Lost { task: key.index, peer }, true);
             }
         }
     }
@@ -226,10 +230,10 @@
     /// some milliseconds each takes another one to have its share. A task that
     /// is placed anew at once uses up its tries among them, and its caller sees
     /// a request cut off by a planned stop; so it waits a little longer each time.
-    fn not_run(&mut self, now: Time, key: TaskKey, cause: Cause) {
+    fn handle_not_run(&mut self, now: Time, key: TaskKey, cause: Cause) {
         let elsewhere = matches!(cause, Cause::NoBackend | Cause::Stopping);
         if !elsewhere || key.attempt + 1 >= MAX_TRIES {
-            self.unplaced(now, key, cause);
+            self.end_unplaced(now, key, cause);
             return;
         }
         let Some(run) = self.runs.get_mut(key.run) else { return };
@@ -238,33 +242,33 @@
         task.state = TaskState::Ready;
         let wait_ms = (REPLACE_MS << key.attempt.min(6)).min(REPLACE_MAX_MS);
         let next = TaskKey { attempt: key.attempt + 1, ..key };
-        self.replacing.insert((now.after_ms(wait_ms), next));
+        self.retries.insert((now.after_ms(wait_ms), next));
     }
 
     /// Places what waited to be placed again.
-    pub(super) fn replace_due(&mut self, now: Time) {
-        while let Some(&(due, key)) = self.replacing.first() {
+    pub(super) fn retry_due_tasks(&mut self, now: Time) {
+        while let Some(&(due, key)) = self.retries.first() {
             if due > now {
                 return;
             }
-            self.replacing.pop_first();
+            self.retries.pop_first();
             self.place(now, key);
         }
     }
 
     /// A task may have run: only what may be repeated is tried again.
-    fn ambiguous(&mut self, now: Time, key: TaskKey, failure: Failure, repeat: bool) {
+    fn handle_ambiguous(&mut self, now: Time, key: TaskKey, failure: Failure, repeat: bool) {
         let may_repeat = self.runs.get(key.run).is_some_and(Run::may_repeat);
-        let starts = self.runs.get(key.run).map_or(0, |run| run.starts);
+        let starts = self.runs.get(key.run).map_or(0, |run| run.ambiguous_ends);
         if repeat && may_repeat && starts < MAX_STARTS && self.budget.retry() {
             self.count(Metric::Retries, 1);
-            self.again(now, key);
+            self.replace_task(now, key);
         } else {
             self.finish(now, key.run, Answer::Failed(failure));
         }
     }
 
-    fn again(&mut self, now: Time, key: TaskKey) {
+    fn replace_task(&mut self, now: Time, key: TaskKey) {
         if let Some(run) = self.runs.get_mut(key.run) {
             let task = &mut run.tasks[usize::from(key.index)];
             task.attempt += 1;
@@ -273,10 +277,10 @@
         self.place(now, TaskKey { attempt: key.attempt + 1, ..key });
     }
 
-    fn unplaced(&mut self, now: Time, key: TaskKey, cause: Cause) {
+    fn end_unplaced(&mut self, now: Time, key: TaskKey, cause: Cause) {
         let Some(run) = self.runs.get_mut(key.run) else { return };
-        run.tasks[usize::from(key.index)].state = TaskState::Void;
-        let answer = if run.untouched() {
+        run.tasks[usize::from(key.index)].state = TaskState::Abandoned;
+        let answer = if run.never_started() {
             Answer::Refused(self.refusal(now, Class::NotRun, cause))
         } else {
             Answer::Failed(Failure::NotPlaced { task: key.index, cause })
@@ -293,31 +297,33 @@
         self.log_end(now, number, &answer);
         self.runs.end(number, answer.clone());
         for (peer, key) in drops {
-            self.drop_task(now, &peer, key);
+            self.cancel_task(now, &peer, key);
         }
         for waiter in waiters {
             self.reply(&waiter, answer.clone());
         }
     }
 
-    fn drop_task(&mut self, now: Time, peer: &Peer, key: TaskKey) {
+    fn cancel_task(&mut self, now: Time, peer: &Peer, key: TaskKey) {
         if *peer == self.setup.me {
             let me = self.setup.me.clone();
             self.placer.drop_task(now, &me, key, &mut self.place_effects);
         } else {
-            self.push_alive(peer, Msg::Drop(key));
+            self.send_unless_gone(peer, Msg::Drop(key));
         }
     }
 
     /// Gives up, or forgets, what is due.
-    pub(super) fn runs_due(&mut self, now: Time) {
-        self.runs.past_mut().forget(now);
-        while let Some(number) = self.runs.pop_due(now) {
+    pub(super) fn end_due_runs(&mut self, now: Time) {
+        self.runs.answers_mut().evict_expired(now);
+        while let Some(number) = self.runs.next_due(now) {
             let Some(run) = self.runs.get(number) else { return };
             match run.state {
-                RunState::Asking | RunState::Refusing(_) => self.give_up_asking(now, number),
+                RunState::AwaitingWitness | RunState::ConfirmingRefusal(_) => {
+                    self.end_unconfirmed(now, number)
+                }
                 RunState::Running => {
-                    let answer = if run.untouched() {
+                    let answer = if run.never_started() {
                         Answer::Refused(self.refusal(now, Class::NotRun, Cause::Deadline))
                     } else {
                         Answer::Failed(Failure::Deadline)
@@ -337,7 +343,7 @@
     /// their caller would see nothing until the deadline, though another back
     /// end could answer at once. The others wait, since the placer may come back
     /// with their answers.
-    pub(super) fn repeat_tasks(&mut self, now: Time, silent: &Peer) {
+    pub(super) fn retry_tasks(&mut self, now: Time, silent: &Peer) {
         self.lose_tasks_of(now, silent, Run::may_repeat);
     }
 
@@ -352,22 +358,22 @@
                 .collect();
             for key in keys {
                 let outcome = Outcome::Lost { peer: lost.host.clone() };
-                self.placed(now, lost, key, outcome);
+                self.handle_placed(now, lost, key, outcome);
             }
         }
     }
 
     /// Returns when the queue of this host's share is expected to be drained.
-    pub(super) fn drain_at(&self, now: Time) -> Time {
-        let figures = self.load.1.iter();
+    pub(super) fn queue_drained_at(&self, now: Time) -> Time {
+        let figures = self.own_load.1.iter();
         let wait = figures.map(|figure| u64::from(figure.wait_us)).max().unwrap_or(0);
         now.after_us(wait).max(now.after_ms(DRAIN_MS))
     }
 
     /// Pushes a message unless the receiver is gone.
-    pub(super) fn push_alive(&mut self, to: &Peer, msg: Msg) {
-        if self.hosts.view().state(to) != HostState::Gone {
-            self.push(to, msg);
+    pub(super) fn send_unless_gone(&mut self, to: &Peer, msg: Msg) {
+        if self.membership.view().state(to) != HostState::Gone {
+            self.send(to, msg);
         }
     }
 
--- a/endivestile_kernel/src/lib.rs
+++ b/endivestile_kernel/src/lib.rs
@@ -2,20 +2,20 @@
 //! of its own. Every scenario can be repeated event by event.
 
 mod answer;
-mod budget;
+mod answer_cache;
 mod channel;
 mod event;
 pub mod fleet;
-mod hosts;
+mod forwards;
 mod id;
 mod kernel;
+mod membership;
 mod mint;
 mod msg;
-mod order;
-mod passed;
-mod past;
 mod peer;
 mod place;
+mod placement;
+mod retry_budget;
 mod routes;
 mod run;
 mod runs;
@@ -25,16 +25,16 @@
 mod view;
 
 pub use answer::{Answer, Cause, Class, Failure, Refusal};
-pub use event::{CallId, Effect, Event, Level, Metric, Note, PlatformState, StoreOp, Stored};
-pub use hosts::Seed;
-pub use id::{Form, IdError, MAX_ID, SubmissionId};
+pub use event::{CallId, Effect, Event, Level, Metric, Note, PlatformState, StoreOp, StoreResult};
+pub use id::{IdError, IdForm, MAX_ID, SubmissionId};
 pub use kernel::{HostStatus, Kernel, Setup, Status};
-pub use msg::{Ask, Frame, Known, Msg, Registration};
-pub use order::{AttemptId, End, Figure, Order, Outcome, TaskKey};
+pub use membership::SeedHost;
+pub use msg::{Ask, Frame, KnownId, Msg, Registration};
 pub use peer::Peer;
 pub use place::{
     Choice, Condition, PlaceEffect, Placer, PlacerSetup, PolicyPlugin, ServerStatus, policy_names,
 };
+pub use placement::{AttemptEnd, AttemptId, Outcome, PlaceRequest, TargetLoad, TaskKey};
 pub use shard::{
     Admission, Assignment, BatchDecision, FencingState, MAX_CLOCK_SKEW_S, Replication, ShardEffect,
     ShardRecord, ShardRole, ShardSetup, ShardStatus, Shards, SyncDecision, too_far_ahead,
--- a/endivestile_kernel/src/hosts.rs
+++ b/endivestile_kernel/src/membership.rs
@@ -7,7 +7,7 @@
 use crate::{HostState, HostView, Peer, PlatformState, Registration, Time, View};
 
 /// Time between frames to the peers that are watched, in milliseconds.
-pub(crate) const BEAT_MS: u64 = 500;
+pub(crate) const HEARTBEAT_MS: u64 = 500;
 /// Silence after which a watched host is suspected, in milliseconds.
 pub(crate) const SUSPECT_MS: u64 = 1_500;
 /// Time for which a broken link counts against a host that is not watched, in milliseconds.
@@ -15,14 +15,14 @@
 
 /// A host that a starting process may ask for the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Seed {
+pub struct SeedHost {
     /// Name of the host.
     pub host: Name,
     /// Address of its links, `IP:port`.
     pub address: Name,
 }
 
-impl Seed {
+impl SeedHost {
     /// Shows the host as one of which nothing but the address is known.
     fn view(&self) -> HostView {
         HostView {
@@ -56,15 +56,15 @@
 /// lease: neither alone says who answers now. What is seen on the links goes
 /// first; the others fill in for hosts that there is no traffic with.
 #[derive(Debug)]
-pub(crate) struct Hosts {
+pub(crate) struct Membership {
     view: View,
     facts: BTreeMap<Name, Facts>,
     listed: bool,
 }
 
-impl Hosts {
+impl Membership {
     /// Starts with this host alone.
-    pub(crate) fn new(me: Peer, zone: Name, address: Name, seeds: &[Seed]) -> Self {
+    pub(crate) fn new(me: Peer, zone: Name, address: Name, seed_hosts: &[SeedHost]) -> Self {
         let own = Facts { birth: me.birth, registered: true, ..Facts::default() };
         let host = HostView {
             peer: me.clone(),
@@ -75,12 +75,12 @@
         };
         let mut facts = BTreeMap::from([(me.host.clone(), own)]);
         let mut hosts = BTreeMap::from([(me.host.clone(), host)]);
-        for seed in seeds.iter().filter(|seed| seed.host != me.host) {
+        for seed in seed_hosts.iter().filter(|seed| seed.host != me.host) {
             facts.insert(seed.host.clone(), Facts::default());
             hosts.insert(seed.host.clone(), seed.view());
         }
         Self {
-            view: View { me, zone, hosts, store: false, inventory: false },
+            view: View { me, zone, hosts, store_available: false, has_inventory: false },
             facts,
             listed: false,
         }
@@ -106,19 +106,19 @@
             let entry = HostView { peer, zone, address, weight: host.weight, state };
             self.view.hosts.insert(name.clone(), entry);
         }
-        self.view.inventory = true;
+        self.view.has_inventory = true;
         self.listed = config.hosts.contains_key(&me);
         self.refresh(now);
     }
 
     /// Notes that the store answers or does not.
-    pub(crate) fn store(&mut self, up: bool) {
-        self.view.store = up;
+    pub(crate) fn set_store_available(&mut self, up: bool) {
+        self.view.store_available = up;
     }
 
     /// Takes in a registration, or the end of one; also of a host that is not in
     /// the inventory yet, since registrations are read before the configuration.
-    pub(crate) fn register(
+    pub(crate) fn apply_registration(
         &mut self,
         now: Time,
         name: &Name,
@@ -145,19 +145,24 @@
     }
 
     /// Takes in the platform's word on a host.
-    pub(crate) fn platform(&mut self, now: Time, name: &str, state: Option<PlatformState>) -> bool {
+    pub(crate) fn apply_platform_state(
+        &mut self,
+        now: Time,
+        name: &str,
+        state: Option<PlatformState>,
+    ) -> bool {
         self.facts.entry(Name::from(name)).or_default().platform = state;
         self.refresh(now)
     }
 
     /// Takes in a planned stop, or its end.
-    pub(crate) fn stop(&mut self, now: Time, name: &str, stop: bool) -> bool {
+    pub(crate) fn apply_planned_stop(&mut self, now: Time, name: &str, stop: bool) -> bool {
         self.facts.entry(Name::from(name)).or_default().stopped = stop;
         self.refresh(now)
     }
 
     /// Marks this host as leaving, or not any more.
-    pub(crate) fn leave(&mut self, now: Time, leaving: bool) -> bool {
+    pub(crate) fn mark_leaving(&mut self, now: Time, leaving: bool) -> bool {
         let me = self.view.me.host.clone();
         self.facts.entry(me).or_default().leaving = leaving;
         self.refresh(now)
@@ -165,15 +170,15 @@
 
     /// Returns whether this host was told to stop, by operators or the platform,
     /// or is not in the inventory any more.
-    pub(crate) fn told_to_stop(&self) -> bool {
+    pub(crate) fn stop_requested(&self) -> bool {
         let Some(own) = self.facts.get(&self.view.me.host) else { return false };
         let listed = matches!(own.platform, Some(PlatformState::Leaving | PlatformState::Gone));
-        own.stopped || listed || (self.view.inventory && !self.listed)
+        own.stopped || listed || (self.view.has_inventory && !self.listed)
     }
 
     /// Takes in a frame's sender; says whether the view changed, none for an
     /// incarnation that is gone or a host that is not in the inventory.
-    pub(crate) fn heard(&mut self, now: Time, peer: &Peer, leaving: bool) -> Option<bool> {
+    pub(crate) fn apply_frame(&mut self, now: Time, peer: &Peer, leaving: bool) -> Option<bool> {
         self.view.hosts.get(&peer.host)?;
         let facts = self.facts.entry(peer.host.clone()).or_default();
         if peer.birth < facts.birth || peer.host == self.view.me.host {
@@ -188,7 +193,7 @@
     }
 
     /// Notes that the link to a peer broke or could not be made.
-    pub(crate) fn broken(&mut self, now: Time, peer: &Peer) -> bool {
+    pub(crate) fn mark_link_down(&mut self, now: Time, peer: &Peer) -> bool {
         let Some(facts) = self.facts.get_mut(&peer.host) else { return false };
         if facts.birth == peer.birth {
             facts.broken = Some(now);
@@ -202,15 +207,15 @@
     /// owes nothing and is not watched any more. In a cut its shards are taken over at
     /// once; if it counted as live until its registration ends, calls that must not be
     /// repeated would go there and be lost.
-    pub(crate) fn silent(&mut self, peer: &Peer, since: Option<Time>) {
-        let doubted = self.doubted(peer);
+    pub(crate) fn set_silent_since(&mut self, peer: &Peer, since: Option<Time>) {
+        let doubted = self.suspected_for_silence(peer);
         if let Some(facts) = self.facts.get_mut(&peer.host) {
             facts.silent = since.or(facts.silent.filter(|_| doubted));
         }
     }
 
     /// Returns whether a peer is registered and suspected for its silence alone.
-    pub(crate) fn doubted(&self, peer: &Peer) -> bool {
+    pub(crate) fn suspected_for_silence(&self, peer: &Peer) -> bool {
         let Some(facts) = self.facts.get(&peer.host) else { return false };
         let registered = facts.registered && facts.platform != Some(PlatformState::Gone);
         let silent = facts.silent.is_some() && facts.birth == peer.birth;
@@ -218,7 +223,7 @@
     }
 
     /// Returns since when a peer owes an answer.
-    pub(crate) fn silence(&self, peer: &Peer) -> Option<Time> {
+    pub(crate) fn silent_since(&self, peer: &Peer) -> Option<Time> {
         let facts = self.facts.get(&peer.host)?;
         facts.silent.filter(|_| facts.birth == peer.birth)
     }
--- a/endivestile_kernel/src/mint.rs
+++ b/endivestile_kernel/src/mint.rs
@@ -25,13 +25,13 @@
 
 /// How an id stands at its issuer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum IdValidity {
     /// Within the window until this instant.
     Valid(Time),
     /// Outlived the window.
     Expired,
     /// Never issued.
-    Forged,
+    NotIssued,
 }
 
 impl Mint {
@@ -56,15 +56,15 @@
     }
 
     /// Returns how the id number `serial` of this incarnation stands.
-    pub(crate) fn standing(&self, now: Time, serial: u64) -> Standing {
+    pub(crate) fn validity(&self, now: Time, serial: u64) -> IdValidity {
         if serial == 0 || serial >= self.next {
-            return Standing::Forged;
+            return IdValidity::NotIssued;
         }
         let after = self.blocks.partition_point(|block| block.first <= serial);
         let block = after.checked_sub(1).and_then(|at| self.blocks.get(at));
         match block {
-            Some(block) if block.expires > now => Standing::Valid(block.expires),
-            _ => Standing::Expired,
+            Some(block) if block.expires > now => IdValidity::Valid(block.expires),
+            _ => IdValidity::Expired,
         }
     }
 }
--- a/endivestile_kernel/src/msg.rs
+++ b/endivestile_kernel/src/msg.rs
@@ -7,11 +7,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::{DirectTransfer, HostReport, JobMsg};
-use crate::{Answer, Figure, Order, Outcome, Peer, Submission, SubmissionId, TaskKey, Time};
+use crate::{
+    Answer, Outcome, Peer, PlaceRequest, Submission, SubmissionId, TargetLoad, TaskKey, Time,
+};
 
 /// One id as a shard's home and witness keep it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct KnownId {
     /// The id.
     pub id: SubmissionId,
     /// Digest of the submission.
@@ -43,7 +45,7 @@
         /// Hosts that have passed it on; bounded, so that two stale views end.
         hops: u8,
         /// Whether the home has the id recorded as the receiver's own.
-        known: bool,
+        recorded: bool,
     },
     /// Front to home: how does it stand, or stop it.
     Ask {
@@ -64,7 +66,7 @@
         answer: Arc<Answer>,
     },
     /// Home to placer.
-    Place(Order),
+    Place(PlaceRequest),
     /// Home to placer: drop the task, or stop it if it runs.
     Drop(TaskKey),
     /// Placer to home.
@@ -83,7 +85,7 @@
         /// Number of the batch at the home.
         batch: u64,
         /// The ids.
-        ids: Vec<Known>,
+        ids: Vec<KnownId>,
     },
     /// Witness to home: remembered under the epoch.
     Recorded {
@@ -108,7 +110,7 @@
         /// Epoch.
         epoch: u64,
         /// The ids of this part.
-        ids: Vec<Known>,
+        ids: Vec<KnownId>,
         /// Whether this is the last part.
         last: bool,
     },
@@ -148,7 +150,7 @@
             Self::Submit { submission, .. } => {
                 submission.tasks.iter().map(|task| task.work.len()).sum()
             }
-            Self::Place(order) => order.task.work.len(),
+            Self::Place(request) => request.task.work.len(),
             Self::Placed { outcome: Outcome::Done(result), .. } => result.len(),
             Self::Reply { answer, .. } => answer.payload(),
             Self::Config { text, .. } => text.len(),
@@ -164,9 +166,9 @@
                 let submission = Arc::make_mut(submission);
                 submission.deadline = submission.deadline.rebase(theirs, ours);
             }
-            Self::Place(order) => {
-                order.deadline = order.deadline.rebase(theirs, ours);
-                order.arrived = order.arrived.rebase(theirs, ours);
+            Self::Place(request) => {
+                request.deadline = request.deadline.rebase(theirs, ours);
+                request.arrived = request.arrived.rebase(theirs, ours);
             }
             Self::Reply { answer, .. } => {
                 if let Answer::Refused(refusal) = Arc::make_mut(answer) {
@@ -205,7 +207,7 @@
     /// Whether the sender is leaving.
     pub leaving: bool,
     /// Load of the sender's share, when it changed enough to tell.
-    pub load: Option<Arc<[Figure]>>,
+    pub load: Option<Arc<[TargetLoad]>>,
     /// Receiver's clock at the sending of the latest of its frames that the
     /// sender has had; zero when it echoes none.
     pub echo: Time,
--- a/endivestile_kernel/src/place/admission.rs
+++ b/endivestile_kernel/src/place/admission.rs
@@ -3,7 +3,7 @@
 use super::effect::PlaceEffect;
 use super::placer::Placer;
 use super::room::Room;
-use crate::{Cause, Order, Outcome, Time};
+use crate::{Cause, Outcome, PlaceRequest, Time};
 
 /// Time between two tries of a task believed too long for its deadline, in milliseconds.
 const TRIAL_MS: u64 = 1_000;
@@ -15,7 +15,7 @@
         &mut self,
         now: Time,
         team: u32,
-        order: &Order,
+        order: &PlaceRequest,
         out: &mut Vec<PlaceEffect>,
     ) -> Result<(u32, bool), Cause> {
         if self.stopping {
@@ -50,7 +50,7 @@
         now: Time,
         id: u32,
         team: (u32, u32),
-        order: &Order,
+        order: &PlaceRequest,
     ) -> Result<bool, Cause> {
         let deadline = order.deadline;
         if deadline <= now {
@@ -60,7 +60,7 @@
         if !pool.judged() {
             return Ok(false);
         }
-        let ln_size = pool.declared.ln_size(order.task.declared);
+        let ln_size = pool.declared.ln_size(order.task.declared_ms);
         if now.after_us(pool.fastest_us(ln_size)) > deadline {
             if now < pool.trial_at {
                 return Err(Cause::Deadline);
--- a/endivestile_kernel/src/place/effect.rs
+++ b/endivestile_kernel/src/place/effect.rs
@@ -2,7 +2,7 @@
 
 use endivestile_config::model::Name;
 
-use crate::{AttemptId, Metric, Note, Order, Outcome, Peer, TaskKey};
+use crate::{AttemptId, Metric, Note, Outcome, Peer, PlaceRequest, TaskKey};
 
 /// What a placer has to know from its start.
 #[derive(Debug, Clone)]
@@ -27,7 +27,7 @@
         /// Path to call; empty for a worker.
         path: Name,
         /// The order.
-        order: Order,
+        order: PlaceRequest,
     },
     /// Stop a call whose answer nobody wants any more.
     Abort(AttemptId),
--- a/endivestile_kernel/src/place/ending.rs
+++ b/endivestile_kernel/src/place/ending.rs
@@ -5,7 +5,7 @@
 use super::held::Run;
 use super::placer::{ACCELERATED, Placer};
 use super::timer::Timer;
-use crate::{AttemptId, Cause, End, Level, Metric, Note, Outcome, Time};
+use crate::{AttemptEnd, AttemptId, Cause, Level, Metric, Note, Outcome, Time};
 
 /// Calls that may end without a start before a task is given up.
 const MAX_TRIES: u8 = 3;
@@ -26,7 +26,13 @@
 
 impl Placer {
     /// Takes in how a call ended.
-    pub fn end(&mut self, now: Time, attempt: AttemptId, end: End, out: &mut Vec<PlaceEffect>) {
+    pub fn end(
+        &mut self,
+        now: Time,
+        attempt: AttemptId,
+        end: AttemptEnd,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         let Some(slot) = self.attempts.remove(&attempt) else { return };
         let Some(held) = self.held.get(slot) else { return };
         let Some(run) = held.run else { return };
@@ -44,18 +50,29 @@
     }
 
     /// Ends a task by the end of its call, or puts it back into the queue.
-    fn conclude(&mut self, now: Time, slot: u32, run: Run, end: End, out: &mut Vec<PlaceEffect>) {
+    fn conclude(
+        &mut self,
+        now: Time,
+        slot: u32,
+        run: Run,
+        end: AttemptEnd,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         if !run.wanted {
             self.forget(slot);
             return;
         }
         let peer = self.backends[run.backend as usize].name.clone();
         match end {
-            End::Answered(bytes) => self.settle(slot, Outcome::Done(bytes), out),
-            End::Rejected(status) => self.settle(slot, Outcome::Rejected { peer, status }, out),
-            End::Lost => self.settle(slot, Outcome::Lost { peer }, out),
-            End::Busy => self.again(now, slot, run, Cause::Full, out),
-            End::Leaving | End::Unreachable => self.again(now, slot, run, Cause::NoBackend, out),
+            AttemptEnd::Answered(bytes) => self.settle(slot, Outcome::Done(bytes), out),
+            AttemptEnd::Rejected(status) => {
+                self.settle(slot, Outcome::Rejected { peer, status }, out)
+            }
+            AttemptEnd::Lost => self.settle(slot, Outcome::Lost { peer }, out),
+            AttemptEnd::Busy => self.again(now, slot, run, Cause::Full, out),
+            AttemptEnd::Leaving | AttemptEnd::Unreachable => {
+                self.again(now, slot, run, Cause::NoBackend, out)
+            }
         }
     }
 
@@ -77,19 +94,19 @@
     }
 
     /// Learns the run time of an answered task and corrects its team's account.
-    fn learn(&mut self, now: Time, slot: u32, run: &Run, end: &End) {
+    fn learn(&mut self, now: Time, slot: u32, run: &Run, end: &AttemptEnd) {
         let Some(held) = self.held.get(slot) else { return };
         let micros = now.since(run.started).as_micros() as u64;
         let pool = &mut self.pools[held.pool as usize];
         // A task that is stopped at its deadline has run at least so long; left
         // out, only short ones would count, and more and more be let in too late.
-        let stopped = !run.wanted && matches!(end, End::Answered(_) | End::Lost);
-        if !stopped && !matches!(end, End::Answered(_)) {
+        let stopped = !run.wanted && matches!(end, AttemptEnd::Answered(_) | AttemptEnd::Lost);
+        if !stopped && !matches!(end, AttemptEnd::Answered(_)) {
             return;
         }
         let seats = &self.backends[run.backend as usize].seats;
         if let Some((_, at)) = seats.iter().find(|(id, _)| *id == held.pool) {
-            let hint = (held.ln_size, held.order.task.declared);
+            let hint = (held.ln_size, held.order.task.declared_ms);
             if !stopped || micros as f64 > pool.typical_us(*at as usize) {
                 pool.learn(now, *at as usize, micros, hint);
             }
@@ -109,7 +126,7 @@
         now: Time,
         slot: u32,
         run: &Run,
-        end: &End,
+        end: &AttemptEnd,
         out: &mut Vec<PlaceEffect>,
     ) -> bool {
         let Some(held) = self.held.get(slot) else { return false };
@@ -117,13 +134,13 @@
         let backend = &mut self.backends[run.backend as usize];
         let fast = now.since(run.started).as_micros() as f64 <= pool.common.ln.exp() * FAST_PART;
         let sign = match end {
-            End::Lost if !run.wanted => return false,
-            End::Answered(_) => Sign::Good,
-            End::Rejected(status) if *status < SERVER_ERROR => Sign::Good,
-            End::Rejected(_) if !fast => Sign::Slow,
-            End::Rejected(_) | End::Lost => Sign::Fast,
-            End::Unreachable | End::Leaving => Sign::Away,
-            End::Busy => {
+            AttemptEnd::Lost if !run.wanted => return false,
+            AttemptEnd::Answered(_) => Sign::Good,
+            AttemptEnd::Rejected(status) if *status < SERVER_ERROR => Sign::Good,
+            AttemptEnd::Rejected(_) if !fast => Sign::Slow,
+            AttemptEnd::Rejected(_) | AttemptEnd::Lost => Sign::Fast,
+            AttemptEnd::Unreachable | AttemptEnd::Leaving => Sign::Away,
+            AttemptEnd::Busy => {
                 backend.refused(now);
                 if let Some(until) = backend.hold_until() {
                     self.timers.insert((until, Timer::Unhold(run.backend)));
--- a/endivestile_kernel/src/place/held.rs
+++ b/endivestile_kernel/src/place/held.rs
@@ -2,7 +2,7 @@
 
 use super::line::Rank;
 use super::room::Room;
-use crate::{AttemptId, Order, Peer, Time};
+use crate::{AttemptId, Peer, PlaceRequest, Time};
 
 /// One call to a back end.
 #[derive(Debug, Clone, Copy)]
@@ -25,7 +25,7 @@
     /// The home.
     pub(crate) home: Peer,
     /// The order.
-    pub(crate) order: Order,
+    pub(crate) order: PlaceRequest,
     /// Pool.
     pub(crate) pool: u32,
     /// Number of its team.
@@ -53,7 +53,7 @@
 impl Held {
     /// Returns its place among the tasks of its team.
     pub(crate) const fn rank(&self) -> Rank {
-        Rank { arrived: self.order.arrived, left: self.order.left, seq: self.seq }
+        Rank { arrived: self.order.arrived, left: self.order.remaining, seq: self.seq }
     }
 
     /// Returns what it takes of a back end.
--- a/endivestile_kernel/src/place/placer.rs
+++ b/endivestile_kernel/src/place/placer.rs
@@ -15,7 +15,7 @@
 use super::share;
 use super::teams::Teams;
 use super::timer::Timer;
-use crate::{AttemptId, Order, Outcome, Peer, Target, TaskKey, Time, View};
+use crate::{AttemptId, Outcome, Peer, PlaceRequest, Target, TaskKey, Time, View};
 
 /// Slot of the pool of tasks without accelerators.
 pub(crate) const PLAIN: u32 = 0;
@@ -121,7 +121,13 @@
     }
 
     /// Takes in an order of a home: it is started, queued or refused at once.
-    pub fn order(&mut self, now: Time, home: &Peer, order: Order, out: &mut Vec<PlaceEffect>) {
+    pub fn order(
+        &mut self,
+        now: Time,
+        home: &Peer,
+        order: PlaceRequest,
+        out: &mut Vec<PlaceEffect>,
+    ) {
         let name = (home.clone(), order.key);
         if self.index.contains_key(&name) {
             return;
@@ -137,8 +143,8 @@
             }
         };
         let state = &mut self.pools[pool as usize];
-        state.hint(order.task.declared);
-        let ln_size = state.declared.ln_size(order.task.declared);
+        state.hint(order.task.declared_ms);
+        let ln_size = state.declared.ln_size(order.task.declared_ms);
         state.sizes.count(ln_size);
         let held = Held {
             home: home.clone(),
--- a/endivestile_kernel/src/place/report.rs
+++ b/endivestile_kernel/src/place/report.rs
@@ -4,7 +4,7 @@
 use super::pool::{Kind, Pool};
 use super::room::Room;
 use super::status::ServerStatus;
-use crate::{Figure, Need, Target, Task, Time};
+use crate::{Need, Target, TargetLoad, Task, Time};
 
 impl Placer {
     /// Returns when a task would be finished if it were ordered now; none when
@@ -27,7 +27,7 @@
     pub fn may_try(&self, now: Time, task: &Task, deadline: Time) -> bool {
         let Some(pool) = self.pool_of(&task.target) else { return false };
         let pool = &self.pools[pool as usize];
-        let ln_size = pool.declared.ln_size(task.declared);
+        let ln_size = pool.declared.ln_size(task.declared_ms);
         let too_long = now.after_us(pool.fastest_us(ln_size)) > deadline;
         let free = pool.first_free(&Room::wanted(&task.target)).is_some();
         (free && !pool.judged()) || (too_long && now >= pool.trial_at)
@@ -42,12 +42,12 @@
     }
 
     /// Returns the load of the share: one figure per service and class of need.
-    pub fn figures(&self, _now: Time) -> Vec<Figure> {
+    pub fn figures(&self, _now: Time) -> Vec<TargetLoad> {
         let pools = self.pools.iter().filter(|pool| pool.usable > 0);
         pools.map(|pool| self.figure(pool)).collect()
     }
 
-    fn figure(&self, pool: &Pool) -> Figure {
+    fn figure(&self, pool: &Pool) -> TargetLoad {
         let free =
             |seat: &super::seat::Seat| pool.units(&self.backends[seat.backend as usize].free());
         let (units, _) = pool.bands.total();
@@ -63,7 +63,7 @@
         } else {
             pool.wait_us(1.0).unwrap_or(0.0)
         };
-        Figure {
+        TargetLoad {
             target: target(pool),
             slots: (f64::from(units as u32) / typical) as u32,
             free: (f64::from(free) / typical) as u32,
--- a/endivestile_kernel/src/place/share.rs
+++ b/endivestile_kernel/src/place/share.rs
@@ -30,7 +30,7 @@
     let zones: HashSet<&Name> = view.live().map(|host| &host.zone).collect();
     let mine = |zone: &Name, name: &str| {
         (near == Some(zone) || !zones.contains(zone))
-            && view.placer(zone, name).is_some_and(|host| host.peer.host == me.host)
+            && view.placer_of(zone, name).is_some_and(|host| host.peer.host == me.host)
     };
     let servers = config.servers.iter().filter(|(name, server)| mine(&server.zone, name));
     let workers = config.workers.iter().filter(|(name, worker)| mine(&worker.zone, name));
--- a/endivestile_kernel/src/order.rs
+++ b/endivestile_kernel/src/placement.rs
@@ -21,7 +21,7 @@
 
 /// Asks a placer to run a task on a back end of its share.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct PlaceRequest {
     /// Key at the host that asks.
     pub key: TaskKey,
     /// Team on whose behalf it runs.
@@ -31,7 +31,7 @@
     /// When the submission arrived; older submissions go first within a team.
     pub arrived: Time,
     /// Tasks of the submission not yet finished; a job with fewer left goes first.
-    pub left: u16,
+    pub remaining: u16,
     /// The task.
     pub task: Arc<Task>,
 }
@@ -59,7 +59,7 @@
 
 /// How one call to a back end ended, as the edge saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// An answer, whole.
     Answered(Bytes),
     /// An error status: the back end took the task and refused or failed it.
@@ -80,7 +80,7 @@
 
 /// What a placer tells others of its share for one target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Figure {
+pub struct TargetLoad {
     /// Service, or the class of need with the most demanding team of its queue.
     pub target: Target,
     /// Slots, taken or free, of usable back ends.
--- a/endivestile_kernel/src/budget.rs
+++ b/endivestile_kernel/src/retry_budget.rs
@@ -10,12 +10,12 @@
 /// When all back ends fail, every request retried would double the load just
 /// when it hurts most. A retry is paid for by first tries instead.
 #[derive(Debug)]
-pub(crate) struct Budget {
+pub(crate) struct RetryBudget {
     percent: u32,
     tokens: u32,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Starts with a few retries saved up.
     pub(crate) fn new() -> Self {
         Self { percent: 10, tokens: SAVED * RETRY_COST }
--- a/endivestile_kernel/src/routes.rs
+++ b/endivestile_kernel/src/routes.rs
@@ -5,7 +5,7 @@
 
 use endivestile_config::model::{Config, Name, Rules};
 
-use crate::{Figure, HostState, Need, Peer, Target, Time, View};
+use crate::{HostState, Need, Peer, Target, TargetLoad, Time, View};
 
 /// Expected time of a task when nothing is known, in microseconds.
 const GUESS_US: u64 = 200_000;
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 struct Share {
     told: Time,
-    figures: Arc<[Figure]>,
+    figures: Arc<[TargetLoad]>,
     // Handed over since the figures were told.
     assumed: HashMap<Target, u32>,
 }
@@ -58,7 +58,7 @@
 
 impl Routes {
     /// Takes in the figures of a share.
-    pub(crate) fn tell(&mut self, now: Time, peer: &Peer, figures: Arc<[Figure]>) {
+    pub(crate) fn update(&mut self, now: Time, peer: &Peer, figures: Arc<[TargetLoad]>) {
         let share = Share { told: now, figures, assumed: HashMap::new() };
         self.shares.insert(peer.clone(), share);
     }
@@ -69,7 +69,7 @@
     }
 
     /// Notes that a task was handed to a share.
-    pub(crate) fn assume(&mut self, peer: &Peer, target: &Target) {
+    pub(crate) fn record_handoff(&mut self, peer: &Peer, target: &Target) {
         if let Some(share) = self.shares.get_mut(peer) {
             *share.assumed.entry(class(target)).or_default() += 1;
         }
@@ -110,7 +110,7 @@
 
     /// Returns the microseconds between the ends of two tasks of a job that is
     /// spread over this host's share and those of the live hosts known.
-    pub(crate) fn turn_us(&self, view: &View, own: &[Figure], target: &Target) -> u64 {
+    pub(crate) fn task_interval_us(&self, view: &View, own: &[TargetLoad], target: &Target) -> u64 {
         let class = class(target);
         let live = self.shares.iter().filter(|(peer, _)| view.state(peer) == HostState::Live);
         let others: f64 = live.map(|(_, share)| rate(&share.figures, &class)).sum();
@@ -127,7 +127,7 @@
         target: &Target,
     ) -> Option<Route> {
         let home = |zone: &Name, name: &Name| {
-            let host = view.placer(zone, name)?;
+            let host = view.placer_of(zone, name)?;
             (host.peer != view.me).then(|| host.peer.clone())
         };
         let peer = match target {
@@ -146,18 +146,18 @@
 }
 
 /// Returns the figure of a class of tasks.
-fn find<'a>(figures: &'a [Figure], class: &Target) -> Option<&'a Figure> {
+fn find<'a>(figures: &'a [TargetLoad], class: &Target) -> Option<&'a TargetLoad> {
     figures.iter().find(|figure| self::class(&figure.target) == *class)
 }
 
 /// Returns the tasks that a share ends in a microsecond.
-fn rate(figures: &[Figure], class: &Target) -> f64 {
-    let rate = |figure: &Figure| f64::from(figure.slots) / f64::from(figure.service_us.max(1));
+fn rate(figures: &[TargetLoad], class: &Target) -> f64 {
+    let rate = |figure: &TargetLoad| f64::from(figure.slots) / f64::from(figure.service_us.max(1));
     find(figures, class).map_or(0.0, rate)
 }
 
 /// Returns the wait expected at a share after `assumed` more tasks.
-fn wait_us(figure: &Figure, assumed: u32) -> u64 {
+fn wait_us(figure: &TargetLoad, assumed: u32) -> u64 {
     if assumed < figure.free {
         return u64::from(figure.wait_us);
     }
--- a/endivestile_kernel/src/run.rs
+++ b/endivestile_kernel/src/run.rs
@@ -26,7 +26,7 @@
     /// Answered.
     Done(Bytes),
     /// Given up: never started, or its end does not matter any more.
-    Void,
+    Abandoned,
 }
 
 /// One task of a run.
@@ -42,10 +42,10 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RunState {
     /// Waits until the shard's witness lets it start.
-    Asking,
+    AwaitingWitness,
     /// Refused for this cause, once the shard's witness confirms that this
     /// host may speak for the id.
-    Refusing(crate::Cause),
+    ConfirmingRefusal(crate::Cause),
     /// Its tasks are under way.
     Running,
 }
@@ -62,19 +62,19 @@
     /// When the next step is due: giving up, or forgetting.
     pub(crate) due: Time,
     /// Until when the id may be resubmitted.
-    pub(crate) keep: Time,
+    pub(crate) keep_until: Time,
     /// Who waits.
     pub(crate) waiters: Vec<Waiter>,
     /// The tasks, in the submission's order.
     pub(crate) tasks: Vec<RunTask>,
     /// Tasks without an answer.
-    pub(crate) left: u16,
+    pub(crate) remaining: u16,
     /// Where it stands.
     pub(crate) state: RunState,
     /// Placers at which the team holds as much work as it may.
-    pub(crate) full: Vec<Peer>,
+    pub(crate) full_placers: Vec<Peer>,
     /// Tasks that may have run and are not under way any more.
-    pub(crate) starts: u8,
+    pub(crate) ambiguous_ends: u8,
 }
 
 impl Run {
@@ -86,14 +86,14 @@
             digest: submission.digest(),
             arrived: now,
             due: submission.deadline,
-            keep: Time::ZERO,
+            keep_until: Time::ZERO,
             waiters: Vec::new(),
-            left: submission.tasks.len() as u16,
+            remaining: submission.tasks.len() as u16,
             tasks,
             submission,
             state,
-            full: Vec::new(),
-            starts: 0,
+            full_placers: Vec::new(),
+            ambiguous_ends: 0,
         }
     }
 
@@ -107,9 +107,10 @@
     }
 
     /// Returns whether no task ran, is with a placer or may have run.
-    pub(crate) fn untouched(&self) -> bool {
-        let at_rest = |task: &RunTask| matches!(task.state, TaskState::Ready | TaskState::Void);
-        self.starts == 0 && self.tasks.iter().all(at_rest)
+    pub(crate) fn never_started(&self) -> bool {
+        let at_rest =
+            |task: &RunTask| matches!(task.state, TaskState::Ready | TaskState::Abandoned);
+        self.ambiguous_ends == 0 && self.tasks.iter().all(at_rest)
     }
 
     /// Returns whether the same tasks may be started again after an ambiguous
@@ -119,7 +120,7 @@
     }
 
     /// Returns the id as log lines show it.
-    pub(crate) fn label(&self) -> Option<Name> {
+    pub(crate) fn log_id(&self) -> Option<Name> {
         self.submission.id.as_ref().map(|id| id.text().clone())
     }
 }
--- a/endivestile_kernel/src/runs.rs
+++ b/endivestile_kernel/src/runs.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-use crate::past::{Ended, Past};
+use crate::answer_cache::{AnswerCache, CachedAnswer};
 use crate::run::Run;
 use crate::{Answer, SubmissionId, Time};
 
@@ -13,7 +13,7 @@
     runs: BTreeMap<u64, Run>,
     ids: HashMap<SubmissionId, u64>,
     due: BTreeSet<(Time, u64)>,
-    past: Past,
+    answers: AnswerCache,
     next: u64,
 }
 
@@ -35,7 +35,7 @@
         self.runs.get(&number)
     }
 
-    /// Returns a run to change; its due instant changes by [`Self::postpone`] only.
+    /// Returns a run to change; its due instant changes by [`Self::set_due`] only.
     pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut Run> {
         self.runs.get_mut(&number)
     }
@@ -46,7 +46,7 @@
     }
 
     /// Sets when the next step of a run is due.
-    pub(crate) fn postpone(&mut self, number: u64, due: Time) {
+    pub(crate) fn set_due(&mut self, number: u64, due: Time) {
         if let Some(run) = self.runs.get_mut(&number) {
             self.due.remove(&(run.due, number));
             run.due = due;
@@ -58,8 +58,11 @@
     pub(crate) fn end(&mut self, number: u64, answer: Arc<Answer>) {
         let Some(run) = self.remove(number) else { return };
         let Some(id) = &run.submission.id else { return };
-        if run.keep != Time::ZERO {
-            self.past.insert(id, Ended { digest: run.digest, answer, keep: run.keep });
+        if run.keep_until != Time::ZERO {
+            self.answers.insert(
+                id,
+                CachedAnswer { digest: run.digest, answer, keep_until: run.keep_until },
+            );
         }
     }
 
@@ -76,17 +79,17 @@
     }
 
     /// Returns the submissions that have ended.
-    pub(crate) fn past(&self) -> &Past {
-        &self.past
+    pub(crate) fn answers(&self) -> &AnswerCache {
+        &self.answers
     }
 
     /// Returns the submissions that have ended, to change.
-    pub(crate) fn past_mut(&mut self) -> &mut Past {
-        &mut self.past
+    pub(crate) fn answers_mut(&mut self) -> &mut AnswerCache {
+        &mut self.answers
     }
 
     /// Returns the next run that is due.
-    pub(crate) fn pop_due(&mut self, now: Time) -> Option<u64> {
+    pub(crate) fn next_due(&mut self, now: Time) -> Option<u64> {
         let &(due, number) = self.due.first()?;
         (due <= now).then_some(number)
     }
@@ -94,7 +97,7 @@
     /// Returns when the next step is due.
     pub(crate) fn deadline(&self) -> Option<Time> {
         let due = self.due.first().map(|&(due, _)| due);
-        due.into_iter().chain(self.past.deadline()).min()
+        due.into_iter().chain(self.answers.deadline()).min()
     }
 
     /// Returns the runs that have not ended.
@@ -104,7 +107,7 @@
 
     /// Returns all submissions known, ended ones among them.
     pub(crate) fn len(&self) -> usize {
-        self.runs.len() + self.past.len()
+        self.runs.len() + self.answers.len()
     }
 
     /// Returns the numbers of the runs that have not ended and that `pick` picks.
--- a/endivestile_kernel/src/shard/admission.rs
+++ b/endivestile_kernel/src/shard/admission.rs
@@ -5,7 +5,7 @@
 use crate::shard::pending::PendingId;
 use crate::shard::record::expired;
 use crate::shard::replica::Replica;
-use crate::{Cause, Class, HostState, Known, SubmissionId};
+use crate::{Cause, Class, HostState, KnownId, SubmissionId};
 
 impl Replica {
     /// Judges an id dated `secs`; without a digest it is only to be confirmed.
@@ -111,9 +111,9 @@
     }
 
     /// Returns an id that waits on behalf of another ticket.
-    fn find_waiting(&self, cx: &Context<'_>, id: &SubmissionId) -> Option<Known> {
+    fn find_waiting(&self, cx: &Context<'_>, id: &SubmissionId) -> Option<KnownId> {
         let pending = self.pending.get(id).filter(|pending| pending.ticket.is_some())?;
-        Some(Known {
+        Some(KnownId {
             id: id.clone(),
             digest: pending.digest,
             runner: cx.shared.me.clone(),
--- a/endivestile_kernel/src/shard/balance.rs
+++ b/endivestile_kernel/src/shard/balance.rs
@@ -26,7 +26,8 @@
         for replica in &mut self.replicas {
             replica.successor.take_if(|successor| view.state(successor) != HostState::Live);
         }
-        if !view.store || self.replicas.iter().any(|replica| replica.successor.is_some()) {
+        if !view.store_available || self.replicas.iter().any(|replica| replica.successor.is_some())
+        {
             return;
         }
         let underloaded = underloaded_hosts(view, &self.replicas);
--- a/endivestile_kernel/src/shard/context.rs
+++ b/endivestile_kernel/src/shard/context.rs
@@ -126,7 +126,7 @@
 impl Context<'_> {
     /// Notes the first sight of the store.
     pub(crate) fn start_claim_delay(&mut self) {
-        if self.view.store && self.shared.first_claim == Time::NEVER {
+        if self.view.store_available && self.shared.first_claim == Time::NEVER {
             self.shared.first_claim = self.now.after_ms(STARTUP_CLAIM_DELAY_MS);
             self.shared.wake_at(self.shared.first_claim);
         }
--- a/endivestile_kernel/src/shard/effect.rs
+++ b/endivestile_kernel/src/shard/effect.rs
@@ -3,7 +3,7 @@
 use endivestile_config::model::Name;
 use serde::Serialize;
 
-use crate::{Cause, Class, Known, Metric, Msg, Note, Peer, StoreOp};
+use crate::{Cause, Class, KnownId, Metric, Msg, Note, Peer, StoreOp};
 
 /// What a host tells its shards at its start.
 #[derive(Debug, Clone)]
@@ -26,7 +26,7 @@
     /// This peer is the home.
     Forward(Peer),
     /// A submission with this id was recorded before; it is never granted again.
-    Known(Known),
+    Known(KnownId),
     /// Refused at once.
     Refused(Class, Cause),
 }
--- a/endivestile_kernel/src/shard/home.rs
+++ b/endivestile_kernel/src/shard/home.rs
@@ -3,7 +3,7 @@
 use crate::shard::context::Context;
 use crate::shard::fencing::Replication;
 use crate::shard::replica::Replica;
-use crate::{HostState, Known, Metric, Msg, Peer};
+use crate::{HostState, KnownId, Metric, Msg, Peer};
 
 /// Most ids of one batch.
 const MAX_BATCH_IDS: usize = 512;
@@ -18,7 +18,7 @@
     /// Number of the batch.
     pub(crate) number: u64,
     /// The ids.
-    pub(crate) ids: Vec<Known>,
+    pub(crate) ids: Vec<KnownId>,
     /// Tickets that are only to be confirmed.
     pub(crate) confirmations: Vec<u64>,
 }
@@ -54,7 +54,7 @@
         self.in_flight = Some(Batch { number, ids, confirmations });
     }
 
-    fn drain_queue(&mut self, me: &Peer, most: usize) -> Vec<Known> {
+    fn drain_queue(&mut self, me: &Peer, most: usize) -> Vec<KnownId> {
         let count = self.queue.len().min(most);
         let mut ids = Vec::with_capacity(count);
         for id in self.queue.drain(..count) {
@@ -65,7 +65,7 @@
                 continue;
             }
             let (digest, forget) = (pending.digest, pending.forget);
-            ids.push(Known { id, digest, runner: me.clone(), forget });
+            ids.push(KnownId { id, digest, runner: me.clone(), forget });
         }
         ids
     }
@@ -98,7 +98,7 @@
         self.update_stall_timer(cx, true);
     }
 
-    fn grant_id(&mut self, cx: &mut Context<'_>, known: Known) {
+    fn grant_id(&mut self, cx: &mut Context<'_>, known: KnownId) {
         let Some(pending) = self.pending.get(&known.id) else { return };
         // The id was withdrawn and submitted anew with another body: the witness
         // has the old digest, and the next batch carries the new one.
@@ -152,8 +152,8 @@
         }
         self.copied_epoch = epoch;
         self.table.forget(cx.now);
-        let ids: Vec<Known> = self.table.iter().cloned().collect();
-        let parts: Vec<&[Known]> =
+        let ids: Vec<KnownId> = self.table.iter().cloned().collect();
+        let parts: Vec<&[KnownId]> =
             if ids.is_empty() { vec![&[]] } else { ids.chunks(MAX_PART_IDS).collect() };
         for (index, part) in parts.iter().enumerate() {
             let last = index + 1 == parts.len();
--- a/endivestile_kernel/src/shard/id_table.rs
+++ b/endivestile_kernel/src/shard/id_table.rs
@@ -6,7 +6,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::{Known, SubmissionId, Time};
+use crate::{KnownId, SubmissionId, Time};
 
 /// Remembered ids of one shard.
 ///
@@ -19,12 +19,12 @@
 
 impl IdTable {
     /// Returns what is remembered of an id.
-    pub(crate) fn get(&self, id: &SubmissionId) -> Option<&Known> {
+    pub(crate) fn get(&self, id: &SubmissionId) -> Option<&KnownId> {
         self.entries.get(id).map(|entry| &entry.0)
     }
 
     /// Remembers an id, in place of what was remembered of it.
-    pub(crate) fn insert(&mut self, known: Known) {
+    pub(crate) fn insert(&mut self, known: KnownId) {
         self.entries.replace(Entry(known));
     }
 
@@ -49,14 +49,14 @@
     }
 
     /// Returns the remembered ids.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = &Known> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &KnownId> {
         self.entries.iter().map(|entry| &entry.0)
     }
 }
 
 /// An id, compared by its text alone.
 #[derive(Debug)]
-struct Entry(Known);
+struct Entry(KnownId);
 
 impl Borrow<SubmissionId> for Entry {
     fn borrow(&self) -> &SubmissionId {
--- a/endivestile_kernel/src/shard/pending.rs
+++ b/endivestile_kernel/src/shard/pending.rs
@@ -27,7 +27,7 @@
 impl Replica {
     /// Returns why a ticket would wait for nothing, if it would.
     pub(crate) fn blocked_cause(&self, cx: &Context<'_>) -> Option<Cause> {
-        if cx.view.store || self.fencing.may_start(None) {
+        if cx.view.store_available || self.fencing.may_start(None) {
             return None;
         }
         // Without the store neither a fence nor a dead witness can be mended.
--- a/endivestile_kernel/src/shard/shards.rs
+++ b/endivestile_kernel/src/shard/shards.rs
@@ -7,7 +7,7 @@
 use crate::shard::context::{Env, SharedState, Ticket};
 use crate::shard::effect::{Admission, ShardEffect, ShardSetup, ShardStatus};
 use crate::shard::replica::Replica;
-use crate::{Cause, Class, Form, Known, Msg, Peer, Stored, SubmissionId, Time, View};
+use crate::{Cause, Class, IdForm, KnownId, Msg, Peer, StoreResult, SubmissionId, Time, View};
 
 /// Time that a stopping host leaves to its shards to change hands, in milliseconds.
 const DRAIN_TIMEOUT_MS: u64 = 10_000;
@@ -77,7 +77,7 @@
         ticket: u64,
     ) -> Admission {
         let shard = self.shard_of(id);
-        let (Form::Dated(secs), Some(replica)) = (id.form(), self.replicas.get_mut(shard)) else {
+        let (IdForm::Dated(secs), Some(replica)) = (id.form(), self.replicas.get_mut(shard)) else {
             return Admission::Refused(Class::Unknown, Cause::HomeAway);
         };
         let mut cx = event.with(&mut self.shared);
@@ -106,7 +106,7 @@
     }
 
     /// Returns what this host remembers of an id.
-    pub fn lookup(&self, id: &SubmissionId) -> Option<&Known> {
+    pub fn lookup(&self, id: &SubmissionId) -> Option<&KnownId> {
         self.replicas.get(self.shard_of(id)).and_then(|replica| replica.table.get(id))
     }
 
@@ -149,7 +149,7 @@
         now: Time,
         view: &View,
         token: u64,
-        stored: Stored,
+        stored: StoreResult,
         effects: &mut Vec<ShardEffect>,
     ) {
         let Some(shard) = self.shared.open_calls.remove(&token) else { return };
--- a/endivestile_kernel/src/shard/store_call.rs
+++ b/endivestile_kernel/src/shard/store_call.rs
@@ -5,7 +5,7 @@
 use crate::shard::ownership::StoreStep;
 use crate::shard::record::ShardRecord;
 use crate::shard::replica::Replica;
-use crate::{Level, StoreOp, Stored, Time};
+use crate::{Level, StoreOp, StoreResult, Time};
 
 /// Most store calls of all shards of a host at once.
 const MAX_OPEN_CALLS: usize = 8;
@@ -38,7 +38,7 @@
             return;
         }
         self.retry_at = None;
-        if !cx.view.store {
+        if !cx.view.store_available {
             return;
         }
         let step = self.next_step(cx);
@@ -77,17 +77,24 @@
     }
 
     /// Takes in the end of a store call.
-    pub(crate) fn handle_store_reply(&mut self, cx: &mut Context<'_>, token: u64, stored: Stored) {
+    pub(crate) fn handle_store_reply(
+        &mut self,
+        cx: &mut Context<'_>,
+        token: u64,
+        stored: StoreResult,
+    ) {
         let Some(call) = self.call.take_if(|call| call.token == token) else { return };
         match (call.write, stored) {
-            (Some(record), Stored::Swapped(revision)) => self.apply_record(cx, revision, record),
-            (None, Stored::Value { revision, value }) => {
+            (Some(record), StoreResult::Swapped(revision)) => {
+                self.apply_record(cx, revision, record)
+            }
+            (None, StoreResult::Value { revision, value }) => {
                 self.needs_read = false;
                 self.retry_at = Some(cx.jittered(READ_INTERVAL_MS));
                 self.log_unconfirmed_write(cx, &value);
                 self.apply_value(cx, revision, &value);
             }
-            (Some(_), Stored::Raced) => self.back_off(cx),
+            (Some(_), StoreResult::Raced) => self.back_off(cx),
             (write, _) => {
                 // The write may have taken effect: only the record itself can tell.
                 self.unconfirmed_write =
@@ -105,7 +112,7 @@
         }
         let token = call.token;
         cx.shared.open_calls.remove(&token);
-        self.handle_store_reply(cx, token, Stored::Lost);
+        self.handle_store_reply(cx, token, StoreResult::Lost);
     }
 
     /// Takes in a value read or watched.
--- a/endivestile_kernel/src/shard/witness.rs
+++ b/endivestile_kernel/src/shard/witness.rs
@@ -3,7 +3,7 @@
 use crate::shard::context::Context;
 use crate::shard::fencing::{BatchDecision, SyncDecision};
 use crate::shard::replica::Replica;
-use crate::{Known, Msg, Peer};
+use crate::{KnownId, Msg, Peer};
 
 impl Replica {
     /// Takes in a batch of a home.
@@ -13,7 +13,7 @@
         from: &Peer,
         epoch: u64,
         batch: u64,
-        ids: Vec<Known>,
+        ids: Vec<KnownId>,
     ) {
         let shard = self.shard;
         match self.fencing.check_batch(epoch) {
@@ -32,7 +32,7 @@
         cx: &mut Context<'_>,
         from: &Peer,
         epoch: u64,
-        ids: Vec<Known>,
+        ids: Vec<KnownId>,
         last: bool,
     ) {
         let shard = self.shard;
@@ -49,7 +49,7 @@
     }
 
     /// The home's table is the truth: what is left of an older one goes first.
-    fn insert_part(&mut self, epoch: u64, ids: Vec<Known>) {
+    fn insert_part(&mut self, epoch: u64, ids: Vec<KnownId>) {
         if self.syncing_epoch != epoch {
             self.syncing_epoch = epoch;
             self.table.clear();
--- a/endivestile_kernel/src/submission.rs
+++ b/endivestile_kernel/src/submission.rs
@@ -40,7 +40,7 @@
     /// The work, handed to the back end as it is.
     pub work: Bytes,
     /// Declared run time in milliseconds, 0 when not declared; a hint only.
-    pub declared: u32,
+    pub declared_ms: u32,
 }
 
 /// A request or a job.
--- a/endivestile_kernel/src/view.rs
+++ b/endivestile_kernel/src/view.rs
@@ -47,9 +47,9 @@
     /// Hosts by name.
     pub hosts: BTreeMap<Name, HostView>,
     /// Whether the store answers.
-    pub store: bool,
+    pub store_available: bool,
     /// Whether the hosts are those of an adopted inventory.
-    pub inventory: bool,
+    pub has_inventory: bool,
 }
 
 impl View {
@@ -59,7 +59,7 @@
         match self.hosts.get(&peer.host) {
             Some(host) if host.peer.birth > peer.birth => HostState::Gone,
             Some(host) if host.peer.birth == peer.birth => host.state,
-            None if self.inventory => HostState::Gone,
+            None if self.has_inventory => HostState::Gone,
             _ => HostState::Suspect,
         }
     }
@@ -76,7 +76,7 @@
     /// While a zone's hosts are silent nobody counts its back ends: the zone is
     /// most likely cut off, its own hosts go on with them, and a task sent there
     /// from outside would be lost in the cut.
-    pub fn placer(&self, zone: &str, server: &str) -> Option<&HostView> {
+    pub fn placer_of(&self, zone: &str, server: &str) -> Option<&HostView> {
         let near = self.live().filter(|host| host.zone.as_ref() == zone);
         let near = first(near, server);
         if near.is_some() || self.is_silent(zone) {
--- a/endivestile_kernel/tests/channel.rs
+++ b/endivestile_kernel/tests/channel.rs
@@ -23,7 +23,7 @@
             address: Name::from("127.0.0.1:1"),
             wall_s: 1_000,
             seed: 1,
-            seeds: Vec::new(),
+            seed_hosts: Vec::new(),
         };
         let mut pair = Self { kernel: Kernel::new(setup), now: Time::ZERO, calls: 0 };
         let mut config = Config { revision: 1, ..Config::default() };
@@ -40,7 +40,10 @@
             address: Name::from("127.0.0.1:2"),
             leaving: false,
         };
-        pair.handle(Event::Host { host: Name::from("b"), registration: Some(registration) });
+        pair.handle(Event::HostRegistration {
+            host: Name::from("b"),
+            registration: Some(registration),
+        });
         pair.flush();
         pair
     }
--- a/endivestile_kernel/tests/channel_batch.rs
+++ b/endivestile_kernel/tests/channel_batch.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use endivestile_config::model::{Config, Name};
 use endivestile_kernel::{
-    CallId, Effect, End, Event, Frame, Kernel, Peer, Registration, Setup, Submission, Target, Task,
-    Time,
+    AttemptEnd, CallId, Effect, Event, Frame, Kernel, Peer, Registration, Setup, Submission,
+    Target, Task, Time,
 };
 
 const CONFIG: &str = "\
@@ -25,7 +25,7 @@
 fn kernel(host: &str, zone: &str, address: &str) -> Kernel {
     let me = Peer::new(host, 1);
     let (zone, address) = (Name::from(zone), Name::from(address));
-    let setup = Setup { me, zone, address, wall_s: 1_000_000, seed: 1, seeds: Vec::new() };
+    let setup = Setup { me, zone, address, wall_s: 1_000_000, seed: 1, seed_hosts: Vec::new() };
     let mut kernel = Kernel::new(setup);
     let mut out = Vec::new();
     for (name, zone, address) in [("e1", "a", "127.0.0.1:1"), ("e2", "b", "127.0.0.1:2")] {
@@ -35,18 +35,19 @@
             address: Name::from(address),
             leaving: false,
         };
-        let event = Event::Host { host: Name::from(name), registration: Some(registration) };
+        let event =
+            Event::HostRegistration { host: Name::from(name), registration: Some(registration) };
         kernel.handle(Time::ZERO, event, &mut out);
     }
     let text = Bytes::from(config().canonical());
     kernel.handle(Time::ZERO, Event::Config { config: config(), text }, &mut out);
-    kernel.handle(Time::ZERO, Event::Store(true), &mut out);
+    kernel.handle(Time::ZERO, Event::StoreAvailable(true), &mut out);
     kernel
 }
 
 fn call(number: u64, now: Time) -> Event {
     let target = Target::Service(Name::from("orders"));
-    let task = Arc::new(Task { target, work: Bytes::from_static(b"w"), declared: 0 });
+    let task = Arc::new(Task { target, work: Bytes::from_static(b"w"), declared_ms: 0 });
     let submission = Submission {
         id: None,
         team: Name::from("m1"),
@@ -54,7 +55,7 @@
         idempotent: true,
         tasks: vec![task],
     };
-    Event::Call { call: CallId(number), submission }
+    Event::Submitted { call: CallId(number), submission }
 }
 
 /// Ends a batch; returns the frames and the effects.
@@ -94,9 +95,9 @@
         Effect::Start { attempt, .. } => Some(*attempt),
         _ => None,
     });
-    let end = End::Answered(Bytes::from_static(b"done"));
+    let end = AttemptEnd::Answered(Bytes::from_static(b"done"));
     let attempt = start.expect("a start");
-    placer.handle(now, Event::End { attempt, end }, &mut out);
+    placer.handle(now, Event::AttemptEnded { attempt, end }, &mut out);
     let (frames, _) = flush(&mut placer, now, out);
 
     let now = now.after_ms(1);
--- a/endivestile_kernel/tests/place_choice.rs
+++ b/endivestile_kernel/tests/place_choice.rs
@@ -146,7 +146,7 @@
     let mut fake = Fake::new(servers(2, 2));
     for run in 0..100 {
         let mut order = order(fake.now, run, "a", 50_000);
-        std::sync::Arc::make_mut(&mut order.task).declared = declared;
+        std::sync::Arc::make_mut(&mut order.task).declared_ms = declared;
         order.deadline = fake.now.after_ms(5_000);
         fake.order(order);
         fake.run_ms(20);
--- a/endivestile_kernel/tests/place_compare.rs
+++ b/endivestile_kernel/tests/place_compare.rs
@@ -56,8 +56,8 @@
         }
         let mut order = order(fake.now, run as u64, "a", task.size_us);
         order.deadline = Time::from_micros(task.deadline_us);
-        order.left = left[&task.job];
-        Arc::make_mut(&mut order.task).declared = if declared { task.declared_ms } else { 0 };
+        order.remaining = left[&task.job];
+        Arc::make_mut(&mut order.task).declared_ms = if declared { task.declared_ms } else { 0 };
         fake.order(order);
     }
     fake.run_ms(60_000);
--- a/endivestile_kernel/tests/place_fake/mod.rs
+++ b/endivestile_kernel/tests/place_fake/mod.rs
@@ -12,8 +12,8 @@
 use bytes::Bytes;
 use endivestile_config::model::{Config, Name, Server, Service, Team, Worker};
 use endivestile_kernel::{
-    AttemptId, End, HostState, HostView, Need, Note, Order, Outcome, Peer, PlaceEffect, Placer,
-    PlacerSetup, Target, Task, TaskKey, Time, View,
+    AttemptEnd, AttemptId, HostState, HostView, Need, Note, Outcome, Peer, PlaceEffect,
+    PlaceRequest, Placer, PlacerSetup, Target, Task, TaskKey, Time, View,
 };
 
 /// How a fake back end treats a task.
@@ -59,7 +59,7 @@
     pub running: BTreeMap<AttemptId, (Name, u32)>,
     pub most: HashMap<Name, usize>,
     ends: BinaryHeap<Reverse<(Time, AttemptId)>>,
-    how: HashMap<AttemptId, End>,
+    how: HashMap<AttemptId, AttemptEnd>,
     pub aborted: Vec<AttemptId>,
     out: Vec<PlaceEffect>,
 }
@@ -79,7 +79,13 @@
         };
         (Name::from(*name), view)
     });
-    View { me: home(), zone: Name::from("z"), hosts: hosts.collect(), store: true, inventory: true }
+    View {
+        me: home(),
+        zone: Name::from("z"),
+        hosts: hosts.collect(),
+        store_available: true,
+        has_inventory: true,
+    }
 }
 
 /// A configuration of one service `s` over `servers` of `slots` slots, racks of four.
@@ -128,22 +134,22 @@
 }
 
 /// An order of one task whose true size is `size_us` on a back end of factor 1.
-pub fn order(now: Time, run: u64, team: &str, size_us: u64) -> Order {
-    Order {
+pub fn order(now: Time, run: u64, team: &str, size_us: u64) -> PlaceRequest {
+    PlaceRequest {
         key: TaskKey { run, index: 0, attempt: 0 },
         team: Name::from(team),
         deadline: now.after_ms(600_000),
         arrived: now,
-        left: 1,
+        remaining: 1,
         task: Arc::new(Task {
             target: service(),
             work: Bytes::copy_from_slice(&size_us.to_be_bytes()),
-            declared: 0,
+            declared_ms: 0,
         }),
     }
 }
 
-pub fn for_target(mut order: Order, target: Target) -> Order {
+pub fn for_target(mut order: PlaceRequest, target: Target) -> PlaceRequest {
     Arc::make_mut(&mut order.task).target = target;
     order
 }
@@ -190,7 +196,7 @@
         self.apply();
     }
 
-    pub fn order(&mut self, order: Order) {
+    pub fn order(&mut self, order: PlaceRequest) {
         self.placer.order(self.now, &home(), order, &mut self.out);
         self.apply();
     }
@@ -275,7 +281,7 @@
                 }
                 PlaceEffect::Abort(attempt) => {
                     self.aborted.push(attempt);
-                    self.how.insert(attempt, End::Lost);
+                    self.how.insert(attempt, AttemptEnd::Lost);
                     self.ends.push(Reverse((self.now.after_us(100), attempt)));
                 }
                 PlaceEffect::Ended { key, outcome, .. } => {
@@ -287,18 +293,20 @@
         }
     }
 
-    fn start(&mut self, attempt: AttemptId, server: Name, order: Order) {
+    fn start(&mut self, attempt: AttemptId, server: Name, order: PlaceRequest) {
         let size = order.task.work.as_ref().try_into().map_or(1_000, u64::from_be_bytes);
         let mode = self.modes.get(&server).copied().unwrap_or(Mode::Works(1.0));
         let (after, end) = match mode {
-            Mode::Works(factor) => (size as f64 * factor, End::Answered(Bytes::from_static(b"x"))),
-            Mode::Fails => (1_000.0, End::Rejected(500)),
-            Mode::FailsSlowly => (100_000.0, End::Rejected(500)),
-            Mode::Down => (100.0, End::Unreachable),
-            Mode::Busy => (300.0, End::Busy),
-            Mode::Leaving => (300.0, End::Leaving),
-            Mode::Loses => (1_000.0, End::Lost),
-            Mode::Hangs => (f64::MAX, End::Lost),
+            Mode::Works(factor) => {
+                (size as f64 * factor, AttemptEnd::Answered(Bytes::from_static(b"x")))
+            }
+            Mode::Fails => (1_000.0, AttemptEnd::Rejected(500)),
+            Mode::FailsSlowly => (100_000.0, AttemptEnd::Rejected(500)),
+            Mode::Down => (100.0, AttemptEnd::Unreachable),
+            Mode::Busy => (300.0, AttemptEnd::Busy),
+            Mode::Leaving => (300.0, AttemptEnd::Leaving),
+            Mode::Loses => (1_000.0, AttemptEnd::Lost),
+            Mode::Hangs => (f64::MAX, AttemptEnd::Lost),
         };
         let cpu = match order.task.target {
             Target::Need(need) => need.cpu_milli,
--- a/endivestile_kernel/tests/place_queue.rs
+++ b/endivestile_kernel/tests/place_queue.rs
@@ -50,7 +50,7 @@
     for (run, arrived, left) in [(11, 9, 1), (12, 5, 40), (13, 5, 2), (14, 1, 200)] {
         let mut order = order(now, run, "a", 50_000);
         order.arrived = Time::from_micros(arrived);
-        order.left = left;
+        order.remaining = left;
         fake.order(order);
     }
     fake.run_ms(1_000);
--- a/endivestile_kernel/tests/shards/world.rs
+++ b/endivestile_kernel/tests/shards/world.rs
@@ -139,8 +139,13 @@
             seed: index as u64 * 1_000 + birth,
         });
         shards.configure(&self.rules);
-        let view =
-            View { me: peer.clone(), zone, hosts: BTreeMap::new(), store: false, inventory: false };
+        let view = View {
+            me: peer.clone(),
+            zone,
+            hosts: BTreeMap::new(),
+            store_available: false,
+            has_inventory: false,
+        };
         let heard = vec![self.now; self.zones.len()];
         let (born, run, leaving, states) = (self.now, Run::Up, false, Vec::new());
         Node { peer, born, shards, run, leaving, view, states, heard }
@@ -379,12 +384,14 @@
             }
         }
         let states: Vec<_> = (0..self.nodes.len()).map(|other| self.sight(node, other)).collect();
-        let store = self.store_up;
-        if states == self.nodes[node].states && store == self.nodes[node].view.store {
+        let store_available = self.store_up;
+        if states == self.nodes[node].states
+            && store_available == self.nodes[node].view.store_available
+        {
             return;
         }
         let hosts = (0..self.nodes.len()).map(|other| self.host_view(other, &states)).collect();
-        self.nodes[node].view = View { hosts, store, ..self.nodes[node].view.clone() };
+        self.nodes[node].view = View { hosts, store_available, ..self.nodes[node].view.clone() };
         self.nodes[node].states = states;
         self.event(node, |shards, now, view, out| shards.handle_view_change(now, view, out));
     }
--- a/endivestile_kernel/tests/shards/world/store.rs
+++ b/endivestile_kernel/tests/shards/world/store.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_kernel::{ShardRecord, StoreOp, Stored};
+use endivestile_kernel::{ShardRecord, StoreOp, StoreResult};
 
 use crate::world::{Run, World};
 
@@ -30,7 +30,7 @@
             std::mem::take(&mut self.calls).into_iter().partition(|call| call.at <= now);
         self.calls = rest;
         for call in due {
-            let stored = if self.store_up { self.serve(call.op) } else { Stored::Lost };
+            let stored = if self.store_up { self.serve(call.op) } else { StoreResult::Lost };
             let node = &self.nodes[call.node];
             if node.run == Run::Up && node.peer.birth == call.birth {
                 self.event(call.node, |shards, now, view, out| {
@@ -60,17 +60,17 @@
         });
     }
 
-    fn serve(&mut self, op: StoreOp) -> Stored {
+    fn serve(&mut self, op: StoreOp) -> StoreResult {
         let stored = match op {
             StoreOp::Get { key } => {
                 let (revision, value) = self.values.get(&key).cloned().unwrap_or_default();
-                Stored::Value { revision, value }
+                StoreResult::Value { revision, value }
             }
             StoreOp::Swap { key, revision, value } => self.swap(key, revision, value),
         };
         if self.lose > 0 {
             self.lose -= 1;
-            return Stored::Lost;
+            return StoreResult::Lost;
         }
         stored
     }
@@ -82,9 +82,9 @@
         self.swap(key, revision, value);
     }
 
-    fn swap(&mut self, key: Name, revision: u64, value: Bytes) -> Stored {
+    fn swap(&mut self, key: Name, revision: u64, value: Bytes) -> StoreResult {
         if self.values.get(&key).map_or(0, |entry| entry.0) != revision {
-            return Stored::Raced;
+            return StoreResult::Raced;
         }
         self.revision += 1;
         self.values.insert(key.clone(), (self.revision, value.clone()));
@@ -93,6 +93,6 @@
             let (at, revision) = (self.now + self.watch_ms + node as u64, self.revision);
             self.watch.push(Watched { at, node, shard, revision, value: value.clone() });
         }
-        Stored::Swapped(self.revision)
+        StoreResult::Swapped(self.revision)
     }
 }
--- a/endivestile_kernel/tests/suspect.rs
+++ b/endivestile_kernel/tests/suspect.rs
@@ -27,19 +27,19 @@
     let (_, zone, address) = HOSTS.into_iter().find(|(name, ..)| *name == host).expect("a host");
     let (zone, address) = (Name::from(zone), Name::from(address));
     let registration = Registration { peer: peer(host), zone, address, leaving: false };
-    Event::Host { host: Name::from(host), registration: Some(registration) }
+    Event::HostRegistration { host: Name::from(host), registration: Some(registration) }
 }
 
 fn kernel(host: &str) -> Kernel {
     let (_, zone, address) = HOSTS.into_iter().find(|(name, ..)| *name == host).expect("a host");
     let (zone, address) = (Name::from(zone), Name::from(address));
     let setup =
-        Setup { me: peer(host), zone, address, wall_s: 1_000_000, seed: 1, seeds: Vec::new() };
+        Setup { me: peer(host), zone, address, wall_s: 1_000_000, seed: 1, seed_hosts: Vec::new() };
     let mut kernel = Kernel::new(setup);
     let config: Arc<Config> = Arc::new(endivestile_config::parse(CONFIG, "test").expect("config"));
     let text = Bytes::from(config.canonical());
     let events = HOSTS.into_iter().map(|(name, ..)| register(name));
-    for event in events.chain([Event::Config { config, text }, Event::Store(true)]) {
+    for event in events.chain([Event::Config { config, text }, Event::StoreAvailable(true)]) {
         kernel.handle(Time::ZERO, event, &mut Vec::new());
     }
     kernel
@@ -49,7 +49,7 @@
 fn record(epoch: u64, witness: &str) -> Event {
     let witness = Some(peer(witness));
     let record = ShardRecord { home: peer("e1"), witness, epoch, floor: 0, write: epoch };
-    Event::Record { shard: 0, revision: epoch, value: record.encode() }
+    Event::ShardRecordChange { shard: 0, revision: epoch, value: record.encode() }
 }
 
 /// Lets a kernel do what is due; returns its frames.
--- a/endivestile_lab/examples/slopes/pair.rs
+++ b/endivestile_lab/examples/slopes/pair.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_kernel::{Effect, Event, ShardRecord, StoreOp, Stored, Time};
+use endivestile_kernel::{Effect, Event, ShardRecord, StoreOp, StoreResult, Time};
 
 use crate::inventory::{self, Size};
 use crate::rig::Rig;
@@ -28,7 +28,7 @@
         let rigs = [Rig::new(0, 2), Rig::new(1, 2)];
         let mut pair = Self { rigs, store: BTreeMap::new(), writes: 0 };
         for at in 0..2 {
-            pair.rigs[at].event(Event::Store(true));
+            pair.rigs[at].event(Event::StoreAvailable(true));
             pair.rigs[at].register(1 - at, 2, false);
             pair.rigs[at].configure(&config);
         }
@@ -67,29 +67,29 @@
     fn carry(&mut self, at: usize, effect: Effect) {
         match effect {
             Effect::Send { frame, .. } => self.rigs[1 - at].event(Event::Frame(frame)),
-            Effect::Store { token, op } => {
-                let stored = self.call(op);
-                self.rigs[at].event(Event::Stored { token, stored });
+            Effect::StoreCall { op_id, op } => {
+                let result = self.call(op);
+                self.rigs[at].event(Event::StoreCallEnded { op_id, result });
             }
             _ => {}
         }
     }
 
-    fn call(&mut self, op: StoreOp) -> Stored {
+    fn call(&mut self, op: StoreOp) -> StoreResult {
         match op {
             StoreOp::Get { key } => {
                 let (revision, value) = self.store.get(&key).cloned().unwrap_or_default();
-                Stored::Value { revision, value }
+                StoreResult::Value { revision, value }
             }
             StoreOp::Swap { key, revision, value } => {
                 let current = self.store.get(&key).map_or(0, |(revision, _)| *revision);
                 if current != revision {
-                    return Stored::Raced;
+                    return StoreResult::Raced;
                 }
                 self.writes += 1;
                 self.store.insert(key.clone(), (self.writes, value.clone()));
                 self.tell(&key, value);
-                Stored::Swapped(self.writes)
+                StoreResult::Swapped(self.writes)
             }
         }
     }
@@ -99,7 +99,7 @@
         for shard in (0..SHARDS).filter(|&shard| ShardRecord::key(shard) == *key) {
             for rig in &mut self.rigs {
                 let (revision, value) = (self.writes, value.clone());
-                rig.event(Event::Record { shard, revision, value });
+                rig.event(Event::ShardRecordChange { shard, revision, value });
             }
         }
     }
--- a/endivestile_lab/examples/slopes/rig.rs
+++ b/endivestile_lab/examples/slopes/rig.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use endivestile_config::model::Config;
 use endivestile_kernel::{
-    AttemptId, CallId, Effect, End, Event, Figure, Frame, Kernel, Need, Peer, Registration, Setup,
-    Submission, SubmissionId, Target, Task, Time,
+    AttemptEnd, AttemptId, CallId, Effect, Event, Frame, Kernel, Need, Peer, Registration, Setup,
+    Submission, SubmissionId, Target, TargetLoad, Task, Time,
 };
 
 use crate::inventory;
@@ -50,7 +50,7 @@
             address: "127.0.0.1:7070".into(),
             wall_s: WALL_S,
             seed: 1,
-            seeds: Vec::new(),
+            seed_hosts: Vec::new(),
         };
         Self {
             kernel: Kernel::new(setup),
@@ -103,13 +103,13 @@
             leaving,
         };
         let host = inventory::host(at);
-        self.event(Event::Host { host, registration: Some(registration) });
+        self.event(Event::HostRegistration { host, registration: Some(registration) });
     }
 
     /// Hears host number `at`, which tells a load without free slots.
     pub(crate) fn hear(&mut self, at: usize, me: usize) {
         let target = Target::Need(Need { cpu_milli: 0, memory_mb: 0, accelerators: 0 });
-        let figure = Figure {
+        let figure = TargetLoad {
             target,
             slots: 600,
             free: 0,
@@ -137,7 +137,7 @@
         self.calls += 1;
         let work = Bytes::copy_from_slice(&WORK);
         let task =
-            || Arc::new(Task { target: Target::Need(NEED), work: work.clone(), declared: 0 });
+            || Arc::new(Task { target: Target::Need(NEED), work: work.clone(), declared_ms: 0 });
         let submission = Submission {
             idempotent: id.is_none(),
             id,
@@ -145,14 +145,14 @@
             deadline: self.now.after_ms(1_000_000),
             tasks: (0..tasks).map(|_| task()).collect(),
         };
-        self.event(Event::Call { call: CallId(self.calls), submission });
+        self.event(Event::Submitted { call: CallId(self.calls), submission });
     }
 
     /// Ends the oldest open call to a back end; false when none is open.
     pub(crate) fn end(&mut self) -> bool {
         let Some(attempt) = self.open.pop_front() else { return false };
-        let end = End::Answered(Bytes::copy_from_slice(&WORK));
-        self.event(Event::End { attempt, end });
+        let end = AttemptEnd::Answered(Bytes::copy_from_slice(&WORK));
+        self.event(Event::AttemptEnded { attempt, end });
         true
     }
 
--- a/endivestile_testkit/src/fleet/store.rs
+++ b/endivestile_testkit/src/fleet/store.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_kernel::{StoreOp, Stored};
+use endivestile_kernel::{StoreOp, StoreResult};
 
 /// The store.
 #[derive(Debug, Default)]
@@ -25,16 +25,16 @@
 
 impl Store {
     /// Carries out a change.
-    pub(crate) fn swap(&mut self, op: &StoreOp) -> (Stored, Option<Name>) {
+    pub(crate) fn swap(&mut self, op: &StoreOp) -> (StoreResult, Option<Name>) {
         let StoreOp::Swap { key, revision, value } = op else {
-            return (Stored::Lost, None);
+            return (StoreResult::Lost, None);
         };
         let held = self.keys.get(key).map_or(0, |(revision, _)| *revision);
         if held != *revision {
-            return (Stored::Raced, None);
+            return (StoreResult::Raced, None);
         }
         self.put(key, value.clone());
-        (Stored::Swapped(self.revision), Some(key.clone()))
+        (StoreResult::Swapped(self.revision), Some(key.clone()))
     }
 
     /// Has a zone evacuated, or takes it back.
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -7,7 +7,7 @@
 use endivestile_config::Policy;
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{FleetEvent, HOST_KEY_PREFIX, HostEntry, RouteTable, WorkerCall};
-use endivestile_kernel::{Need, StoreOp, Stored};
+use endivestile_kernel::{Need, StoreOp, StoreResult};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -246,7 +246,7 @@
 
     fn swap(&mut self, host: Name, birth: u64, token: u64, op: &StoreOp) {
         let at = self.now + self.store.delay_us / 2;
-        let mut stored = Stored::Lost;
+        let mut stored = StoreResult::Lost;
         if !self.store.down && self.net.reaches(&host, STORE) {
             let (outcome, key) = self.store.swap(op);
             stored = outcome;
@@ -255,10 +255,10 @@
             }
             if self.store.losing > 0 {
                 self.store.losing -= 1;
-                stored = Stored::Lost;
+                stored = StoreResult::Lost;
             }
         }
-        let at = if stored == Stored::Lost { at + 700_000 } else { at };
+        let at = if stored == StoreResult::Lost { at + 700_000 } else { at };
         self.at(
             at,
             Happening::Event {
--- a/endivestile_testkit/src/world.rs
+++ b/endivestile_testkit/src/world.rs
@@ -50,7 +50,7 @@
     /// A call to a back end has outlived its deadline.
     Expire(backend::Visit),
     /// A call reaches the store.
-    Store { host: Name, birth: u64, token: u64, op: endivestile_kernel::StoreOp },
+    Store { host: Name, birth: u64, op_id: u64, op: endivestile_kernel::StoreOp },
     /// The store looks at its leases.
     Leases,
 }
@@ -149,7 +149,7 @@
             Happening::Arrive(visit) => self.arrive(visit),
             Happening::Depart(visit) => self.depart(visit),
             Happening::Expire(visit) => self.expire(visit),
-            Happening::Store { host, birth, token, op } => self.store(host, birth, token, op),
+            Happening::Store { host, birth, op_id, op } => self.store(host, birth, op_id, op),
             Happening::Leases => self.leases(),
         }
     }
--- a/endivestile_testkit/src/world/backend.rs
+++ b/endivestile_testkit/src/world/backend.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::{Config, Name};
-use endivestile_kernel::{AttemptId, End, Event, Order};
+use endivestile_kernel::{AttemptEnd, AttemptId, Event, PlaceRequest};
 use rand::Rng;
 
 use super::{Happening, Started, World};
@@ -76,7 +76,7 @@
         birth: u64,
         attempt: AttemptId,
         address: &Name,
-        order: Order,
+        request: PlaceRequest,
     ) {
         let found = self.backends.iter().find(|(_, backend)| backend.address == *address);
         let Some((server, backend)) = found else { return };
@@ -84,31 +84,31 @@
         let delay = self.net.delay_us(host, &server, &mut self.rng);
         let refused = backend.mode == Mode::Refuse || !self.net.reaches(host, &server);
         if refused {
-            let event = Event::End { attempt, end: End::Unreachable };
+            let event = Event::AttemptEnded { attempt, end: AttemptEnd::Unreachable };
             self.event_in(2 * delay, host, birth, event);
             return;
         }
-        let work = order.task.work.clone();
+        let work = request.task.work.clone();
         let visit = Visit { host: host.clone(), birth, attempt, server, work };
         self.visits.insert(visit.key());
         self.at(self.now + delay, Happening::Arrive(visit.clone()));
         let Some(machine) = self.machines.get(host) else { return };
-        let left = order.deadline.since(machine.clock(self.now));
+        let left = request.deadline.since(machine.clock(self.now));
         self.at(self.now + left.as_micros() as u64, Happening::Expire(visit));
     }
 
     pub(super) fn arrive(&mut self, visit: Visit) {
         let Some(backend) = self.backends.get_mut(&visit.server) else { return };
         match backend.mode {
-            Mode::Leaving => return self.end(&visit, End::Leaving),
-            _ if backend.running >= backend.slots => return self.end(&visit, End::Busy),
+            Mode::Leaving => return self.end(&visit, AttemptEnd::Leaving),
+            _ if backend.running >= backend.slots => return self.end(&visit, AttemptEnd::Busy),
             _ => {}
         }
         let work = String::from_utf8_lossy(&visit.work).into_owned();
         self.starts.push(Started { work, server: visit.server.clone(), at: self.now });
         match backend.mode {
-            Mode::Close => self.end(&visit, End::Lost),
-            Mode::Fail => self.end(&visit, End::Rejected(500)),
+            Mode::Close => self.end(&visit, AttemptEnd::Lost),
+            Mode::Fail => self.end(&visit, AttemptEnd::Rejected(500)),
             Mode::Hang => {}
             _ => {
                 backend.running += 1;
@@ -125,25 +125,25 @@
         let Some(backend) = self.backends.get_mut(&visit.server) else { return };
         backend.running -= 1;
         let whole = backend.mode == Mode::Good && self.net.reaches(&visit.host, &visit.server);
-        let end = if whole { End::Answered(echo(&visit.work)) } else { End::Lost };
+        let end = if whole { AttemptEnd::Answered(echo(&visit.work)) } else { AttemptEnd::Lost };
         self.end(&visit, end);
     }
 
     pub(super) fn expire(&mut self, visit: Visit) {
-        self.end(&visit, End::Lost);
+        self.end(&visit, AttemptEnd::Lost);
     }
 
     pub(super) fn abort(&mut self, host: &Name, birth: u64, attempt: AttemptId) {
         self.visits.remove(&(host.clone(), birth, attempt.0));
-        self.event_in(0, host, birth, Event::End { attempt, end: End::Lost });
+        self.event_in(0, host, birth, Event::AttemptEnded { attempt, end: AttemptEnd::Lost });
     }
 
-    fn end(&mut self, visit: &Visit, end: End) {
+    fn end(&mut self, visit: &Visit, end: AttemptEnd) {
         if !self.visits.remove(&visit.key()) {
             return;
         }
         let delay = self.net.delay_us(&visit.host, &visit.server, &mut self.rng);
-        let event = Event::End { attempt: visit.attempt, end };
+        let event = Event::AttemptEnded { attempt: visit.attempt, end };
         self.event_in(delay, &visit.host, visit.birth, event);
     }
 }
--- a/endivestile_testkit/src/world/call.rs
+++ b/endivestile_testkit/src/world/call.rs
@@ -92,7 +92,7 @@
             tasks: (0..submit.tasks).map(|index| Arc::new(task(&submit, index))).collect(),
         };
         let birth = machine.birth;
-        let event = Event::Call { call: CallId(call), submission };
+        let event = Event::Submitted { call: CallId(call), submission };
         self.event_in(0, &submit.host, birth, event);
         call
     }
@@ -169,7 +169,7 @@
         Some(need) => Target::Need(need),
         None => Target::Service(Name::from("service")),
     };
-    Task { target, work: Bytes::from(work(&submit.word, index)), declared: submit.declared_ms }
+    Task { target, work: Bytes::from(work(&submit.word, index)), declared_ms: submit.declared_ms }
 }
 
 /// Returns the work of a task.
