--- a/endivestile_testkit/src/world/effect.rs
+++ b/endivestile_testkit/src/world/effect.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_kernel::{Effect, Event, Frame, StoreOp, Stored};
+use endivestile_kernel::{Effect, Event, Frame, StoreOp, StoreResult};
 
 use super::net::STORE;
 use super::{Happening, World, host};
@@ -21,12 +21,12 @@
         match effect {
             Effect::Answer { call, answer } => self.answered(call, &answer),
             Effect::Send { frame, .. } => self.send(name, birth, frame),
-            Effect::Start { attempt, address, order, .. } => {
-                self.visit(name, birth, attempt, &address, order);
+            Effect::Start { attempt, address, request, .. } => {
+                self.visit(name, birth, attempt, &address, request);
             }
             Effect::Abort(attempt) => self.abort(name, birth, attempt),
-            Effect::Store { token, op } => self.call_store(name, birth, token, op),
-            Effect::Offer(text) => self.offer(name, birth, &text),
+            Effect::StoreCall { op_id, op } => self.call_store(name, birth, op_id, op),
+            Effect::OfferConfig(text) => self.offer(name, birth, &text),
             Effect::Register { leaving } => self.register(name, leaving),
             Effect::Log(_) | Effect::Count(..) | Effect::Drained => {}
         }
@@ -52,15 +52,15 @@
         self.event_in(delay, &to.host, alive, Event::Frame(frame));
     }
 
-    fn call_store(&mut self, name: &Name, birth: u64, token: u64, op: StoreOp) {
+    fn call_store(&mut self, name: &Name, birth: u64, op_id: u64, op: StoreOp) {
         self.platform.calls += 1;
         if self.platform.down || !self.net.reaches(name, STORE) {
-            let event = Event::Stored { token, stored: Stored::Lost };
+            let event = Event::StoreCallEnded { op_id, result: StoreResult::Lost };
             self.event_in(STORE_TIMEOUT_US, name, birth, event);
             return;
         }
         let at = self.now + self.platform.delay_us;
-        self.at(at, Happening::Store { host: name.clone(), birth, token, op });
+        self.at(at, Happening::Store { host: name.clone(), birth, op_id, op });
     }
 
     fn offer(&mut self, name: &Name, birth: u64, text: &Bytes) {
--- a/endivestile_testkit/src/world/faults.rs
+++ b/endivestile_testkit/src/world/faults.rs
@@ -79,7 +79,7 @@
         if let Some(backend) = self.backends.get_mut(&name) {
             backend.leaving = (state != PlatformState::Live).then_some(self.now);
         }
-        self.tell_all(Event::Platform { name, state: Some(state) });
+        self.tell_all(Event::PlatformChange { name, state: Some(state) });
     }
 
     /// Has an operator plan a stop of a host or back end, or take it back.
@@ -89,7 +89,7 @@
         if let Some(backend) = self.backends.get_mut(&name) {
             backend.leaving = stop.then_some(self.now);
         }
-        self.tell_all(Event::Stop { name, stop });
+        self.tell_all(Event::PlannedStop { name, stop });
     }
 
     /// Has the operators accept another configuration.
--- a/endivestile_testkit/src/world/host.rs
+++ b/endivestile_testkit/src/world/host.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use endivestile_config::model::{Config, Name};
-use endivestile_kernel::{Effect, Event, Kernel, Peer, Seed, Setup, Time};
+use endivestile_kernel::{Effect, Event, Kernel, Peer, SeedHost, Setup, Time};
 
 use super::{Happening, WALL_S, World};
 
@@ -55,7 +55,7 @@
             address: host.address.clone(),
             wall_s: WALL_S + self.now / 1_000_000,
             seed: self.births,
-            seeds: if self.seeded { seeds(&config) } else { Vec::new() },
+            seed_hosts: if self.seeded { seeds(&config) } else { Vec::new() },
         };
         let machine = Machine {
             birth: self.births,
@@ -204,14 +204,14 @@
         }
         self.kill(name);
         self.platform.registered.remove(name);
-        self.tell_all(Event::Host { host: name.clone(), registration: None });
+        self.tell_all(Event::HostRegistration { host: name.clone(), registration: None });
     }
 }
 
 /// Returns every host as one to ask.
-fn seeds(config: &Config) -> Vec<Seed> {
+fn seeds(config: &Config) -> Vec<SeedHost> {
     let hosts = config.hosts.iter();
-    hosts.map(|(name, it)| Seed { host: name.clone(), address: it.address.clone() }).collect()
+    hosts.map(|(name, it)| SeedHost { host: name.clone(), address: it.address.clone() }).collect()
 }
 
 /// Returns whether an effect needs its process to stay alive.
--- a/endivestile_testkit/src/world/platform.rs
+++ b/endivestile_testkit/src/world/platform.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_kernel::{Event, PlatformState, Registration, ShardRecord, StoreOp, Stored};
+use endivestile_kernel::{Event, PlatformState, Registration, ShardRecord, StoreOp, StoreResult};
 
 use super::net::STORE;
 use super::{Happening, World};
@@ -63,38 +63,43 @@
         Some(ShardRecord::decode(value)?.home.host)
     }
 
-    fn apply(&mut self, op: &StoreOp) -> (Stored, Option<Name>) {
+    fn apply(&mut self, op: &StoreOp) -> (StoreResult, Option<Name>) {
         match op {
             StoreOp::Get { key } => {
                 let (revision, value) = self.values.get(key).cloned().unwrap_or_default();
-                (Stored::Value { revision, value }, None)
+                (StoreResult::Value { revision, value }, None)
             }
             StoreOp::Swap { key, revision, value } => {
                 let current = self.values.get(key).map_or(0, |(revision, _)| *revision);
                 if current != *revision {
-                    return (Stored::Raced, None);
+                    return (StoreResult::Raced, None);
                 }
                 self.changes += 1;
                 self.values.insert(key.clone(), (self.changes, value.clone()));
-                (Stored::Swapped(self.changes), Some(key.clone()))
+                (StoreResult::Swapped(self.changes), Some(key.clone()))
             }
         }
     }
 }
 
 impl World {
-    pub(super) fn store(&mut self, host: Name, birth: u64, token: u64, op: StoreOp) {
+    pub(super) fn store(&mut self, host: Name, birth: u64, op_id: u64, op: StoreOp) {
         if self.platform.down {
-            self.event_in(0, &host, birth, Event::Stored { token, stored: Stored::Lost });
+            self.event_in(
+                0,
+                &host,
+                birth,
+                Event::StoreCallEnded { op_id, result: StoreResult::Lost },
+            );
             return;
         }
-        let (mut stored, changed) = self.platform.apply(&op);
+        let (mut result, changed) = self.platform.apply(&op);
         if self.platform.lose > 0 {
             self.platform.lose -= 1;
-            stored = Stored::Lost;
+            result = StoreResult::Lost;
         }
         let delay = self.platform.delay_us;
-        self.event_in(delay, &host, birth, Event::Stored { token, stored });
+        self.event_in(delay, &host, birth, Event::StoreCallEnded { op_id, result });
         if let Some(event) = changed.and_then(|key| self.record(&key)) {
             self.tell_all(event);
         }
@@ -103,7 +108,7 @@
     fn record(&self, key: &Name) -> Option<Event> {
         let shard = key.rsplit('/').next()?.parse().ok()?;
         let (revision, value) = self.platform.values.get(key)?.clone();
-        Some(Event::Record { shard, revision, value })
+        Some(Event::ShardRecordChange { shard, revision, value })
     }
 
     /// Tells every host that watches the store.
@@ -126,7 +131,7 @@
         }
         machine.connected = reachable;
         let birth = machine.birth;
-        self.event_in(0, name, birth, Event::Store(reachable));
+        self.event_in(0, name, birth, Event::StoreAvailable(reachable));
         if reachable {
             for event in self.state() {
                 self.event_in(self.platform.delay_us, name, birth, event);
@@ -153,13 +158,13 @@
         for host in self.machines.keys() {
             let lease = platform.registered.get(host);
             let registration = lease.map(|lease| lease.registration.clone());
-            events.push(Event::Host { host: host.clone(), registration });
+            events.push(Event::HostRegistration { host: host.clone(), registration });
         }
         for (name, state) in &platform.list {
-            events.push(Event::Platform { name: name.clone(), state: Some(*state) });
+            events.push(Event::PlatformChange { name: name.clone(), state: Some(*state) });
         }
         for (name, stop) in &platform.stops {
-            events.push(Event::Stop { name: name.clone(), stop: *stop });
+            events.push(Event::PlannedStop { name: name.clone(), stop: *stop });
         }
         events
     }
@@ -191,7 +196,7 @@
             }
             Some(lease) if lease.renewed + LEASE_US < now && !self.platform.down => {
                 self.platform.registered.remove(name);
-                self.tell_all(Event::Host { host: name.clone(), registration: None });
+                self.tell_all(Event::HostRegistration { host: name.clone(), registration: None });
             }
             _ => {}
         }
@@ -213,6 +218,9 @@
         };
         let lease = Lease { registration: registration.clone(), renewed: self.now };
         self.platform.registered.insert(name.clone(), lease);
-        self.tell_all(Event::Host { host: name.clone(), registration: Some(registration) });
+        self.tell_all(Event::HostRegistration {
+            host: name.clone(),
+            registration: Some(registration),
+        });
     }
 }
