--- a/endivestile/src/engine.rs
+++ b/endivestile/src/engine.rs
@@ -148,7 +148,7 @@
         match operation {
             Operation::Submit(submission, shape) => {
                 let call = self.open_call(cx, OpenCall { request, ids, shape });
-                self.handle_event(cx, Event::Call { call, submission });
+                self.handle_event(cx, Event::Submitted { call, submission });
             }
             Operation::Ask(id, ask) => {
                 let cancel = ask == endivestile_kernel::Ask::Cancel;
--- a/endivestile/src/fleet/records.rs
+++ b/endivestile/src/fleet/records.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{FleetEvent, HOST_KEY_PREFIX, HostEntry, POOL_KEY_PREFIX};
-use endivestile_kernel::{StoreOp, Stored};
+use endivestile_kernel::{StoreOp, StoreResult};
 use endivestile_wire::adapter::{StoreCallError, Swap};
 use tokio::sync::watch;
 use tokio::time::sleep;
@@ -143,10 +143,10 @@
     let (store, inbox) = (store.clone(), inbox.clone());
     tokio::spawn(async move {
         let result = match store.swap(&Swap { key, revision, value }).await {
-            Ok(revision) => Stored::Swapped(revision),
-            Err(StoreCallError::Raced(_)) => Stored::Raced,
+            Ok(revision) => StoreResult::Swapped(revision),
+            Err(StoreCallError::Raced(_)) => StoreResult::Raced,
             // A call that the store refused counts as lost, so that it is not retried at once.
-            Err(_) => Stored::Lost,
+            Err(_) => StoreResult::Lost,
         };
         inbox.post_event(FleetEvent::StoreCallEnded { op_id, result });
     });
--- a/endivestile/src/http/handler.rs
+++ b/endivestile/src/http/handler.rs
@@ -121,7 +121,7 @@
 }
 
 fn single(target: Target, work: Bytes) -> Arc<Task> {
-    Arc::new(Task { target, work, declared: 0 })
+    Arc::new(Task { target, work, declared_ms: 0 })
 }
 
 fn parse(text: &[u8]) -> Result<JobBody, InvalidRequest> {
--- a/endivestile_kernel/src/fleet/core.rs
+++ b/endivestile_kernel/src/fleet/core.rs
@@ -23,7 +23,7 @@
 use crate::fleet::workers::call::WorkerCall;
 use crate::fleet::workers::protocol::{CallError, RenewReply, StartResult, WorkerEntry};
 use crate::fleet::workers::run::RunId;
-use crate::{CallId, Frame, Level, Note, Peer, StoreOp, Stored, Time};
+use crate::{CallId, Frame, Level, Note, Peer, StoreOp, StoreResult, Time};
 
 /// Time between two ticks while there are jobs, in milliseconds.
 const TICK_MS: u64 = 15;
@@ -118,7 +118,7 @@
         /// Number of the call.
         op_id: u64,
         /// Its outcome.
-        result: Stored,
+        result: StoreResult,
     },
     /// A start call to a worker ended.
     StartEnded {
@@ -325,7 +325,7 @@
             FleetEvent::Frame(frame) => self.handle_frame(now, *frame),
             FleetEvent::LinkDown(peer) => {
                 if let Some(channel) = self.channels.get_mut(&peer) {
-                    channel.broken(now);
+                    channel.resend_unacked(now);
                 }
             }
             FleetEvent::Shutdown => self.shutdown(now),
--- a/endivestile_kernel/src/fleet/hosts/frames.rs
+++ b/endivestile_kernel/src/fleet/hosts/frames.rs
@@ -144,7 +144,7 @@
             };
             let channel = self.channels.entry(member.peer.clone());
             let channel = channel.or_insert_with(|| Channel::new(member.peer.clone()));
-            channel.beat_by(now.after_ms(interval));
+            channel.schedule_heartbeat_by(now.after_ms(interval));
             let limit = if member.zone == self.setup.zone {
                 ECHO_TIMEOUT_MS
             } else {
@@ -239,7 +239,7 @@
 
     /// Sends the frames that are due to every peer.
     pub(crate) fn send_frames(&mut self, now: Time) {
-        let due = self.channels.iter().filter(|(_, channel)| channel.wants_frame(now));
+        let due = self.channels.iter().filter(|(_, channel)| channel.has_frame_due(now));
         let peers: Vec<Peer> = due.map(|(peer, _)| peer.clone()).collect();
         if peers.is_empty() {
             return;
@@ -257,7 +257,7 @@
     fn send_frame(&mut self, now: Time, peer: &Peer, report: &Arc<HostReport>) -> bool {
         let Some(member) = self.members.get_mut(peer) else { return false };
         let Some(channel) = self.channels.get_mut(peer) else { return false };
-        let Some(mut frame) = channel.frame(now, &self.setup.me) else { return false };
+        let Some(mut frame) = channel.next_frame(now, &self.setup.me) else { return false };
         member.unechoed_since.get_or_insert(now);
         frame.leaving = self.leaving;
         frame.echo = member.peer_clock;
--- a/endivestile_kernel/src/fleet/ownership/claim.rs
+++ b/endivestile_kernel/src/fleet/ownership/claim.rs
@@ -12,7 +12,7 @@
 use crate::fleet::ownership::partition::{pool_of, zone_of};
 use crate::fleet::ownership::pools::{POOL_KEY_PREFIX, Pool, RecordSwap};
 use crate::fleet::workers::protocol::{CallError, RenewReply, WorkerEntry};
-use crate::{Level, Peer, StoreOp, Stored, Time};
+use crate::{Level, Peer, StoreOp, StoreResult, Time};
 
 /// Wait before pools that never had an owner are claimed, in milliseconds: hosts that start
 /// together have to discover each other first.
@@ -62,13 +62,13 @@
     }
 
     /// Applies the reply to a swap of an ownership record.
-    pub(crate) fn apply_swap_result(&mut self, now: Time, op_id: u64, reply: &Stored) {
+    pub(crate) fn apply_swap_result(&mut self, now: Time, op_id: u64, reply: &StoreResult) {
         let Some((name, is_new)) = self.pools.apply_swap_result(now, op_id, reply) else { return };
         let pairs = vec![("pool", name.to_string()), ("outcome", format!("{reply:?}"))];
         self.log(Level::Info, "owner_change_ended", pairs);
         if is_new {
             self.owner_changed(now, &name);
-        } else if *reply == Stored::Lost {
+        } else if *reply == StoreResult::Lost {
             self.transfer_after_lost_swap(now, &name);
         }
     }
--- a/endivestile_kernel/src/fleet/ownership/pools.rs
+++ b/endivestile_kernel/src/fleet/ownership/pools.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::ownership::partition::zone_of;
-use crate::{Peer, Stored, Time};
+use crate::{Peer, StoreResult, Time};
 
 /// Prefix of the keys of ownership records.
 pub const POOL_KEY_PREFIX: &str = "endivestile/pools/";
@@ -263,7 +263,7 @@
         &mut self,
         now: Time,
         op_id: u64,
-        reply: &Stored,
+        reply: &StoreResult,
     ) -> Option<(Name, bool)> {
         let found = self
             .by_name
@@ -272,7 +272,7 @@
         let (name, pool) = found?;
         let swap = pool.swap.take()?;
         match reply {
-            Stored::Swapped(revision) if *revision > pool.revision => {
+            StoreResult::Swapped(revision) if *revision > pool.revision => {
                 pool.revision = *revision;
                 let challenge = swap.record.challenge.is_some();
                 let changed = pool.set_record(now, Some(swap.record));
@@ -283,7 +283,7 @@
             }
             // Kept so that the next attempt waits for the due time; the watch delivers the
             // conflicting record, or this one if the swap took effect.
-            Stored::Lost | Stored::Raced => {
+            StoreResult::Lost | StoreResult::Raced => {
                 pool.swap = Some(swap);
                 Some((name.clone(), false))
             }
--- a/endivestile_kernel/src/place/placer.rs
+++ b/endivestile_kernel/src/place/placer.rs
@@ -15,7 +15,7 @@
 use super::task_table::{TaskEntry, TaskTable};
 use super::teams::Teams;
 use super::timer::Timer;
-use crate::{AttemptId, Order, Outcome, Peer, Target, TaskKey, Time, View};
+use crate::{AttemptId, Outcome, Peer, PlaceRequest, Target, TaskKey, Time, View};
 
 /// Slot of the pool of tasks without accelerators.
 pub(crate) const PLAIN: u32 = 0;
@@ -131,7 +131,7 @@
         &mut self,
         now: Time,
         home: &Peer,
-        order: Order,
+        order: PlaceRequest,
         out: &mut Vec<PlaceEffect>,
     ) {
         let name = (home.clone(), order.key);
@@ -149,8 +149,8 @@
             }
         };
         let state = &mut self.pools[pool as usize];
-        state.hint(order.task.declared);
-        let ln_size = state.declared.ln_size(order.task.declared);
+        state.hint(order.task.declared_ms);
+        let ln_size = state.declared.ln_size(order.task.declared_ms);
         state.sizes.count(ln_size);
         let held = TaskEntry {
             home: home.clone(),
--- a/endivestile_kernel/src/shard/admission.rs
+++ b/endivestile_kernel/src/shard/admission.rs
@@ -5,7 +5,7 @@
 use crate::shard::pending::PendingId;
 use crate::shard::record::expired;
 use crate::shard::replica::Replica;
-use crate::{Cause, Class, HostState, Known, SubmissionId};
+use crate::{Cause, Class, HostState, KnownId, SubmissionId};
 
 impl Replica {
     /// Admits an id dated `secs`, or without a digest only confirms that it did not run.
@@ -112,9 +112,9 @@
     }
 
     /// Returns the entry of an id for which another ticket is waiting.
-    fn find_waiting(&self, cx: &Context<'_>, id: &SubmissionId) -> Option<Known> {
+    fn find_waiting(&self, cx: &Context<'_>, id: &SubmissionId) -> Option<KnownId> {
         let pending = self.pending.get(id).filter(|pending| pending.ticket.is_some())?;
-        Some(Known {
+        Some(KnownId {
             id: id.clone(),
             digest: pending.digest,
             runner: cx.shared.me.clone(),
--- a/endivestile_kernel/src/shard/context.rs
+++ b/endivestile_kernel/src/shard/context.rs
@@ -129,7 +129,7 @@
 impl Context<'_> {
     /// Starts the delay of the first claim once the store answers.
     pub(crate) fn start_claim_delay(&mut self) {
-        if self.view.store && self.shared.first_claim == Time::NEVER {
+        if self.view.store_available && self.shared.first_claim == Time::NEVER {
             self.shared.first_claim = self.now.after_ms(STARTUP_CLAIM_DELAY_MS);
             self.shared.wake_at(self.shared.first_claim);
         }
--- a/endivestile_kernel/src/shard/effect.rs
+++ b/endivestile_kernel/src/shard/effect.rs
@@ -3,7 +3,7 @@
 use endivestile_config::model::Name;
 use serde::Serialize;
 
-use crate::{Cause, Class, Known, Metric, Msg, Note, Peer, StoreOp};
+use crate::{Cause, Class, KnownId, Metric, Msg, Note, Peer, StoreOp};
 
 /// Parameters of [`crate::Shards`] at the start of a host.
 #[derive(Debug, Clone)]
@@ -26,7 +26,7 @@
     /// The request has to go to this peer, which is the home or will claim the shard.
     Forward(Peer),
     /// The id was recorded before and is never granted again.
-    Known(Known),
+    Known(KnownId),
     /// The request is refused.
     Refused(Class, Cause),
 }
--- a/endivestile_kernel/src/shard/home.rs
+++ b/endivestile_kernel/src/shard/home.rs
@@ -3,7 +3,7 @@
 use crate::shard::context::Context;
 use crate::shard::fencing::Replication;
 use crate::shard::replica::Replica;
-use crate::{HostState, Known, Metric, Msg, Peer};
+use crate::{HostState, KnownId, Metric, Msg, Peer};
 
 /// Maximum number of ids in a batch.
 const MAX_BATCH_IDS: usize = 512;
@@ -20,7 +20,7 @@
     /// Number that the acknowledgement carries.
     pub(crate) number: u64,
     /// Ids to record.
-    pub(crate) ids: Vec<Known>,
+    pub(crate) ids: Vec<KnownId>,
     /// Tickets of requests to confirm "not run".
     pub(crate) confirmations: Vec<u64>,
 }
@@ -56,7 +56,7 @@
         self.in_flight = Some(Batch { number, ids, confirmations });
     }
 
-    fn drain_queue(&mut self, me: &Peer, limit: usize) -> Vec<Known> {
+    fn drain_queue(&mut self, me: &Peer, limit: usize) -> Vec<KnownId> {
         let count = self.queue.len().min(limit);
         let mut ids = Vec::with_capacity(count);
         for id in self.queue.drain(..count) {
@@ -67,7 +67,7 @@
                 continue;
             }
             let (digest, forget) = (pending.digest, pending.forget_at);
-            ids.push(Known { id, digest, runner: me.clone(), forget });
+            ids.push(KnownId { id, digest, runner: me.clone(), forget });
         }
         ids
     }
@@ -100,7 +100,7 @@
         self.update_stall_timer(cx, true);
     }
 
-    fn grant_id(&mut self, cx: &mut Context<'_>, known: Known) {
+    fn grant_id(&mut self, cx: &mut Context<'_>, known: KnownId) {
         let Some(pending) = self.pending.get(&known.id) else { return };
         // The ticket was cancelled and the id submitted again with another body. The
         // witness has the old digest; the next batch replaces it.
@@ -154,8 +154,8 @@
         }
         self.copied_epoch = epoch;
         self.table.remove_expired(cx.now);
-        let ids: Vec<Known> = self.table.iter().cloned().collect();
-        let parts: Vec<&[Known]> =
+        let ids: Vec<KnownId> = self.table.iter().cloned().collect();
+        let parts: Vec<&[KnownId]> =
             if ids.is_empty() { vec![&[]] } else { ids.chunks(MAX_PART_IDS).collect() };
         for (index, part) in parts.iter().enumerate() {
             let last = index + 1 == parts.len();
--- a/endivestile_kernel/src/shard/pending.rs
+++ b/endivestile_kernel/src/shard/pending.rs
@@ -27,7 +27,7 @@
 impl Replica {
     /// Returns the cause if a ticket would wait in vain, else none.
     pub(crate) fn blocked_cause(&self, cx: &Context<'_>) -> Option<Cause> {
-        if cx.view.store || self.fencing.may_start(None) {
+        if cx.view.store_available || self.fencing.may_start(None) {
             return None;
         }
         // Without the store no lost witness can be replaced and no fence resolved.
--- a/endivestile_kernel/tests/shards/world/store.rs
+++ b/endivestile_kernel/tests/shards/world/store.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
-use endivestile_kernel::{ShardRecord, StoreOp, Stored};
+use endivestile_kernel::{ShardRecord, StoreOp, StoreResult};
 
 use crate::world::{ProcessState, World};
 
@@ -30,7 +30,7 @@
             std::mem::take(&mut self.open_calls).into_iter().partition(|call| call.at_ms <= now);
         self.open_calls = rest;
         for call in due {
-            let stored = if self.store_up { self.serve(call.op) } else { Stored::Lost };
+            let stored = if self.store_up { self.serve(call.op) } else { StoreResult::Lost };
             let node = &self.nodes[call.node];
             if node.process == ProcessState::Running && node.peer.birth == call.birth {
                 self.handle(call.node, |shards, now, view, out| {
@@ -61,17 +61,17 @@
         });
     }
 
-    fn serve(&mut self, op: StoreOp) -> Stored {
+    fn serve(&mut self, op: StoreOp) -> StoreResult {
         let stored = match op {
             StoreOp::Get { key } => {
                 let (revision, value) = self.records.get(&key).cloned().unwrap_or_default();
-                Stored::Value { revision, value }
+                StoreResult::Value { revision, value }
             }
             StoreOp::Swap { key, revision, value } => self.swap(key, revision, value),
         };
         if self.lost_replies > 0 {
             self.lost_replies -= 1;
-            return Stored::Lost;
+            return StoreResult::Lost;
         }
         stored
     }
@@ -83,9 +83,9 @@
         self.swap(key, revision, value);
     }
 
-    fn swap(&mut self, key: Name, revision: u64, value: Bytes) -> Stored {
+    fn swap(&mut self, key: Name, revision: u64, value: Bytes) -> StoreResult {
         if self.records.get(&key).map_or(0, |entry| entry.0) != revision {
-            return Stored::Raced;
+            return StoreResult::Raced;
         }
         self.revision += 1;
         self.records.insert(key.clone(), (self.revision, value.clone()));
@@ -101,6 +101,6 @@
                 value: value.clone(),
             });
         }
-        Stored::Swapped(self.revision)
+        StoreResult::Swapped(self.revision)
     }
 }
