--- a/endivestile_kernel/benches/place.rs
+++ b/endivestile_kernel/benches/place.rs
@@ -130,7 +130,12 @@
 
     fn end(&mut self) {
         let Some(attempt) = self.open.pop_front() else { return };
-        self.placer.handle_end(self.now, attempt, AttemptEnd::Answered(Bytes::new()), &mut self.out);
+        self.placer.handle_end(
+            self.now,
+            attempt,
+            AttemptEnd::Answered(Bytes::new()),
+            &mut self.out,
+        );
         self.collect();
     }
 
