--- a/endivestile_ctl/src/audit.rs
+++ b/endivestile_ctl/src/audit.rs
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Entries that are kept; the oldest goes when a new one comes.
-pub(crate) const KEPT: u64 = 1_000;
+pub(crate) const MAX_ENTRIES: u64 = 1_000;
 /// Changed keys that one entry lists.
-const LISTED: usize = 100;
+const MAX_LISTED_KEYS: usize = 100;
 /// Longest value that an entry shows, in characters.
-const SHOWN: usize = 120;
+const MAX_VALUE_CHARS: usize = 120;
 
 /// Head of the audit trail.
 #[derive(Debug, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 
 impl Action {
     /// Returns the word for people.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Apply => "apply",
             Self::Stop => "stop",
@@ -75,7 +75,7 @@
     pub(crate) revision: u64,
     /// Operator's own words.
     pub(crate) note: String,
-    /// Changed keys, at most [`LISTED`], long values cut.
+    /// Changed keys, at most [`MAX_LISTED_KEYS`], long values cut.
     pub(crate) changes: Vec<Change>,
     /// Changed keys that are not listed.
     pub(crate) omitted: usize,
@@ -84,12 +84,12 @@
 impl Entry {
     /// Makes the entry of a change that happens now.
     pub(crate) fn new(action: Action, who: &str, note: &str) -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
             serial: 0,
             write: format!("{:032x}", rand::random::<u128>()),
             who: who.to_owned(),
-            at_s: since.map(|since| since.as_secs()).unwrap_or_default(),
+            at_s: since_epoch.map(|since_epoch| since_epoch.as_secs()).unwrap_or_default(),
             action,
             target: String::new(),
             revision: 0,
@@ -100,24 +100,28 @@
     }
 
     /// Lists changed keys as far as they fit.
-    pub(crate) fn list(&mut self, changes: &[Change]) {
-        let cut = |value: &Option<String>| value.as_deref().map(shorten);
+    pub(crate) fn set_changes(&mut self, changes: &[Change]) {
+        let truncated = |value: &Option<String>| value.as_deref().map(truncate);
         self.changes = changes
             .iter()
-            .take(LISTED)
-            .map(|change| Change { old: cut(&change.old), new: cut(&change.new), ..change.clone() })
+            .take(MAX_LISTED_KEYS)
+            .map(|change| Change {
+                old: truncated(&change.old),
+                new: truncated(&change.new),
+                ..change.clone()
+            })
             .collect();
         self.omitted = changes.len() - self.changes.len();
     }
 }
 
 /// Returns the key of an entry.
-pub(crate) fn key(serial: u64) -> String {
+pub(crate) fn entry_key(serial: u64) -> String {
     format!("{}{serial:020}", key::AUDIT)
 }
 
-fn shorten(text: &str) -> String {
-    let mut cut: String = text.chars().take(SHOWN).collect();
+fn truncate(text: &str) -> String {
+    let mut cut: String = text.chars().take(MAX_VALUE_CHARS).collect();
     if cut.len() < text.len() {
         cut.push_str("...");
     }
--- a/endivestile_ctl/src/change.rs
+++ b/endivestile_ctl/src/change.rs
@@ -4,17 +4,17 @@
 use endivestile_wire::store::request_op::Request as Op;
 use endivestile_wire::store::{RequestOp, TxnRequest, TxnResponse};
 
-use crate::audit::{self, Entry, Head, KEPT};
+use crate::audit::{self, Entry, Head, MAX_ENTRIES};
 use crate::error::CtlError;
-use crate::store::{Store, delete, first, guard, put, range};
+use crate::store::{Store, compare_mod_revision, delete, first_kv, key_range, put};
 
 /// Times that a change is written anew because another entry of the audit
 /// trail came first.
-const TRIES: usize = 100;
+const MAX_ATTEMPTS: usize = 100;
 
 /// A change of one key.
 #[derive(Debug)]
-pub(crate) struct Guarded {
+pub(crate) struct ConditionalWrite {
     /// Step that errors name.
     pub(crate) step: &'static str,
     /// The key.
@@ -29,101 +29,112 @@
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
     /// It took effect; serial number of its audit entry.
-    Done(u64),
+    Committed(u64),
     /// The key was changed by somebody else; nothing was written.
-    Raced,
+    KeyChanged,
 }
 
 /// The audit trail's head and the revision of its key in the store.
 #[derive(Debug, Default)]
-pub(crate) struct Tip {
+pub(crate) struct StoredHead {
     /// The head.
     pub(crate) head: Head,
     /// Revision of the key's last change; 0 when absent.
-    stored: i64,
+    key_revision: i64,
 }
 
-impl Tip {
+impl StoredHead {
     /// Reads the head.
     pub(crate) fn read(store: &mut Store) -> Result<Self, CtlError> {
         const STEP: &str = "read-audit-head";
-        let held = store.get(STEP, key::AUDIT_HEAD)?;
-        if held.mod_revision == 0 {
+        let stored = store.get(STEP, key::AUDIT_HEAD)?;
+        if stored.mod_revision == 0 {
             return Ok(Self::default());
         }
-        let head = serde_json::from_slice(&held.value).map_err(|error| CtlError::Held {
-            step: STEP,
-            key: key::AUDIT_HEAD.to_owned(),
-            reason: error.to_string(),
-        })?;
-        Ok(Self { head, stored: held.mod_revision })
+        let head =
+            serde_json::from_slice(&stored.value).map_err(|error| CtlError::InvalidValue {
+                step: STEP,
+                key: key::AUDIT_HEAD.to_owned(),
+                reason: error.to_string(),
+            })?;
+        Ok(Self { head, key_revision: stored.mod_revision })
     }
 }
 
 /// Writes a change and its audit entry, both or none.
 pub(crate) fn commit(
     store: &mut Store,
-    change: &Guarded,
+    change: &ConditionalWrite,
     entry: &mut Entry,
-    mut tip: Tip,
+    mut stored_head: StoredHead,
 ) -> Result<Outcome, CtlError> {
-    for _ in 0..TRIES {
-        entry.serial = tip.head.next;
-        let request = transaction(change, entry, &tip)?;
-        let response = store.settle(&request).map_err(|fault| match fault.sent {
-            true => CtlError::Lost {
+    for _ in 0..MAX_ATTEMPTS {
+        entry.serial = stored_head.head.next;
+        let request = transaction(change, entry, &stored_head)?;
+        let response = store.run_txn(&request).map_err(|store_error| match store_error.sent {
+            true => CtlError::OutcomeUnknown {
                 step: change.step,
-                peer: fault.peer,
-                reason: fault.reason,
+                peer: store_error.peer,
+                reason: store_error.reason,
                 write: entry.write.clone(),
             },
-            false => fault.away(change.step),
+            false => store_error.into_unreachable(change.step),
         })?;
-        if response.succeeded || is_own(&response, entry) {
-            return Ok(Outcome::Done(entry.serial));
+        if response.succeeded || is_own_entry(&response, entry) {
+            return Ok(Outcome::Committed(entry.serial));
         }
         let current = response.responses.into_iter().nth(1);
-        if first(current).unwrap_or_default().mod_revision != change.revision {
-            return Ok(Outcome::Raced);
+        if first_kv(current).unwrap_or_default().mod_revision != change.revision {
+            return Ok(Outcome::KeyChanged);
         }
         // Only the audit trail has moved on. A former attempt can't take
         // effect any more, because its compare with the head now fails.
-        tip = Tip::read(store)?;
+        stored_head = StoredHead::read(store)?;
     }
-    Err(CtlError::Conflict(format!("the audit trail moved on {TRIES} times; nothing was changed")))
+    Err(CtlError::Conflict(format!(
+        "the audit trail moved on {MAX_ATTEMPTS} times; nothing was changed"
+    )))
 }
 
 /// Tells from what a failed transaction read back whether it failed because an
 /// earlier attempt, whose answer was lost, had taken effect.
-fn is_own(response: &TxnResponse, entry: &Entry) -> bool {
-    let held = first(response.responses.first().cloned()).unwrap_or_default();
-    serde_json::from_slice::<Entry>(&held.value).is_ok_and(|held| held.write == entry.write)
+fn is_own_entry(response: &TxnResponse, entry: &Entry) -> bool {
+    let stored = first_kv(response.responses.first().cloned()).unwrap_or_default();
+    serde_json::from_slice::<Entry>(&stored.value).is_ok_and(|found| found.write == entry.write)
 }
 
-fn transaction(change: &Guarded, entry: &Entry, tip: &Tip) -> Result<TxnRequest, CtlError> {
-    let key = audit::key(entry.serial);
-    let head = Head { next: entry.serial + 1, revision: tip.head.revision.max(entry.revision) };
+fn transaction(
+    change: &ConditionalWrite,
+    entry: &Entry,
+    stored_head: &StoredHead,
+) -> Result<TxnRequest, CtlError> {
+    let key = audit::entry_key(entry.serial);
+    let head =
+        Head { next: entry.serial + 1, revision: stored_head.head.revision.max(entry.revision) };
     let mut success = vec![
         match &change.value {
             Some(value) => put(&change.key, value.clone()),
             None => delete(&change.key),
         },
-        put(key::AUDIT_HEAD, json(&head)?),
-        put(&key, json(entry)?),
+        put(key::AUDIT_HEAD, to_json(&head)?),
+        put(&key, to_json(entry)?),
     ];
-    if let Some(oldest) = entry.serial.checked_sub(KEPT).filter(|oldest| *oldest > 0) {
-        success.push(delete(&audit::key(oldest)));
+    if let Some(oldest) = entry.serial.checked_sub(MAX_ENTRIES).filter(|oldest| *oldest > 0) {
+        success.push(delete(&audit::entry_key(oldest)));
     }
-    let read = |key: &str| RequestOp { request: Some(Op::RequestRange(range(key))) };
+    let get_op = |key: &str| RequestOp { request: Some(Op::RequestRange(key_range(key))) };
     Ok(TxnRequest {
-        compare: vec![guard(&change.key, change.revision), guard(key::AUDIT_HEAD, tip.stored)],
+        compare: vec![
+            compare_mod_revision(&change.key, change.revision),
+            compare_mod_revision(key::AUDIT_HEAD, stored_head.key_revision),
+        ],
         success,
-        failure: vec![read(&key), read(&change.key)],
+        failure: vec![get_op(&key), get_op(&change.key)],
     })
 }
 
-fn json<T: serde::Serialize>(value: &T) -> Result<Vec<u8>, CtlError> {
-    serde_json::to_vec(value).map_err(|error| CtlError::Held {
+fn to_json<T: serde::Serialize>(value: &T) -> Result<Vec<u8>, CtlError> {
+    serde_json::to_vec(value).map_err(|error| CtlError::InvalidValue {
         step: "write-audit",
         key: key::AUDIT.to_owned(),
         reason: error.to_string(),
--- a/endivestile_ctl/src/command/mod.rs
+++ b/endivestile_ctl/src/command/mod.rs
@@ -42,6 +42,6 @@
 fn complete(args: &CompletionArgs) -> Exit {
     let mut script = Vec::new();
     clap_complete::generate(args.shell, &mut Cli::command(), PROGRAM, &mut script);
-    crate::out::raw(&script);
+    crate::out::print_bytes(&script);
     Exit::Done
 }
--- a/endivestile_ctl/src/command/review.rs
+++ b/endivestile_ctl/src/command/review.rs
@@ -4,14 +4,14 @@
 use serde::Serialize;
 
 use crate::cli::{FileArgs, ShowArgs};
-use crate::context::{Context, in_force};
+use crate::context::{Context, read_current_config};
 use crate::error::CtlError;
 use crate::exit::Exit;
 use crate::{files, out};
 
 /// Numbers of a configuration that passed the check.
 #[derive(Debug, Serialize)]
-struct Passed {
+struct CheckSummary {
     /// Availability zones.
     zones: usize,
     /// Entry hosts.
@@ -39,8 +39,8 @@
 
 /// Checks files without the store.
 pub(crate) fn check(context: &Context, args: &FileArgs) -> Result<Exit, CtlError> {
-    let config = files::config(&args.files)?;
-    let passed = Passed {
+    let config = files::read_config(&args.files)?;
+    let summary = CheckSummary {
         zones: config.zones.len(),
         hosts: config.hosts.len(),
         servers: config.servers.len(),
@@ -50,11 +50,11 @@
         bytes: config.canonical().len(),
     };
     if context.json {
-        out::json(&passed);
+        out::print_json(&summary);
         return Ok(Exit::Done);
     }
-    let Passed { zones, hosts, servers, workers, services, teams, bytes } = passed;
-    out::say(&format!(
+    let CheckSummary { zones, hosts, servers, workers, services, teams, bytes } = summary;
+    out::print(&format!(
         "accepted: {zones} availability zones, {hosts} hosts, {servers} backend servers, \
          {workers} workers, {services} services, {teams} teams, {bytes} bytes"
     ));
@@ -63,26 +63,26 @@
 
 /// Shows what files would change.
 pub(crate) fn diff(context: &Context, args: &FileArgs) -> Result<Exit, CtlError> {
-    let config = files::config(&args.files)?;
-    let current = in_force(&mut context.store()?)?.sound()?;
+    let config = files::read_config(&args.files)?;
+    let current = read_current_config(&mut context.store()?)?.into_valid()?;
     let changes = changes(&current, &config);
     if context.json {
-        out::json(&Difference { revision: current.revision, changes: &changes });
+        out::print_json(&Difference { revision: current.revision, changes: &changes });
         return Ok(Exit::Done);
     }
-    out::say(&format!("# against revision {}", current.revision));
-    changes.iter().for_each(|change| out::say(&change.to_string()));
+    out::print(&format!("# against revision {}", current.revision));
+    changes.iter().for_each(|change| out::print(&change.to_string()));
     Ok(Exit::Done)
 }
 
 /// Shows the configuration in force.
 pub(crate) fn show(context: &Context, args: &ShowArgs) -> Result<Exit, CtlError> {
-    let current = in_force(&mut context.store()?)?.sound()?;
+    let current = read_current_config(&mut context.store()?)?.into_valid()?;
     match (args.revision, context.json) {
-        (true, true) => out::json(&current.revision),
-        (true, false) => out::say(&current.revision.to_string()),
-        (false, true) => out::json(&current),
-        (false, false) => out::say(&current.canonical()),
+        (true, true) => out::print_json(&current.revision),
+        (true, false) => out::print(&current.revision.to_string()),
+        (false, true) => out::print_json(&current),
+        (false, false) => out::print(&current.canonical()),
     }
     Ok(Exit::Done)
 }
--- a/endivestile_ctl/src/command/status.rs
+++ b/endivestile_ctl/src/command/status.rs
@@ -9,17 +9,17 @@
 use crate::context::Context;
 use crate::error::CtlError;
 use crate::exit::Exit;
-use crate::http::Http;
+use crate::http::HostClient;
 use crate::out;
 
 /// Row that tells why a host gave no state.
 const ERROR: &str = "error";
 /// Widest value of the table, in characters.
-const WIDTH: usize = 24;
+const COLUMN_WIDTH: usize = 24;
 
 /// Lists that the table sums up: their fields counted by value, and added up.
 /// A table of every shard and server of every host would show nothing.
-const GROUPS: [(&str, &[&str], &[&str]); 3] = [
+const SUMMARIZED: [(&str, &[&str], &[&str]); 3] = [
     ("hosts", &["state"], &["backlog"]),
     ("shards", &["role", "synced"], &["ids"]),
     ("servers", &["health"], &["slots", "free", "waiting"]),
@@ -27,38 +27,41 @@
 
 /// Shows the state of entry hosts: one column a host, one row a value.
 pub(crate) fn run(context: &Context, args: &StatusArgs) -> Result<Exit, CtlError> {
-    let http = Http::new();
-    let mut silent = false;
+    let http = HostClient::new();
+    let mut unreachable = false;
     let mut pages: Vec<(SocketAddr, Value)> = Vec::new();
     for host in &args.hosts {
-        let page = http.status(*host).unwrap_or_else(|silence| {
-            silent = true;
-            Value::Object(Map::from_iter([(ERROR.to_owned(), silence.reason.into())]))
+        let page = http.status(*host).unwrap_or_else(|error| {
+            unreachable = true;
+            Value::Object(Map::from_iter([(ERROR.to_owned(), error.reason.into())]))
         });
         pages.push((*host, page));
     }
     if context.json {
         let hosts = pages.into_iter().map(|(host, page)| (host.to_string(), page));
-        out::json(&Value::Object(hosts.collect()));
+        out::print_json(&Value::Object(hosts.collect()));
     } else {
-        out::say(&table(&pages));
+        out::print(&table(&pages));
     }
-    Ok(if silent { Exit::Away } else { Exit::Done })
+    Ok(if unreachable { Exit::Unreachable } else { Exit::Done })
 }
 
 fn table(pages: &[(SocketAddr, Value)]) -> String {
-    let columns: Vec<BTreeMap<String, String>> = pages.iter().map(|(_, page)| flat(page)).collect();
+    let columns: Vec<BTreeMap<String, String>> =
+        pages.iter().map(|(_, page)| flatten_page(page)).collect();
     let mut rows: Vec<&String> = columns.iter().flat_map(BTreeMap::keys).collect();
     rows.sort();
     rows.dedup();
-    let first = rows.iter().map(|row| row.len()).max().unwrap_or(0);
-    let mut text = format!("{:first$}", "host");
-    pages.iter().for_each(|(host, _)| text.push_str(&format!("  {:WIDTH$}", host.to_string())));
+    let label_width = rows.iter().map(|row| row.len()).max().unwrap_or(0);
+    let mut text = format!("{:label_width$}", "host");
+    pages
+        .iter()
+        .for_each(|(host, _)| text.push_str(&format!("  {:COLUMN_WIDTH$}", host.to_string())));
     for row in rows {
-        text.push_str(&format!("\n{row:first$}"));
+        text.push_str(&format!("\n{row:label_width$}"));
         for column in &columns {
             let value = column.get(row).map_or("-", String::as_str);
-            text.push_str(&format!("  {value:WIDTH$}"));
+            text.push_str(&format!("  {value:COLUMN_WIDTH$}"));
         }
     }
     text
@@ -72,21 +75,21 @@
 }
 
 /// Turns nested values into rows named by their path.
-fn flat(page: &Value) -> BTreeMap<String, String> {
+fn flatten_page(page: &Value) -> BTreeMap<String, String> {
     let mut rows = BTreeMap::new();
-    collect("", page, &mut rows);
+    collect_rows("", page, &mut rows);
     rows
 }
 
-fn collect(path: &str, value: &Value, rows: &mut BTreeMap<String, String>) {
-    if let Some((_, words, sums)) = GROUPS.iter().find(|(group, ..)| *group == path) {
-        return summarize(path, value, (words, sums), rows);
+fn collect_rows(path: &str, value: &Value, rows: &mut BTreeMap<String, String>) {
+    if let Some((_, counted, summed)) = SUMMARIZED.iter().find(|(group, ..)| *group == path) {
+        return summarize(path, value, (counted, summed), rows);
     }
     let text = match value {
         Value::Object(fields) => {
             let dot = if path.is_empty() { "" } else { "." };
             let nested = fields.iter().map(|(name, value)| (format!("{path}{dot}{name}"), value));
-            return nested.for_each(|(path, value)| collect(&path, value, rows));
+            return nested.for_each(|(path, value)| collect_rows(&path, value, rows));
         }
         Value::Array(items) => format!("{} items", items.len()),
         Value::String(text) => text.clone(),
@@ -98,7 +101,7 @@
 fn summarize(
     path: &str,
     list: &Value,
-    (words, sums): (&[&str], &[&str]),
+    (counted, summed): (&[&str], &[&str]),
     rows: &mut BTreeMap<String, String>,
 ) {
     let items: Vec<&Value> = match list {
@@ -107,7 +110,7 @@
         _ => Vec::new(),
     };
     rows.insert(path.to_owned(), items.len().to_string());
-    for field in words {
+    for field in counted {
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
         for word in items.iter().filter_map(|item| item.get(field)) {
             let word = word.as_str().map_or_else(|| word.to_string(), str::to_lowercase);
@@ -117,7 +120,7 @@
             rows.insert(format!("{path}.{field}.{word}"), count.to_string());
         }
     }
-    for field in sums {
+    for field in summed {
         let sum: u64 = items.iter().filter_map(|item| item.get(field)?.as_u64()).sum();
         rows.insert(format!("{path}.{field}"), sum.to_string());
     }
--- a/endivestile_ctl/src/command/stop.rs
+++ b/endivestile_ctl/src/command/stop.rs
@@ -4,16 +4,16 @@
 use serde::Serialize;
 
 use crate::audit::{Action, Entry};
-use crate::change::{Guarded, Outcome, Tip, commit};
+use crate::change::{ConditionalWrite, Outcome, StoredHead, commit};
 use crate::cli::StopArgs;
-use crate::context::{Context, InForce, in_force};
+use crate::context::{Context, CurrentConfig, read_current_config};
 use crate::error::CtlError;
 use crate::exit::Exit;
 use crate::out;
 
 /// Value of the key of a planned stop.
 #[derive(Debug, Serialize)]
-struct Planned<'a> {
+struct PlannedStop<'a> {
     /// Operator.
     who: &'a str,
     /// When it was started, in seconds since 1970.
@@ -22,7 +22,7 @@
 
 /// What the command did.
 #[derive(Debug, Serialize)]
-struct Changed<'a> {
+struct StopResult<'a> {
     /// Host, backend server or worker.
     name: &'a str,
     /// Whether it is stopping now.
@@ -33,46 +33,46 @@
 
 /// Starts a planned stop.
 pub(crate) fn stop(context: &Context, args: &StopArgs) -> Result<Exit, CtlError> {
-    set(context, args, true)
+    set_stop(context, args, true)
 }
 
 /// Takes a planned stop back.
 pub(crate) fn resume(context: &Context, args: &StopArgs) -> Result<Exit, CtlError> {
-    set(context, args, false)
+    set_stop(context, args, false)
 }
 
-fn set(context: &Context, args: &StopArgs, stopping: bool) -> Result<Exit, CtlError> {
+fn set_stop(context: &Context, args: &StopArgs, stopping: bool) -> Result<Exit, CtlError> {
     let mut store = context.store()?;
     let name = args.name.as_str();
     let path = format!("{}{name}", key::STOPS);
-    let held = store.get("read-stop", &path)?;
-    let stopped = held.mod_revision > 0;
+    let stored = store.get("read-stop", &path)?;
+    let stopped = stored.mod_revision > 0;
     // A stop may be taken back after its machine has left the inventory.
     if !stopped {
-        check_name(&in_force(&mut store)?, name)?;
+        check_name(&read_current_config(&mut store)?, name)?;
     }
     if stopped == stopping {
-        report(context, &Changed { name, stopping, serial: 0 });
+        report(context, &StopResult { name, stopping, serial: 0 });
         return Ok(Exit::Done);
     }
     let action = if stopping { Action::Stop } else { Action::Resume };
     let mut entry = Entry::new(action, &args.author.who, &args.author.note);
     entry.target = name.to_owned();
-    let planned = Planned { who: &entry.who, at_s: entry.at_s };
-    let value = serde_json::to_vec(&planned).unwrap_or_default();
-    let change = Guarded {
-        step: action.word(),
+    let planned_stop = PlannedStop { who: &entry.who, at_s: entry.at_s };
+    let value = serde_json::to_vec(&planned_stop).unwrap_or_default();
+    let change = ConditionalWrite {
+        step: action.label(),
         key: path,
-        revision: held.mod_revision,
+        revision: stored.mod_revision,
         value: stopping.then_some(value),
     };
-    let tip = Tip::read(&mut store)?;
-    match commit(&mut store, &change, &mut entry, tip)? {
-        Outcome::Done(serial) => {
-            report(context, &Changed { name, stopping, serial });
+    let stored_head = StoredHead::read(&mut store)?;
+    match commit(&mut store, &change, &mut entry, stored_head)? {
+        Outcome::Committed(serial) => {
+            report(context, &StopResult { name, stopping, serial });
             Ok(Exit::Done)
         }
-        Outcome::Raced => {
+        Outcome::KeyChanged => {
             let reason = format!("somebody else changed the planned stop of {name} meanwhile");
             Err(CtlError::Conflict(reason))
         }
@@ -81,23 +81,23 @@
 
 /// Refuses a name that no machine has. A configuration that can't be read must
 /// not stand in the way of a stop.
-fn check_name(current: &InForce, name: &str) -> Result<(), CtlError> {
+fn check_name(current: &CurrentConfig, name: &str) -> Result<(), CtlError> {
     let config = &current.config;
-    let known = config.hosts.contains_key(name)
+    let exists = config.hosts.contains_key(name)
         || config.servers.contains_key(name)
         || config.workers.contains_key(name);
-    if known || current.fault.is_some() {
+    if exists || current.invalid_reason.is_some() {
         return Ok(());
     }
     Err(CtlError::Usage(format!("no host, backend server or worker is named \"{name}\"")))
 }
 
-fn report(context: &Context, changed: &Changed<'_>) {
+fn report(context: &Context, result: &StopResult<'_>) {
     if context.json {
-        return out::json(changed);
+        return out::print_json(result);
     }
-    let Changed { name, stopping, serial } = changed;
+    let StopResult { name, stopping, serial } = result;
     let state = if *stopping { "stopping" } else { "in use" };
     let hint = if *serial == 0 { ", nothing changed" } else { "" };
-    out::say(&format!("{name} {state}{hint}"));
+    out::print(&format!("{name} {state}{hint}"));
 }
--- a/endivestile_ctl/src/command/submit.rs
+++ b/endivestile_ctl/src/command/submit.rs
@@ -10,15 +10,15 @@
 use crate::context::Context;
 use crate::error::CtlError;
 use crate::exit::Exit;
-use crate::http::{Call, Class, Http, Reply, Silence, Work};
+use crate::http::{Call, CallError, Class, HostClient, Payload, Reply};
 use crate::{files, out};
 
 /// Largest body that is sent, in bytes.
-const MAX_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// An answer with `--json`.
 #[derive(Debug, Serialize)]
-struct Answered {
+struct JsonReply {
     /// What it says of the submission.
     class: Class,
     /// HTTP status; 0 when no answer came.
@@ -31,22 +31,22 @@
 
 /// Submits and shows the answer.
 pub(crate) fn run(context: &Context, args: &SubmitArgs) -> Result<Exit, CtlError> {
-    let work = work(args)?;
-    let http = Http::new();
-    let needs_id = !matches!(work, Work::Request { idempotent: true, .. });
+    let payload = read_payload(args)?;
+    let http = HostClient::new();
+    let needs_id = !matches!(payload, Payload::Request { idempotent: true, .. });
     let id = match &args.id {
-        None if needs_id => Some(mint(&http, &args.hosts)?),
+        None if needs_id => Some(issue_id(&http, &args.hosts)?),
         given => given.clone(),
     };
     if let (Some(id), false) = (&id, context.json) {
-        out::complain(&format!("id={id}"));
+        out::print_error(&format!("id={id}"));
     }
     let call = Call {
         team: &args.team,
         id: id.as_deref(),
         deadline_ms: args.deadline_ms,
         ids: 0,
-        work: &work,
+        payload: &payload,
     };
     let answer = submit(&http, &args.hosts, &call);
     Ok(report(context, id.clone(), answer))
@@ -57,81 +57,82 @@
 /// A host may die after it took the submission. Under the same id another host
 /// attaches the caller to what runs already, or says that it can't tell; it
 /// starts nothing twice.
-fn submit(http: &Http, hosts: &[SocketAddr], call: &Call<'_>) -> Result<Reply, Silence> {
+fn submit(http: &HostClient, hosts: &[SocketAddr], call: &Call<'_>) -> Result<Reply, CallError> {
     let mut sent = false;
     let mut reason = String::new();
     for host in hosts {
         match http.submit(*host, call) {
-            Ok(reply) if sent => return Ok(doubt(reply)),
+            Ok(reply) if sent => return Ok(downgrade_not_run(reply)),
             Ok(reply) => return Ok(reply),
-            Err(silence) => {
-                out::complain(&format!("step=submit peer={host}: {}", silence.reason));
-                sent |= silence.sent;
-                reason = silence.reason;
+            Err(call_error) => {
+                out::print_error(&format!("step=submit peer={host}: {}", call_error.reason));
+                sent |= call_error.sent;
+                reason = call_error.reason;
             }
         }
     }
-    Err(Silence { sent, reason })
+    Err(CallError { sent, reason })
 }
 
 /// Takes no host's word that nothing ran after another was sent the submission
 /// and stayed silent: a paused host may start it when it wakes. The caller
 /// would do the work elsewhere, and it would be done twice.
-fn doubt(reply: Reply) -> Reply {
+fn downgrade_not_run(reply: Reply) -> Reply {
     if reply.class != Class::NotRun {
         return reply;
     }
-    out::complain("refused as not run, but an earlier host gave no answer and may still run it");
+    out::print_error("refused as not run, but an earlier host gave no answer and may still run it");
     Reply { class: Class::Unknown, ..reply }
 }
 
-fn work(args: &SubmitArgs) -> Result<Work, CtlError> {
-    let body = files::read(&args.file, MAX_BODY)?;
-    if body.len() > MAX_BODY {
-        return Err(CtlError::Usage(format!("the body is over {MAX_BODY} bytes")));
+fn read_payload(args: &SubmitArgs) -> Result<Payload, CtlError> {
+    let body = files::read(&args.file, MAX_BODY_BYTES)?;
+    if body.len() > MAX_BODY_BYTES {
+        return Err(CtlError::Usage(format!("the body is over {MAX_BODY_BYTES} bytes")));
     }
     if let Some(service) = &args.service {
         let (service, idempotent) = (service.clone(), args.idempotent);
-        return Ok(Work::Request { service, body, idempotent });
+        return Ok(Payload::Request { service, body, idempotent });
     }
     let job: JobBody = serde_json::from_slice(&body)
         .map_err(|error| CtlError::Usage(format!("{}: not a job: {error}", args.file)))?;
-    Ok(Work::Job(job))
+    Ok(Payload::Job(job))
 }
 
-fn mint(http: &Http, hosts: &[SocketAddr]) -> Result<String, CtlError> {
+fn issue_id(http: &HostClient, hosts: &[SocketAddr]) -> Result<String, CtlError> {
     let mut last = CtlError::Usage("no host is given".to_owned());
     for host in hosts {
-        let away = |reason| CtlError::Away { step: "mint", peer: host.to_string(), reason };
-        match http.mint(*host, 1) {
+        let unreachable =
+            |reason| CtlError::Unreachable { step: "mint", peer: host.to_string(), reason };
+        match http.issue_ids(*host, 1) {
             Ok(ids) => match ids.into_iter().next() {
                 Some(id) => return Ok(id),
-                None => last = away("no id came back".to_owned()),
+                None => last = unreachable("no id came back".to_owned()),
             },
-            Err(silence) => last = away(silence.reason),
+            Err(call_error) => last = unreachable(call_error.reason),
         }
     }
     Err(last)
 }
 
-fn report(context: &Context, id: Option<String>, answer: Result<Reply, Silence>) -> Exit {
+fn report(context: &Context, id: Option<String>, answer: Result<Reply, CallError>) -> Exit {
     let (class, exit, status, body) = match answer {
         Ok(reply) => (reply.class, Exit::from(reply.class), reply.status, reply.body),
-        Err(silence) => {
-            let exit = if silence.sent { Exit::Unknown } else { Exit::Away };
-            let class = if silence.sent { Class::Unknown } else { Class::NotRun };
+        Err(call_error) => {
+            let exit = if call_error.sent { Exit::Unknown } else { Exit::Unreachable };
+            let class = if call_error.sent { Class::Unknown } else { Class::NotRun };
             (class, exit, 0, Vec::new())
         }
     };
     if context.json {
         let text = || String::from_utf8_lossy(&body).into_owned().into();
         let body = serde_json::from_slice(&body).unwrap_or_else(|_| text());
-        out::json(&Answered { class, status, id, body });
+        out::print_json(&JsonReply { class, status, id, body });
         return exit;
     }
-    out::raw(&body);
+    out::print_bytes(&body);
     if class != Class::Complete {
-        out::complain(&format!("\nclass={:?}", class.word()));
+        out::print_error(&format!("\nclass={:?}", class.label()));
     }
     exit
 }
--- a/endivestile_ctl/src/context.rs
+++ b/endivestile_ctl/src/context.rs
@@ -26,20 +26,22 @@
 
 /// What the configuration's key holds.
 #[derive(Debug, Default)]
-pub(crate) struct InForce {
+pub(crate) struct CurrentConfig {
     /// The configuration; revision 0 when there is none, or none that can be read.
     pub(crate) config: Config,
     /// Revision of the key's last change; 0 when absent.
-    pub(crate) stored: i64,
+    pub(crate) key_revision: i64,
     /// Why no host takes the value, if it was written past the tools.
-    pub(crate) fault: Option<String>,
+    pub(crate) invalid_reason: Option<String>,
 }
 
-impl InForce {
+impl CurrentConfig {
     /// Returns the configuration, if it is one that hosts take.
-    pub(crate) fn sound(self) -> Result<Config, CtlError> {
-        match self.fault {
-            Some(reason) => Err(CtlError::Held { step: STEP, key: key::CONFIG.to_owned(), reason }),
+    pub(crate) fn into_valid(self) -> Result<Config, CtlError> {
+        match self.invalid_reason {
+            Some(reason) => {
+                Err(CtlError::InvalidValue { step: STEP, key: key::CONFIG.to_owned(), reason })
+            }
             None => Ok(self.config),
         }
     }
@@ -58,18 +60,18 @@
 }
 
 /// Reads what the configuration's key holds.
-pub(crate) fn in_force(store: &mut Store) -> Result<InForce, CtlError> {
-    let held = store.get(STEP, key::CONFIG)?;
-    if held.mod_revision == 0 {
-        return Ok(InForce::default());
+pub(crate) fn read_current_config(store: &mut Store) -> Result<CurrentConfig, CtlError> {
+    let found = store.get(STEP, key::CONFIG)?;
+    if found.mod_revision == 0 {
+        return Ok(CurrentConfig::default());
     }
-    let text = String::from_utf8_lossy(&held.value);
-    let (config, fault) = match parse(&text, key::CONFIG) {
+    let text = String::from_utf8_lossy(&found.value);
+    let (config, invalid_reason) = match parse(&text, key::CONFIG) {
         Ok(config) => {
             let errors = check(&config).err().unwrap_or_default();
             (config, errors.first().map(ToString::to_string))
         }
         Err(error) => (Config::default(), Some(error.to_string())),
     };
-    Ok(InForce { config, stored: held.mod_revision, fault })
+    Ok(CurrentConfig { config, key_revision: found.mod_revision, invalid_reason })
 }
--- a/endivestile_ctl/src/error.rs
+++ b/endivestile_ctl/src/error.rs
@@ -29,18 +29,18 @@
             display("conflict: {reason}")
         }
         /// A write was sent and its outcome could not be learnt.
-        Lost { step: &'static str, peer: String, reason: String, write: String } {
+        OutcomeUnknown { step: &'static str, peer: String, reason: String, write: String } {
             display(
                 "step={step} peer={peer}: {reason}; it may have taken effect, look for write \
                  {write} in the history before another try"
             )
         }
         /// Store or host out of reach; nothing took effect.
-        Away { step: &'static str, peer: String, reason: String } {
+        Unreachable { step: &'static str, peer: String, reason: String } {
             display("step={step} peer={peer}: {reason}; nothing was changed")
         }
         /// The store holds something that can't be read.
-        Held { step: &'static str, key: String, reason: String } {
+        InvalidValue { step: &'static str, key: String, reason: String } {
             display("step={step} key={key}: {reason}")
         }
     }
--- a/endivestile_ctl/src/exit.rs
+++ b/endivestile_ctl/src/exit.rs
@@ -11,7 +11,7 @@
     /// Done.
     Done = 0,
     /// The tool itself failed, for example on a file.
-    Tool = 1,
+    Internal = 1,
     /// Wrong arguments.
     Usage = 2,
     /// Settings, inventory or rules are refused.
@@ -21,7 +21,7 @@
     /// Nobody in reach can tell whether it took effect.
     Unknown = 5,
     /// Store or host out of reach; nothing took effect.
-    Away = 6,
+    Unreachable = 6,
     /// The submission was refused; no task ran.
     NotRun = 7,
     /// The submission failed or was cancelled; tasks may have run.
@@ -41,12 +41,12 @@
 impl From<&CtlError> for Exit {
     fn from(error: &CtlError) -> Self {
         match error {
-            CtlError::File { .. } | CtlError::Held { .. } => Self::Tool,
+            CtlError::File { .. } | CtlError::InvalidValue { .. } => Self::Internal,
             CtlError::Usage(_) => Self::Usage,
             CtlError::Refused(_) => Self::Refused,
             CtlError::Conflict(_) => Self::Conflict,
-            CtlError::Lost { .. } => Self::Unknown,
-            CtlError::Away { .. } => Self::Away,
+            CtlError::OutcomeUnknown { .. } => Self::Unknown,
+            CtlError::Unreachable { .. } => Self::Unreachable,
         }
     }
 }
--- a/endivestile_ctl/src/explain/cause.rs
+++ b/endivestile_ctl/src/explain/cause.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use super::story::{Account, Answer, Story};
+use super::record::{Answer, JobRecord, OwnerRecord};
 
 /// What kept a job from being served in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -37,57 +37,60 @@
 }
 
 /// Returns why a job was not served in time; none if it was.
-pub(crate) fn cause(story: &Story) -> Option<Cause> {
-    if story.left {
+pub(crate) fn find_cause(job: &JobRecord) -> Option<Cause> {
+    if job.caller_left {
         return Some(Cause::CallerLeft);
     }
-    let Some(answer) = &story.answer else { return Some(Cause::NoAnswer) };
+    let Some(answer) = &job.answer else { return Some(Cause::NoAnswer) };
     match answer.end.as_str() {
-        "done" => late(answer, story.account.as_ref()),
+        "done" => late_cause(answer, job.owner_record.as_ref()),
         "failed" => Some(Cause::FailedItself),
-        "not_run" => Some(refused(answer, story.account.as_ref())),
-        _ => Some(lost(answer, story.account.as_ref())),
+        "not_run" => Some(refusal_cause(answer, job.owner_record.as_ref())),
+        _ => Some(lost_cause(answer, job.owner_record.as_ref())),
     }
 }
 
 /// Returns why a job that ended well ended late.
-fn late(answer: &Answer, account: Option<&Account>) -> Option<Cause> {
-    let account = account.filter(|account| account.ended_ms > account.objective_ms);
+fn late_cause(answer: &Answer, owner_record: Option<&OwnerRecord>) -> Option<Cause> {
+    let owner_record =
+        owner_record.filter(|owner_record| owner_record.ended_ms > owner_record.objective_ms);
     // A job that was handed from one placer to the next ends in time by the
     // later one's count, or says nothing there.
-    if answer.tries > 1 {
+    if answer.attempts > 1 {
         return Some(Cause::OwnerLost);
     }
-    account.map(delayed)
+    owner_record.map(delay_cause)
 }
 
 /// Returns what delayed a job that was begun.
-fn delayed(account: &Account) -> Cause {
-    if account.troubled > 0 {
+fn delay_cause(owner_record: &OwnerRecord) -> Cause {
+    if owner_record.failed_runs > 0 {
         Cause::RunTrouble
-    } else if account.ordered_ms + account.usual_ms > account.objective_ms {
+    } else if owner_record.dispatched_ms + owner_record.typical_ms > owner_record.objective_ms {
         Cause::WaitedBehind
     } else {
         Cause::SlowWorker
     }
 }
 
-fn refused(answer: &Answer, account: Option<&Account>) -> Cause {
-    match (answer.reason.as_str(), account) {
+fn refusal_cause(answer: &Answer, owner_record: Option<&OwnerRecord>) -> Cause {
+    match (answer.reason.as_str(), owner_record) {
         ("no_config", _) => Cause::NoRoute,
         ("evacuated", _) => Cause::Evacuated,
         ("no_placer", _) => Cause::NoOwner,
-        ("overload" | "deadline", Some(account)) if account.free > 0 => Cause::RefusedWithRoom,
+        ("overload" | "deadline", Some(owner_record)) if owner_record.free_capacity > 0 => {
+            Cause::RefusedWithRoom
+        }
         ("overload" | "deadline", _) => Cause::RefusedFull,
         _ => Cause::Other,
     }
 }
 
 /// Returns why a job was given up after it had begun, or without anybody knowing.
-fn lost(answer: &Answer, account: Option<&Account>) -> Cause {
-    match (answer.reason.as_str(), account) {
+fn lost_cause(answer: &Answer, owner_record: Option<&OwnerRecord>) -> Cause {
+    match (answer.reason.as_str(), owner_record) {
         ("placer_lost", _) => Cause::OwnerLost,
-        ("deadline", Some(account)) if account.started => delayed(account),
+        ("deadline", Some(owner_record)) if owner_record.started => delay_cause(owner_record),
         ("deadline", Some(_)) => Cause::WaitedBehind,
         ("deadline", None) => Cause::OwnerLost,
         ("cancelled", _) => Cause::CallerLeft,
--- a/endivestile_ctl/src/explain/line.rs
+++ b/endivestile_ctl/src/explain/line.rs
@@ -2,7 +2,7 @@
 
 /// Marks the start of the pairs in a line; what a collector of logs puts
 /// before it, such as the host's name, is passed over.
-const MARK: &str = "event=";
+const EVENT_KEY: &str = "event=";
 
 /// A line about one event.
 #[derive(Debug)]
@@ -15,9 +15,9 @@
 impl<'a> Line<'a> {
     /// Reads a line; none if it is no event of ours.
     pub(crate) fn parse(text: &'a str) -> Option<Self> {
-        let at = text.find(MARK)?;
-        let stamp = |word: &&str| word.len() > 19 && word.as_bytes()[10] == b'T';
-        let time = text[..at].split_whitespace().rfind(stamp).unwrap_or("");
+        let at = text.find(EVENT_KEY)?;
+        let is_timestamp = |word: &&str| word.len() > 19 && word.as_bytes()[10] == b'T';
+        let time = text[..at].split_whitespace().rfind(is_timestamp).unwrap_or("");
         Some(Self { time, pairs: pairs(&text[at..]) })
     }
 
@@ -43,12 +43,12 @@
     let mut pairs = Vec::new();
     let mut rest = text.trim_end();
     while let Some((key, after)) = rest.split_once('=') {
-        let (value, left) = match after.strip_prefix('"') {
+        let (value, remainder) = match after.strip_prefix('"') {
             Some(quoted) => quoted.split_once('"').unwrap_or((quoted, "")),
             None => after.split_once(' ').unwrap_or((after, "")),
         };
         pairs.push((key.trim_start(), value));
-        rest = left;
+        rest = remainder;
     }
     pairs
 }
--- a/endivestile_ctl/src/explain/mod.rs
+++ b/endivestile_ctl/src/explain/mod.rs
@@ -2,8 +2,8 @@
 
 mod cause;
 mod line;
+mod record;
 mod report;
-mod story;
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -15,25 +15,25 @@
 use crate::out;
 
 use line::Line;
+use record::JobRecords;
 use report::Report;
-use story::Stories;
 
 /// Reads logs and says what became of the jobs in them.
 pub(crate) fn run(context: &Context, args: &ExplainArgs) -> Result<Exit, CtlError> {
-    let mut stories = Stories::default();
+    let mut records = JobRecords::default();
     for file in &args.files {
-        read(file, &mut stories)?;
+        read_log(file, &mut records)?;
     }
-    let report = Report::new(&stories, args.by);
+    let report = Report::new(&records, args.by);
     if context.json {
-        out::json(&report);
+        out::print_json(&report);
     } else {
-        out::say(&report.to_string());
+        out::print(&report.to_string());
     }
     Ok(Exit::Done)
 }
 
-fn read(file: &str, stories: &mut Stories) -> Result<(), CtlError> {
+fn read_log(file: &str, records: &mut JobRecords) -> Result<(), CtlError> {
     let failed =
         |cause: io::Error| CtlError::File { step: "read-log", file: file.to_owned(), cause };
     let source: Box<dyn BufRead> = match file {
@@ -45,7 +45,7 @@
         // A host that was killed while it wrote leaves half a character behind.
         let text = String::from_utf8_lossy(&text);
         if let Some(line) = Line::parse(&text) {
-            stories.take(&line);
+            records.handle_line(&line);
         }
     }
     Ok(())
--- a/endivestile_ctl/src/explain/report.rs
+++ b/endivestile_ctl/src/explain/report.rs
@@ -5,8 +5,8 @@
 
 use serde::Serialize;
 
-use super::cause::{Cause, cause};
-use super::story::{Evacuation, Stories, Story};
+use super::cause::{Cause, find_cause};
+use super::record::{Evacuation, JobRecord, JobRecords};
 use crate::cli::Grouping;
 
 /// Jobs, and their work.
@@ -19,9 +19,9 @@
 }
 
 impl Sum {
-    fn add(&mut self, story: &Story) {
+    fn add(&mut self, job: &JobRecord) {
         self.jobs += 1;
-        self.core_s += story.account.map_or(0.0, |account| account.core_s);
+        self.core_s += job.owner_record.map_or(0.0, |owner_record| owner_record.core_s);
     }
 }
 
@@ -44,37 +44,37 @@
 
 impl Report {
     /// Sums up the jobs of a log.
-    pub(crate) fn new(stories: &Stories, by: Option<Grouping>) -> Self {
+    pub(crate) fn new(records: &JobRecords, by: Option<Grouping>) -> Self {
         let mut causes: BTreeMap<Cause, Sum> = BTreeMap::new();
         let mut groups: BTreeMap<String, BTreeMap<Cause, Sum>> = BTreeMap::new();
         let mut in_time = 0;
-        for story in stories.jobs.values() {
-            let Some(cause) = cause(story) else {
+        for job in records.jobs.values() {
+            let Some(cause) = find_cause(job) else {
                 in_time += 1;
                 continue;
             };
-            causes.entry(cause).or_default().add(story);
+            causes.entry(cause).or_default().add(job);
             if let Some(by) = by {
-                let group = groups.entry(group(story, by)).or_default();
-                group.entry(cause).or_default().add(story);
+                let group = groups.entry(group_of(job, by)).or_default();
+                group.entry(cause).or_default().add(job);
             }
         }
         let mut turned_away = BTreeMap::new();
-        for (_, reason) in &stories.turned_away {
+        for (_, reason) in &records.refused_calls {
             *turned_away.entry(reason.clone()).or_default() += 1;
         }
         let mut causes: Vec<(Cause, Sum)> = causes.into_iter().collect();
         causes.sort_by(|a, b| b.1.core_s.total_cmp(&a.1.core_s));
-        let evacuations = stories.evacuations.clone();
-        Self { jobs: stories.jobs.len() as u32, in_time, causes, groups, turned_away, evacuations }
+        let evacuations = records.evacuations.clone();
+        Self { jobs: records.jobs.len() as u32, in_time, causes, groups, turned_away, evacuations }
     }
 }
 
-fn group(story: &Story, by: Grouping) -> String {
+fn group_of(job: &JobRecord, by: Grouping) -> String {
     match by {
-        Grouping::Second => story.second.clone(),
-        Grouping::Zone => story.zone.clone(),
-        Grouping::Route => story.route.clone(),
+        Grouping::Second => job.second.clone(),
+        Grouping::Zone => job.zone.clone(),
+        Grouping::Route => job.route.clone(),
     }
 }
 
@@ -83,12 +83,12 @@
         writeln!(out, "{} jobs, {} of them in time", self.jobs, self.in_time)?;
         writeln!(out, "{:<20} {:>7} {:>12}", "cause", "jobs", "core-seconds")?;
         for (cause, sum) in &self.causes {
-            row(out, *cause, sum)?;
+            write_row(out, *cause, sum)?;
         }
         for (group, causes) in &self.groups {
             writeln!(out, "{group}")?;
             for (cause, sum) in causes {
-                row(out, *cause, sum)?;
+                write_row(out, *cause, sum)?;
             }
         }
         for (zone, Evacuation { started, drained, ended }) in &self.evacuations {
@@ -101,7 +101,7 @@
     }
 }
 
-fn row(out: &mut fmt::Formatter<'_>, cause: Cause, sum: &Sum) -> fmt::Result {
+fn write_row(out: &mut fmt::Formatter<'_>, cause: Cause, sum: &Sum) -> fmt::Result {
     let name = format!("{cause:?}");
     writeln!(out, "{name:<20} {:>7} {:>12.1}", sum.jobs, sum.core_s)
 }
--- a/endivestile_ctl/src/files.rs
+++ b/endivestile_ctl/src/files.rs
@@ -14,11 +14,11 @@
 /// Reads a file or, for `-`, standard input, up to `limit` bytes and one more.
 pub(crate) fn read(file: &str, limit: usize) -> Result<Vec<u8>, CtlError> {
     let mut bytes = Vec::new();
-    let most = limit as u64 + 1;
+    let max_bytes = limit as u64 + 1;
     let read = if file == STDIN {
-        io::stdin().lock().take(most).read_to_end(&mut bytes)
+        io::stdin().lock().take(max_bytes).read_to_end(&mut bytes)
     } else {
-        File::open(file).and_then(|open| open.take(most).read_to_end(&mut bytes))
+        File::open(file).and_then(|open| open.take(max_bytes).read_to_end(&mut bytes))
     };
     let fail = |cause| CtlError::File { step: "read", file: file.to_owned(), cause };
     read.map_err(fail)?;
@@ -26,7 +26,7 @@
 }
 
 /// Reads, parses and checks inventory and rules.
-pub(crate) fn config(files: &[String]) -> Result<Config, CtlError> {
+pub(crate) fn read_config(files: &[String]) -> Result<Config, CtlError> {
     let mut texts = Vec::new();
     for file in files {
         let text = String::from_utf8(read(file, MAX_BYTES)?).map_err(|_| CtlError::File {
--- a/endivestile_ctl/src/http.rs
+++ b/endivestile_ctl/src/http.rs
@@ -13,13 +13,13 @@
 /// Header that marks a request as idempotent.
 const IDEMPOTENT_HEADER: &str = "Idempotent";
 /// Header that asks for fresh ids with the answer.
-const WANT_HEADER: &str = "Want-Ids";
+const WANT_IDS_HEADER: &str = "Want-Ids";
 /// Largest answer that is read, in bytes.
-const MAX_ANSWER: u64 = 256 << 20;
+const MAX_ANSWER_BYTES: u64 = 256 << 20;
 /// Time that an answer may come after its deadline, in milliseconds.
-const GRACE_MS: u64 = 2_000;
+const ANSWER_GRACE_MS: u64 = 2_000;
 /// Time for a connection, in milliseconds.
-const CONNECT_MS: u64 = 2_000;
+const CONNECT_TIMEOUT_MS: u64 = 2_000;
 
 /// What an answer says of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -51,13 +51,13 @@
     /// Reads the class of an answer. A body that says nothing of a known class
     /// counts as unknown: to take it for a refusal could make a caller start
     /// its submission again elsewhere.
-    fn of(answer: Option<&AnswerBody>) -> Self {
-        let word = answer.map(|answer| answer.status.as_str()).unwrap_or_default();
-        serde_json::from_value(word.into()).unwrap_or(Self::Unknown)
+    fn from_answer(answer: Option<&AnswerBody>) -> Self {
+        let class_name = answer.map(|answer| answer.status.as_str()).unwrap_or_default();
+        serde_json::from_value(class_name.into()).unwrap_or(Self::Unknown)
     }
 
     /// Returns the word of the interface.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Complete => "complete",
             Self::Failed => "failed",
@@ -74,7 +74,7 @@
 
 /// What is submitted.
 #[derive(Debug, Clone)]
-pub(crate) enum Work {
+pub(crate) enum Payload {
     /// A request to a service, with its body.
     Request {
         /// The service.
@@ -100,7 +100,7 @@
     /// Fresh ids wanted with the answer.
     pub(crate) ids: usize,
     /// What is submitted.
-    pub(crate) work: &'a Work,
+    pub(crate) payload: &'a Payload,
 }
 
 /// What came back.
@@ -118,7 +118,7 @@
 
 /// Why nothing came back.
 #[derive(Debug)]
-pub(crate) struct Silence {
+pub(crate) struct CallError {
     /// Whether the call may have arrived.
     pub(crate) sent: bool,
     /// What went wrong.
@@ -134,35 +134,35 @@
 
 /// Client of entry hosts. Each thread has its own, for the connections.
 #[derive(Debug)]
-pub(crate) struct Http {
+pub(crate) struct HostClient {
     /// The library's client.
     agent: Agent,
 }
 
-impl Http {
+impl HostClient {
     /// Makes a client without open connections.
     pub(crate) fn new() -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_connect(Some(Duration::from_millis(CONNECT_MS)))
+            .timeout_connect(Some(Duration::from_millis(CONNECT_TIMEOUT_MS)))
             .no_delay(true)
             .build();
         Self { agent: config.new_agent() }
     }
 
     /// Submits and waits for the answer.
-    pub(crate) fn submit(&self, host: SocketAddr, call: &Call<'_>) -> Result<Reply, Silence> {
-        let (path, body) = match call.work {
-            Work::Request { service, body, .. } => {
+    pub(crate) fn submit(&self, host: SocketAddr, call: &Call<'_>) -> Result<Reply, CallError> {
+        let (path, body) = match call.payload {
+            Payload::Request { service, body, .. } => {
                 (format!("/v1/requests/{service}"), body.clone())
             }
-            Work::Job(job) => ("/v1/jobs".to_owned(), encode(job)?),
+            Payload::Job(job) => ("/v1/jobs".to_owned(), encode(job)?),
         };
         let mut request = self
             .agent
             .post(format!("http://{host}{path}"))
             .config()
-            .timeout_global(Some(Duration::from_millis(call.deadline_ms + GRACE_MS)))
+            .timeout_global(Some(Duration::from_millis(call.deadline_ms + ANSWER_GRACE_MS)))
             .build()
             .header(TEAM_HEADER, call.team)
             .header(DEADLINE_HEADER, call.deadline_ms.to_string());
@@ -170,89 +170,93 @@
             request = request.header(ID_HEADER, id);
         }
         if call.ids > 0 {
-            request = request.header(WANT_HEADER, call.ids.to_string());
+            request = request.header(WANT_IDS_HEADER, call.ids.to_string());
         }
-        if let Work::Request { idempotent: true, .. } = call.work {
+        if let Payload::Request { idempotent: true, .. } = call.payload {
             request = request.header(IDEMPOTENT_HEADER, "true");
         }
-        let response = request.send(&body[..]).map_err(silence)?;
-        reply(response, matches!(call.work, Work::Request { .. }))
+        let response = request.send(&body[..]).map_err(call_error)?;
+        parse_reply(response, matches!(call.payload, Payload::Request { .. }))
     }
 
     /// Asks for fresh ids.
-    pub(crate) fn mint(&self, host: SocketAddr, count: usize) -> Result<Vec<String>, Silence> {
+    pub(crate) fn issue_ids(
+        &self,
+        host: SocketAddr,
+        count: usize,
+    ) -> Result<Vec<String>, CallError> {
         let url = format!("http://{host}/v1/ids?count={count}");
-        let body = self.text(self.agent.post(url).send_empty().map_err(silence)?)?;
-        let ids: Ids = serde_json::from_slice(&body).map_err(|error| garbled(&error))?;
+        let body = self.success_body(self.agent.post(url).send_empty().map_err(call_error)?)?;
+        let ids: Ids = serde_json::from_slice(&body).map_err(|error| malformed(&error))?;
         Ok(ids.ids)
     }
 
     /// Reads the state of a host, or its page of counts.
-    pub(crate) fn status(&self, host: SocketAddr) -> Result<serde_json::Value, Silence> {
+    pub(crate) fn status(&self, host: SocketAddr) -> Result<serde_json::Value, CallError> {
         let request = self.agent.get(format!("http://{host}/status")).config();
-        let request = request.timeout_global(Some(Duration::from_millis(GRACE_MS))).build();
-        let body = self.text(request.call().map_err(silence)?)?;
+        let request = request.timeout_global(Some(Duration::from_millis(ANSWER_GRACE_MS))).build();
+        let body = self.success_body(request.call().map_err(call_error)?)?;
         let page = serde_json::from_slice(&body);
-        page.or_else(|error| counts(&body).ok_or_else(|| garbled(&error)))
+        page.or_else(|error| parse_metrics(&body).ok_or_else(|| malformed(&error)))
     }
 
-    fn text(&self, response: Response<Body>) -> Result<Vec<u8>, Silence> {
+    fn success_body(&self, response: Response<Body>) -> Result<Vec<u8>, CallError> {
         let status = response.status();
-        let body = read(response)?;
+        let body = read_body(response)?;
         if status.is_success() {
             return Ok(body);
         }
         let reason = format!("status {status}: {}", String::from_utf8_lossy(&body));
-        Err(Silence { sent: true, reason })
+        Err(CallError { sent: true, reason })
     }
 }
 
 /// Reads a page of counts, one `name value` a line; none if it is no such page.
-fn counts(body: &[u8]) -> Option<serde_json::Value> {
+fn parse_metrics(body: &[u8]) -> Option<serde_json::Value> {
     let text = std::str::from_utf8(body).ok().filter(|text| !text.is_empty())?;
-    let figures = text.lines().map(|line| {
+    let metrics = text.lines().map(|line| {
         let (name, value) = line.rsplit_once(' ')?;
         Some((name.to_owned(), serde_json::from_str(value).ok()?))
     });
-    figures.collect::<Option<serde_json::Map<_, _>>>().map(serde_json::Value::Object)
+    metrics.collect::<Option<serde_json::Map<_, _>>>().map(serde_json::Value::Object)
 }
 
-fn reply(response: Response<Body>, raw: bool) -> Result<Reply, Silence> {
+fn parse_reply(response: Response<Body>, is_raw: bool) -> Result<Reply, CallError> {
     let status = response.status().as_u16();
     let header = response.headers().get(MINTED_HEADER).and_then(|value| value.to_str().ok());
     let ids = header.map(|ids| ids.split(',').map(|id| id.trim().to_owned()).collect());
-    let body = read(response)?;
-    let class = if raw && status == 200 {
+    let body = read_body(response)?;
+    let class = if is_raw && status == 200 {
         Class::Complete
     } else {
-        Class::of(serde_json::from_slice(&body).ok().as_ref())
+        Class::from_answer(serde_json::from_slice(&body).ok().as_ref())
     };
     Ok(Reply { status, class, body, ids: ids.unwrap_or_default() })
 }
 
-fn read(response: Response<Body>) -> Result<Vec<u8>, Silence> {
+fn read_body(response: Response<Body>) -> Result<Vec<u8>, CallError> {
     let body = response.into_body();
-    body.into_with_config().limit(MAX_ANSWER).read_to_vec().map_err(silence)
+    body.into_with_config().limit(MAX_ANSWER_BYTES).read_to_vec().map_err(call_error)
 }
 
-fn encode(job: &JobBody) -> Result<Vec<u8>, Silence> {
-    let fail = |error: serde_json::Error| Silence { sent: false, reason: error.to_string() };
+fn encode(job: &JobBody) -> Result<Vec<u8>, CallError> {
+    let fail = |error: serde_json::Error| CallError { sent: false, reason: error.to_string() };
     serde_json::to_vec(job).map_err(fail)
 }
 
-fn garbled(error: &serde_json::Error) -> Silence {
-    Silence { sent: true, reason: format!("garbled answer: {error}") }
+fn malformed(error: &serde_json::Error) -> CallError {
+    CallError { sent: true, reason: format!("garbled answer: {error}") }
 }
 
 /// Tells calls that never left from calls that may have arrived. To take the
 /// second for the first would make a caller submit again under a new id, and
 /// the work would be done twice.
-fn silence(error: Error) -> Silence {
-    let unsent = match &error {
+fn call_error(error: Error) -> CallError {
+    let not_sent = match &error {
         Error::Io(cause) => cause.kind() == ErrorKind::ConnectionRefused,
         Error::Timeout(Timeout::Connect | Timeout::Resolve) => true,
         Error::ConnectionFailed | Error::HostNotFound | Error::BadUri(_) | Error::Http(_) => true,
         _ => false,
     };
-    Silence { sent: !unsent, reason: error.to_string() }
+    CallError { sent: !not_sent, reason: error.to_string() }
 }
--- a/endivestile_ctl/src/lib.rs
+++ b/endivestile_ctl/src/lib.rs
@@ -35,7 +35,7 @@
     match command::run(cli) {
         Ok(exit) => ExitCode::from(exit),
         Err(error) => {
-            out::complain(&error.to_string());
+            out::print_error(&error.to_string());
             ExitCode::from(Exit::from(&error))
         }
     }
--- a/endivestile_ctl/src/load/mod.rs
+++ b/endivestile_ctl/src/load/mod.rs
@@ -2,8 +2,8 @@
 
 mod args;
 mod caller;
-mod plan;
 mod report;
+mod workload;
 
 pub(crate) use args::LoadArgs;
 
@@ -16,17 +16,17 @@
 use crate::context::Context;
 use crate::error::CtlError;
 use crate::exit::Exit;
-use crate::http::Http;
+use crate::http::HostClient;
 use crate::out;
 use caller::Caller;
-use plan::{Plan, Shot};
-use report::{Report, Tally};
+use report::{Report, Results};
+use workload::{Submission, Workload};
 
 /// What the callers share.
 #[derive(Debug)]
 struct Shared {
     /// Where the next shot comes from.
-    plan: Mutex<Plan>,
+    workload: Mutex<Workload>,
     /// Arguments.
     args: LoadArgs,
     /// When the load starts.
@@ -37,43 +37,43 @@
 
 impl Shared {
     /// Draws the next shot; none when the load has ended.
-    fn next(&self) -> Option<Shot> {
+    fn next(&self) -> Option<Submission> {
         if Instant::now() >= self.end {
             return None;
         }
-        let shot = self.plan.lock().unwrap_or_else(PoisonError::into_inner).next();
-        let at = self.start + Duration::from_micros(shot.at_us);
-        (at < self.end).then_some(shot)
+        let submission = self.workload.lock().unwrap_or_else(PoisonError::into_inner).next();
+        let at = self.start + Duration::from_micros(submission.at_us);
+        (at < self.end).then_some(submission)
     }
 }
 
 /// Sends load and reports.
 pub(crate) fn run(context: &Context, args: &LoadArgs) -> Result<Exit, CtlError> {
     args.check().map_err(CtlError::Usage)?;
-    let before = counts(args);
-    let (tally, seconds) = shoot(args)?;
-    let mut spent = counts(args);
-    for (name, count) in &mut spent {
+    let before = sum_counters(args);
+    let (results, seconds) = run_callers(args)?;
+    let mut growth = sum_counters(args);
+    for (name, count) in &mut growth {
         *count = count.saturating_sub(before.get(name).copied().unwrap_or(0));
     }
-    let report = Report::new(&tally, seconds, spent);
+    let report = Report::new(&results, seconds, growth);
     if let Some(file) = &args.trace {
-        tally.write(file)?;
+        results.write(file)?;
     }
     if context.json {
-        out::json(&report);
+        out::print_json(&report);
     } else {
-        out::say(&report.text());
+        out::print(&report.text());
     }
-    Ok(if report.answered() { Exit::Done } else { Exit::Away })
+    Ok(if report.answered() { Exit::Done } else { Exit::Unreachable })
 }
 
 /// Runs all callers to their end.
-fn shoot(args: &LoadArgs) -> Result<(Tally, f64), CtlError> {
+fn run_callers(args: &LoadArgs) -> Result<(Results, f64), CtlError> {
     let start = Instant::now();
     let end = start + Duration::from_secs(args.seconds);
-    let plan = Mutex::new(Plan::new(args));
-    let shared = Arc::new(Shared { plan, args: args.clone(), start, end });
+    let workload = Mutex::new(Workload::new(args));
+    let shared = Arc::new(Shared { workload, args: args.clone(), start, end });
     let mut threads = Vec::new();
     for _ in 0..args.callers {
         let shared = Arc::clone(&shared);
@@ -84,17 +84,17 @@
             cause,
         })?);
     }
-    let mut tally = Tally::default();
+    let mut results = Results::default();
     for thread in threads {
         let part = thread.join().map_err(|_| CtlError::Usage("a caller panicked".to_owned()))?;
-        tally.add(part);
+        results.add(part);
     }
-    Ok((tally, start.elapsed().as_secs_f64()))
+    Ok((results, start.elapsed().as_secs_f64()))
 }
 
 /// Adds up the hosts' counters; a host that gives none counts nothing.
-fn counts(args: &LoadArgs) -> BTreeMap<String, u64> {
-    let http = Http::new();
+fn sum_counters(args: &LoadArgs) -> BTreeMap<String, u64> {
+    let http = HostClient::new();
     let mut sum = BTreeMap::new();
     for page in args.hosts.iter().filter_map(|host| http.status(*host).ok()) {
         for (name, count) in counters(&page) {
--- a/endivestile_ctl/src/load/report.rs
+++ b/endivestile_ctl/src/load/report.rs
@@ -7,37 +7,37 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::plan::Shot;
+use super::workload::Submission;
 use crate::error::CtlError;
-use crate::http::{Class, Work};
+use crate::http::{Class, Payload};
 
 /// Significant digits of the histograms.
 const DIGITS: u8 = 3;
 
 /// How a submission ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Ending {
+pub(super) enum Outcome {
     /// With an answer.
     Class(Class),
     /// Sent, and no answer came.
     Lost,
     /// Not sent: the host could not be reached.
-    Refused,
+    Unreachable,
 }
 
-impl Ending {
-    fn word(self) -> &'static str {
+impl Outcome {
+    fn label(self) -> &'static str {
         match self {
-            Self::Class(class) => class.word(),
+            Self::Class(class) => class.label(),
             Self::Lost => "lost",
-            Self::Refused => "unreachable",
+            Self::Unreachable => "unreachable",
         }
     }
 }
 
 /// One line of the trace.
 #[derive(Debug)]
-struct Line {
+struct TraceLine {
     /// Serial number.
     serial: u64,
     /// When it was due, in microseconds since the start.
@@ -51,66 +51,66 @@
     /// Team.
     team: String,
     /// How it ended.
-    ending: Ending,
+    outcome: Outcome,
 }
 
 /// What came back to one caller, or to all.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
+pub(super) struct Results {
     /// Times to the answer by ending, in microseconds.
-    times: BTreeMap<Ending, Times>,
+    latencies: BTreeMap<Outcome, Latencies>,
     /// Tasks of complete submissions.
-    done: u64,
+    complete_tasks: u64,
     /// Tasks of all submissions.
     tasks: u64,
     /// Submissions that started late, because all callers were busy.
     pub(super) late: u64,
     /// The trace, if wanted.
-    lines: Vec<Line>,
+    lines: Vec<TraceLine>,
 }
 
 /// Times to the answer, in microseconds.
 #[derive(Debug)]
-struct Times(Histogram<u64>);
+struct Latencies(Histogram<u64>);
 
-impl Default for Times {
+impl Default for Latencies {
     fn default() -> Self {
         // Three digits are within what the library accepts.
         Self(Histogram::new(DIGITS).expect("histogram of three digits"))
     }
 }
 
-impl Tally {
+impl Results {
     /// Records one submission.
     pub(super) fn record(
         &mut self,
-        shot: &Shot,
-        ending: Ending,
+        submission: &Submission,
+        outcome: Outcome,
         at_us: u64,
         took_us: u64,
-        traced: bool,
+        keep_trace: bool,
     ) {
         // The histogram grows as needed, so no time is out of its range.
-        let _ = self.times.entry(ending).or_default().0.record(took_us);
-        let tasks = shot.tasks();
+        let _ = self.latencies.entry(outcome).or_default().0.record(took_us);
+        let tasks = submission.tasks();
         self.tasks += tasks;
-        if ending == Ending::Class(Class::Complete) {
-            self.done += tasks;
+        if outcome == Outcome::Class(Class::Complete) {
+            self.complete_tasks += tasks;
         }
-        if traced {
-            let job = matches!(shot.work, Work::Job(_));
-            let (serial, team) = (shot.serial, shot.team.clone());
-            self.lines.push(Line { serial, at_us, took_us, tasks, job, team, ending });
+        if keep_trace {
+            let job = matches!(submission.payload, Payload::Job(_));
+            let (serial, team) = (submission.serial, submission.team.clone());
+            self.lines.push(TraceLine { serial, at_us, took_us, tasks, job, team, outcome });
         }
     }
 
     /// Adds what came back to another caller.
     pub(super) fn add(&mut self, other: Self) {
-        for (ending, times) in other.times {
+        for (outcome, latencies) in other.latencies {
             // As above.
-            let _ = self.times.entry(ending).or_default().0.add(times.0);
+            let _ = self.latencies.entry(outcome).or_default().0.add(latencies.0);
         }
-        self.done += other.done;
+        self.complete_tasks += other.complete_tasks;
         self.tasks += other.tasks;
         self.late += other.late;
         self.lines.extend(other.lines);
@@ -123,8 +123,8 @@
         writeln!(out, "serial,due_us,took_us,kind,tasks,team,class").map_err(fail)?;
         for line in &self.lines {
             let kind = if line.job { "job" } else { "request" };
-            let Line { serial, at_us, took_us, tasks, team, ending, .. } = line;
-            let class = ending.word();
+            let TraceLine { serial, at_us, took_us, tasks, team, outcome, .. } = line;
+            let class = outcome.label();
             writeln!(out, "{serial},{at_us},{took_us},{kind},{tasks},{team},{class}")
                 .map_err(fail)?;
         }
@@ -171,15 +171,18 @@
 
 impl Report {
     /// Makes the report.
-    pub(super) fn new(tally: &Tally, seconds: f64, counters: BTreeMap<String, u64>) -> Self {
-        let classes: Vec<Row> =
-            tally.times.iter().map(|(ending, Times(times))| row(*ending, times)).collect();
+    pub(super) fn new(results: &Results, seconds: f64, counters: BTreeMap<String, u64>) -> Self {
+        let classes: Vec<Row> = results
+            .latencies
+            .iter()
+            .map(|(outcome, Latencies(latencies))| latency_row(*outcome, latencies))
+            .collect();
         Self {
             seconds,
             submissions: classes.iter().map(|row| row.count).sum(),
-            tasks: tally.tasks,
-            late: tally.late,
-            goodput: tally.done as f64 / seconds,
+            tasks: results.tasks,
+            late: results.late,
+            goodput: results.complete_tasks as f64 / seconds,
             classes,
             counters,
         }
@@ -187,8 +190,8 @@
 
     /// Tells whether any submission was answered.
     pub(super) fn answered(&self) -> bool {
-        let silent = [Ending::Lost.word(), Ending::Refused.word()];
-        self.classes.iter().any(|row| !silent.contains(&row.class))
+        let unanswered = [Outcome::Lost.label(), Outcome::Unreachable.label()];
+        self.classes.iter().any(|row| !unanswered.contains(&row.class))
     }
 
     /// Returns the report for people.
@@ -213,13 +216,13 @@
     }
 }
 
-fn row(ending: Ending, times: &Histogram<u64>) -> Row {
+fn latency_row(outcome: Outcome, latencies: &Histogram<u64>) -> Row {
     Row {
-        class: ending.word(),
-        count: times.len(),
-        p50_us: times.value_at_quantile(0.5),
-        p95_us: times.value_at_quantile(0.95),
-        p99_us: times.value_at_quantile(0.99),
-        max_us: times.max(),
+        class: outcome.label(),
+        count: latencies.len(),
+        p50_us: latencies.value_at_quantile(0.5),
+        p95_us: latencies.value_at_quantile(0.95),
+        p99_us: latencies.value_at_quantile(0.99),
+        max_us: latencies.max(),
     }
 }
--- a/endivestile_ctl/src/load/plan.rs
+++ b/endivestile_ctl/src/load/workload.rs
@@ -7,14 +7,14 @@
 use rand::{Rng, SeedableRng};
 
 use super::LoadArgs;
-use crate::http::Work;
+use crate::http::Payload;
 
 /// Microseconds in a second.
 const SECOND_US: f64 = 1e6;
 
 /// One submission of the load.
 #[derive(Debug)]
-pub(super) struct Shot {
+pub(super) struct Submission {
     /// Serial number, from 0.
     pub(super) serial: u64,
     /// When it starts, in microseconds since the start of the load; 0 for at once.
@@ -24,27 +24,27 @@
     /// Team.
     pub(super) team: String,
     /// What is submitted.
-    pub(super) work: Work,
+    pub(super) payload: Payload,
 }
 
-impl Shot {
+impl Submission {
     /// Returns the number of tasks.
     pub(super) fn tasks(&self) -> u64 {
-        match &self.work {
-            Work::Request { .. } => 1,
-            Work::Job(job) => job.tasks.len() as u64,
+        match &self.payload {
+            Payload::Request { .. } => 1,
+            Payload::Job(job) => job.tasks.len() as u64,
         }
     }
 
     /// Tells whether it can't be sent without an id.
     pub(super) fn needs_id(&self) -> bool {
-        !matches!(self.work, Work::Request { idempotent: true, .. })
+        !matches!(self.payload, Payload::Request { idempotent: true, .. })
     }
 }
 
 /// The source of the shots; the same seed gives the same shots.
 #[derive(Debug)]
-pub(super) struct Plan {
+pub(super) struct Workload {
     /// Arguments.
     args: LoadArgs,
     /// Generator.
@@ -55,7 +55,7 @@
     at_us: f64,
 }
 
-impl Plan {
+impl Workload {
     /// Makes the source for a seed.
     pub(super) fn new(args: &LoadArgs) -> Self {
         let rng = StdRng::seed_from_u64(args.seed);
@@ -63,29 +63,31 @@
     }
 
     /// Draws the next shot.
-    pub(super) fn next(&mut self) -> Shot {
+    pub(super) fn next(&mut self) -> Submission {
         let serial = self.serial;
         if let Some(rate) = self.args.rate {
             // Gaps of independent arrivals are exponential.
-            let unit: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
-            self.at_us -= unit.ln() * SECOND_US / rate as f64;
+            let uniform: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
+            self.at_us -= uniform.ln() * SECOND_US / rate as f64;
         }
         let host = self.args.hosts[(serial % self.args.hosts.len() as u64) as usize];
         let team = pick(&mut self.rng, &self.args.teams);
-        let work = self.work();
+        let payload = self.payload();
         self.serial += 1;
-        Shot { serial, at_us: self.at_us as u64, host, team, work }
+        Submission { serial, at_us: self.at_us as u64, host, team, payload }
     }
 
-    fn work(&mut self) -> Work {
-        if self.percent(self.args.job_percent) {
+    fn payload(&mut self) -> Payload {
+        if self.draw_percent(self.args.job_percent) {
             let count = self.rng.random_range(1..=self.args.tasks);
-            return Work::Job(JobBody { tasks: (0..count).map(|task| self.task(task)).collect() });
+            return Payload::Job(JobBody {
+                tasks: (0..count).map(|task| self.task(task)).collect(),
+            });
         }
-        let idempotent = self.percent(self.args.idempotent_percent);
+        let idempotent = self.draw_percent(self.args.idempotent_percent);
         let service = pick(&mut self.rng, &self.args.services);
         let (body, _) = self.body(0);
-        Work::Request { service, body: body.into_bytes(), idempotent }
+        Payload::Request { service, body: body.into_bytes(), idempotent }
     }
 
     fn task(&mut self, index: u64) -> TaskBody {
@@ -102,22 +104,22 @@
 
     /// Draws a run time and fills the work's template.
     fn body(&mut self, task: u64) -> (String, u32) {
-        let most = self.args.max_run_ms.unwrap_or(self.args.run_ms);
-        let run_ms = self.rng.random_range(self.args.run_ms..=most);
+        let longest_ms = self.args.max_run_ms.unwrap_or(self.args.run_ms);
+        let run_ms = self.rng.random_range(self.args.run_ms..=longest_ms);
         let key = format!("{}-{}-{task}", self.args.seed, self.serial);
         let work = self.args.work.replace("{ms}", &run_ms.to_string()).replace("{key}", &key);
         (work, run_ms)
     }
 
-    fn percent(&mut self, percent: u8) -> bool {
+    fn draw_percent(&mut self, percent: u8) -> bool {
         self.rng.random_range(0..100) < percent
     }
 }
 
 /// Draws one of several words; empty when there are none.
-fn pick(rng: &mut StdRng, words: &[String]) -> String {
-    match words {
+fn pick(rng: &mut StdRng, names: &[String]) -> String {
+    match names {
         [] => String::new(),
-        words => words[rng.random_range(0..words.len())].clone(),
+        names => names[rng.random_range(0..names.len())].clone(),
     }
 }
--- a/endivestile_ctl/src/store/client.rs
+++ b/endivestile_ctl/src/store/client.rs
@@ -11,21 +11,21 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status};
 
-use super::range;
+use super::key_range;
 use crate::error::CtlError;
 
 /// Largest answer of the store, in bytes: a page of audit entries.
-const MAX_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 /// First wait between two attempts, in milliseconds; doubled each time.
-const BACKOFF_MS: u64 = 50;
+const MIN_BACKOFF_MS: u64 = 50;
 /// Longest wait between two attempts, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 1_000;
 /// Longest that one call may take, in milliseconds.
-const CALL_MS: u64 = 2_000;
+const MAX_CALL_MS: u64 = 2_000;
 
 /// Why a call to the store has no answer.
 #[derive(Debug)]
-pub(crate) struct Fault {
+pub(crate) struct StoreError {
     /// Address that was called.
     pub(crate) peer: String,
     /// What went wrong.
@@ -33,13 +33,13 @@
     /// Whether the call may have taken effect.
     pub(crate) sent: bool,
     /// Whether the store refused the call as such, so that a retry is in vain.
-    pub(crate) refused: bool,
+    pub(crate) permanent: bool,
 }
 
-impl Fault {
+impl StoreError {
     /// Makes the error of a read, or of a write that was never sent.
-    pub(crate) fn away(self, step: &'static str) -> CtlError {
-        CtlError::Away { step, peer: self.peer, reason: self.reason }
+    pub(crate) fn into_unreachable(self, step: &'static str) -> CtlError {
+        CtlError::Unreachable { step, peer: self.peer, reason: self.reason }
     }
 }
 
@@ -51,7 +51,7 @@
     /// Addresses, tried in turn.
     addresses: Vec<SocketAddr>,
     /// Index of the address in use.
-    at: usize,
+    current: usize,
     /// Open connection.
     channel: Option<Channel>,
     /// When to give up.
@@ -69,12 +69,12 @@
         let fail =
             |cause: io::Error| CtlError::File { step: "start", file: "runtime".to_owned(), cause };
         let deadline = Instant::now() + Duration::from_millis(timeout_ms);
-        Ok(Self { runtime: build.map_err(fail)?, addresses, at: 0, channel: None, deadline })
+        Ok(Self { runtime: build.map_err(fail)?, addresses, current: 0, channel: None, deadline })
     }
 
     /// Reads one key.
     pub(crate) fn get(&mut self, step: &'static str, key: &str) -> Result<KeyValue, CtlError> {
-        let response = self.read(step, &range(key))?;
+        let response = self.read(step, &key_range(key))?;
         Ok(response.kvs.into_iter().next().unwrap_or_default())
     }
 
@@ -84,12 +84,12 @@
         step: &'static str,
         request: &RangeRequest,
     ) -> Result<RangeResponse, CtlError> {
-        let mut backoff_ms = BACKOFF_MS;
+        let mut backoff_ms = MIN_BACKOFF_MS;
         loop {
             match self.range(request) {
                 Ok(response) => return Ok(response),
-                Err(fault) if fault.refused || !self.wait(&mut backoff_ms) => {
-                    return Err(fault.away(step));
+                Err(store_error) if store_error.permanent || !self.back_off(&mut backoff_ms) => {
+                    return Err(store_error.into_unreachable(step));
                 }
                 Err(_) => {}
             }
@@ -102,45 +102,46 @@
     /// transaction again can't take effect twice, because its compares fail
     /// from then on; the caller tells from what it reads back whether its own
     /// write was the one that came through.
-    pub(crate) fn settle(&mut self, request: &TxnRequest) -> Result<TxnResponse, Fault> {
-        let mut backoff_ms = BACKOFF_MS;
+    pub(crate) fn run_txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, StoreError> {
+        let mut backoff_ms = MIN_BACKOFF_MS;
         let mut sent = false;
         loop {
-            let fault = match self.txn(request) {
+            let store_error = match self.txn(request) {
                 Ok(response) => return Ok(response),
-                Err(fault) => fault,
+                Err(store_error) => store_error,
             };
-            sent |= fault.sent;
-            if fault.refused || !self.wait(&mut backoff_ms) {
-                return Err(Fault { sent, ..fault });
+            sent |= store_error.sent;
+            if store_error.permanent || !self.back_off(&mut backoff_ms) {
+                return Err(StoreError { sent, ..store_error });
             }
         }
     }
 
-    fn range(&mut self, request: &RangeRequest) -> Result<RangeResponse, Fault> {
+    fn range(&mut self, request: &RangeRequest) -> Result<RangeResponse, StoreError> {
         let mut client = self.client()?;
         let call = self.runtime.block_on(client.range(request.clone()));
-        call.map(tonic::Response::into_inner).map_err(|status| self.failed(&status))
+        call.map(tonic::Response::into_inner).map_err(|status| self.call_failed(&status))
     }
 
-    fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, Fault> {
+    fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, StoreError> {
         let mut client = self.client()?;
         let call = self.runtime.block_on(client.txn(request.clone()));
-        call.map(tonic::Response::into_inner).map_err(|status| self.failed(&status))
+        call.map(tonic::Response::into_inner).map_err(|status| self.call_failed(&status))
     }
 
-    fn client(&mut self) -> Result<KvClient<Channel>, Fault> {
+    fn client(&mut self) -> Result<KvClient<Channel>, StoreError> {
         let channel = match self.channel.clone() {
             Some(channel) => channel,
             None => self.connect()?,
         };
-        Ok(KvClient::new(channel).max_decoding_message_size(MAX_ANSWER))
+        Ok(KvClient::new(channel).max_decoding_message_size(MAX_ANSWER_BYTES))
     }
 
-    fn connect(&mut self) -> Result<Channel, Fault> {
+    fn connect(&mut self) -> Result<Channel, StoreError> {
         let peer = self.peer();
-        let endpoint = Endpoint::from_shared(format!("http://{peer}"))
-            .map(|endpoint| endpoint.connect_timeout(self.left()).timeout(self.left()));
+        let endpoint = Endpoint::from_shared(format!("http://{peer}")).map(|endpoint| {
+            endpoint.connect_timeout(self.call_timeout()).timeout(self.call_timeout())
+        });
         let connect = endpoint.and_then(|endpoint| self.runtime.block_on(endpoint.connect()));
         match connect {
             Ok(channel) => {
@@ -148,16 +149,16 @@
                 Ok(channel)
             }
             Err(error) => {
-                self.turn();
-                Err(Fault { peer, reason: root(&error), sent: false, refused: false })
+                self.use_next_address();
+                Err(StoreError { peer, reason: root_cause(&error), sent: false, permanent: false })
             }
         }
     }
 
-    fn failed(&mut self, status: &Status) -> Fault {
+    fn call_failed(&mut self, status: &Status) -> StoreError {
         let peer = self.peer();
-        self.turn();
-        let refused = matches!(
+        self.use_next_address();
+        let permanent = matches!(
             status.code(),
             Code::InvalidArgument
                 | Code::NotFound
@@ -168,21 +169,21 @@
                 | Code::Unimplemented
         );
         let reason = format!("{:?} {}", status.code(), status.message());
-        Fault { peer, reason, sent: !refused, refused }
+        StoreError { peer, reason, sent: !permanent, permanent }
     }
 
     /// Drops the connection and takes the next address.
-    fn turn(&mut self) {
+    fn use_next_address(&mut self) {
         self.channel = None;
-        self.at = (self.at + 1) % self.addresses.len();
+        self.current = (self.current + 1) % self.addresses.len();
     }
 
     fn peer(&self) -> String {
-        self.addresses[self.at].to_string()
+        self.addresses[self.current].to_string()
     }
 
     /// Waits before the next attempt; false when the deadline leaves no time for it.
-    fn wait(&self, backoff_ms: &mut u64) -> bool {
+    fn back_off(&self, backoff_ms: &mut u64) -> bool {
         let pause = Duration::from_millis(*backoff_ms);
         if Instant::now() + pause >= self.deadline {
             return false;
@@ -193,14 +194,14 @@
     }
 
     /// Returns the time that one call may take.
-    fn left(&self) -> Duration {
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        left.clamp(Duration::from_millis(1), Duration::from_millis(CALL_MS))
+    fn call_timeout(&self) -> Duration {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        remaining.clamp(Duration::from_millis(1), Duration::from_millis(MAX_CALL_MS))
     }
 }
 
 /// Returns the innermost cause; the library's own text says only "transport error".
-fn root(error: &dyn std::error::Error) -> String {
+fn root_cause(error: &dyn std::error::Error) -> String {
     let mut cause = error;
     while let Some(inner) = cause.source() {
         cause = inner;
--- a/endivestile_ctl/src/store/mod.rs
+++ b/endivestile_ctl/src/store/mod.rs
@@ -4,4 +4,4 @@
 mod request;
 
 pub(crate) use client::Store;
-pub(crate) use request::{delete, first, guard, put, range, scan};
+pub(crate) use request::{compare_mod_revision, delete, first_kv, key_range, prefix_range, put};
--- a/endivestile_ctl/src/store/request.rs
+++ b/endivestile_ctl/src/store/request.rs
@@ -9,18 +9,18 @@
 };
 
 /// Reads one key.
-pub(crate) fn range(key: &str) -> RangeRequest {
+pub(crate) fn key_range(key: &str) -> RangeRequest {
     RangeRequest { key: key.into(), ..RangeRequest::default() }
 }
 
 /// Reads up to `limit` keys under `prefix`, from `from` on.
-pub(crate) fn scan(prefix: &str, from: &str, limit: i64) -> RangeRequest {
+pub(crate) fn prefix_range(prefix: &str, from: &str, limit: i64) -> RangeRequest {
     let range_end = key::range_end(prefix);
     RangeRequest { key: from.into(), range_end, limit, ..RangeRequest::default() }
 }
 
 /// Demands that the last change of a key has this revision, 0 for an absent key.
-pub(crate) fn guard(key: &str, revision: i64) -> Compare {
+pub(crate) fn compare_mod_revision(key: &str, revision: i64) -> Compare {
     Compare {
         result: CompareResult::Equal.into(),
         target: CompareTarget::Mod.into(),
@@ -42,7 +42,7 @@
 }
 
 /// Returns the first key that a read within a transaction found.
-pub(crate) fn first(response: Option<ResponseOp>) -> Option<KeyValue> {
+pub(crate) fn first_kv(response: Option<ResponseOp>) -> Option<KeyValue> {
     match response?.response? {
         Done::ResponseRange(range) => range.kvs.into_iter().next(),
         _ => None,
