--- a/endivestile_ctl/src/audit.rs
+++ b/endivestile_ctl/src/audit.rs
@@ -6,23 +6,23 @@
 use endivestile_wire::key;
 use serde::{Deserialize, Serialize};
 
-/// Entries that are kept; the oldest goes when a new one comes.
+/// Number of entries that are kept; each further one replaces the oldest.
 pub(crate) const MAX_ENTRIES: u64 = 1_000;
-/// Changed keys that one entry lists.
+/// Number of changed keys that one entry lists.
 const MAX_LISTED_KEYS: usize = 100;
-/// Longest value that an entry shows, in characters.
+/// Characters of a value that an entry keeps; the rest is cut off.
 const MAX_VALUE_CHARS: usize = 120;
 
-/// Head of the audit trail.
+/// Head of the audit trail, stored under [`key::AUDIT_HEAD`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Head {
-    /// Serial number that the next entry gets.
+    /// Serial number of the next entry.
     pub(crate) next: u64,
-    /// Last revision of the configuration that was accepted; 0 when none was.
+    /// Last accepted revision of the configuration; 0 if there was none.
     ///
-    /// Hosts take only a higher revision. If the configuration's key is lost,
-    /// or written past the tools, a change that goes on from a lower one would
-    /// be reported as accepted and be in force nowhere.
+    /// Hosts adopt only a higher revision. If the configuration's key is lost
+    /// or was written without this tool, a change based on a lower revision
+    /// would be reported as accepted, but no host would adopt it.
     #[serde(default)]
     pub(crate) revision: u64,
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// What was done.
+/// Kind of change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Action {
@@ -41,12 +41,12 @@
     Apply,
     /// A planned stop was started.
     Stop,
-    /// A planned stop was taken back.
+    /// A planned stop was cancelled.
     Resume,
 }
 
 impl Action {
-    /// Returns the word for people.
+    /// Returns the name that entries and output show.
     pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Apply => "apply",
@@ -59,30 +59,30 @@
 /// One accepted change.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Entry {
-    /// Serial number, without gaps.
+    /// Serial number; consecutive entries have consecutive numbers.
     pub(crate) serial: u64,
-    /// Random id by which the writer knows its own entry again.
+    /// Random id that identifies this write, so that its writer can recognise it after a retry.
     pub(crate) write: String,
-    /// Operator.
+    /// Operator who made the change.
     pub(crate) who: String,
-    /// When, in seconds since 1970 on the operator's clock.
+    /// Time of the change by the operator's clock, in seconds since 1970.
     pub(crate) at_s: u64,
-    /// What was done.
+    /// Kind of change.
     pub(crate) action: Action,
     /// Host, backend server or worker of a planned stop; empty otherwise.
     pub(crate) target: String,
     /// Revision of the configuration after the change; 0 for a planned stop.
     pub(crate) revision: u64,
-    /// Operator's own words.
+    /// Operator's note.
     pub(crate) note: String,
-    /// Changed keys, at most [`MAX_LISTED_KEYS`], long values cut.
+    /// Changed keys, at most [`MAX_LISTED_KEYS`], with long values cut.
     pub(crate) changes: Vec<Change>,
-    /// Changed keys that are not listed.
+    /// Number of changed keys that are not listed.
     pub(crate) omitted: usize,
 }
 
 impl Entry {
-    /// Makes the entry of a change that happens now.
+    /// Returns an entry with the current time and a new write id; its serial number is set later.
     pub(crate) fn new(action: Action, who: &str, note: &str) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Lists changed keys as far as they fit.
+    /// Sets the listed changes, up to [`MAX_LISTED_KEYS`], and counts the omitted ones.
     pub(crate) fn set_changes(&mut self, changes: &[Change]) {
         let truncated = |value: &Option<String>| value.as_deref().map(truncate);
         self.changes = changes
@@ -115,11 +115,12 @@
     }
 }
 
-/// Returns the key of an entry.
+/// Returns the store key of an entry.
 pub(crate) fn entry_key(serial: u64) -> String {
     format!("{}{serial:020}", key::AUDIT)
 }
 
+/// Cuts a text to [`MAX_VALUE_CHARS`] characters and marks the cut.
 fn truncate(text: &str) -> String {
     let mut cut: String = text.chars().take(MAX_VALUE_CHARS).collect();
     if cut.len() < text.len() {
--- a/endivestile_ctl/src/change.rs
+++ b/endivestile_ctl/src/change.rs
@@ -1,4 +1,4 @@
-//! Guarded changes: what is written and its audit entry, in one transaction.
+//! Conditional writes: a change and its audit entry, in one transaction.
 
 use endivestile_wire::key;
 use endivestile_wire::store::request_op::Request as Op;
@@ -8,43 +8,43 @@
 use crate::error::CtlError;
 use crate::store::{Store, compare_mod_revision, delete, first_kv, key_range, put};
 
-/// Times that a change is written anew because another entry of the audit
-/// trail came first.
+/// Attempts to write a change; one fails when another entry of the audit trail
+/// is written first.
 const MAX_ATTEMPTS: usize = 100;
 
-/// A change of one key.
+/// A write or delete of one key, on condition that it has not changed since it was read.
 #[derive(Debug)]
 pub(crate) struct ConditionalWrite {
-    /// Step that errors name.
+    /// Step named in error messages.
     pub(crate) step: &'static str,
-    /// The key.
+    /// Key that is written.
     pub(crate) key: String,
-    /// Revision of its last change as it was read; 0 when it was absent.
+    /// Revision of the key's last change when it was read; 0 if it was absent.
     pub(crate) revision: i64,
-    /// New value; none deletes the key.
+    /// New value; `None` deletes the key.
     pub(crate) value: Option<Vec<u8>>,
 }
 
-/// How a guarded change ended.
+/// Outcome of a conditional write.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// It took effect; serial number of its audit entry.
+    /// The write took effect; holds the serial number of its audit entry.
     Committed(u64),
-    /// The key was changed by somebody else; nothing was written.
+    /// Another writer changed the key; nothing was written.
     KeyChanged,
 }
 
-/// The audit trail's head and the revision of its key in the store.
+/// The audit trail's head as read from the store.
 #[derive(Debug, Default)]
 pub(crate) struct StoredHead {
-    /// The head.
+    /// The decoded head.
     pub(crate) head: Head,
-    /// Revision of the key's last change; 0 when absent.
+    /// Revision of its key's last change; 0 if absent.
     key_revision: i64,
 }
 
 impl StoredHead {
-    /// Reads the head.
+    /// Reads the head; the default if its key is absent.
     pub(crate) fn read(store: &mut Store) -> Result<Self, CtlError> {
         const STEP: &str = "read-audit-head";
         let stored = store.get(STEP, key::AUDIT_HEAD)?;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Writes a change and its audit entry, both or none.
+/// Writes a change and its audit entry atomically.
 pub(crate) fn commit(
     store: &mut Store,
     change: &ConditionalWrite,
@@ -87,22 +87,24 @@
         if first_kv(current).unwrap_or_default().mod_revision != change.revision {
             return Ok(Outcome::KeyChanged);
         }
-        // Only the audit trail has moved on. A former attempt can't take
-        // effect any more, because its compare with the head now fails.
+        // Only the head of the audit trail changed. Earlier attempts can no
+        // longer take effect, because their comparison with the head fails.
         stored_head = StoredHead::read(store)?;
     }
     Err(CtlError::Conflict(format!(
-        "the audit trail moved on {MAX_ATTEMPTS} times; nothing was changed"
+        "the audit trail changed during {MAX_ATTEMPTS} attempts; nothing was changed"
     )))
 }
 
-/// Tells from what a failed transaction read back whether it failed because an
-/// earlier attempt, whose answer was lost, had taken effect.
+/// Returns whether a transaction failed because an earlier attempt of the same
+/// write, whose response was lost, had taken effect.
 fn is_own_entry(response: &TxnResponse, entry: &Entry) -> bool {
     let stored = first_kv(response.responses.first().cloned()).unwrap_or_default();
     serde_json::from_slice::<Entry>(&stored.value).is_ok_and(|found| found.write == entry.write)
 }
 
+/// Builds the transaction that writes the change, its entry and the new head, and
+/// drops the oldest entry. On failure it reads the entry's key and the changed key.
 fn transaction(
     change: &ConditionalWrite,
     entry: &Entry,
--- a/endivestile_ctl/src/cli.rs
+++ b/endivestile_ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command line.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 
@@ -7,41 +7,41 @@
 
 use crate::load::LoadArgs;
 
-/// Tool of the operators and callers of endivestile.
+/// Command-line tool of the operators and callers of endivestile.
 #[derive(Debug, Parser)]
 #[command(name = "endivectl", version)]
 pub(crate) struct Cli {
-    /// Options of all commands.
+    /// Options shared by all commands.
     #[command(flatten)]
     pub(crate) common: Common,
-    /// The command.
+    /// Command to run.
     #[command(subcommand)]
     pub(crate) command: Command,
 }
 
-/// Options of all commands.
+/// Options shared by all commands.
 #[derive(Debug, Args)]
 pub(crate) struct Common {
     /// Addresses of the platform's store, IP:port, separated by commas.
     #[arg(long, global = true, env = "ENDIVESTILE_STORE", value_delimiter = ',')]
     pub(crate) store: Vec<SocketAddr>,
-    /// Time for a whole command against the store, in milliseconds.
+    /// Time limit for all store calls of a command, in milliseconds.
     #[arg(long, global = true, default_value_t = 10_000,
           value_parser = clap::value_parser!(u64).range(1..=600_000))]
     pub(crate) timeout_ms: u64,
-    /// Writes JSON, for scripts.
+    /// Writes JSON for scripts.
     #[arg(long, global = true)]
     pub(crate) json: bool,
 }
 
-/// Commands.
+/// The commands.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Checks inventory and rules without the store.
+    /// Checks inventory and rules without access to the store.
     Check(FileArgs),
-    /// Shows what files would change in the configuration in force.
+    /// Shows what the files would change in the configuration in force.
     Diff(FileArgs),
-    /// Puts files in force as the next revision.
+    /// Puts the files in force as the next revision of the configuration.
     Apply(ApplyArgs),
     /// Shows the configuration in force in its canonical form.
     Show(ShowArgs),
@@ -49,35 +49,35 @@
     Status(StatusArgs),
     /// Starts the planned stop of a host, backend server or worker.
     Stop(StopArgs),
-    /// Takes a planned stop back.
+    /// Cancels a planned stop.
     Resume(StopArgs),
     /// Shows the audit trail.
     History(HistoryArgs),
     /// Submits a request or a job and shows its answer.
     Submit(SubmitArgs),
-    /// Sends bounded load and reports on the answers.
+    /// Sends load for a limited time and reports on the answers.
     Load(LoadArgs),
-    /// Says from hosts' logs why jobs were not served in time.
+    /// Explains from the logs of hosts why jobs were not served in time.
     Explain(ExplainArgs),
-    /// Writes a shell's completion script.
+    /// Writes a completion script for a shell.
     Completions(CompletionArgs),
 }
 
-/// Files of inventory and rules.
+/// Files with inventory and rules.
 #[derive(Debug, Args)]
 pub(crate) struct FileArgs {
-    /// Files that together hold inventory and rules.
+    /// Files that together contain inventory and rules.
     #[arg(required = true)]
     pub(crate) files: Vec<String>,
 }
 
-/// Who changes something, and why.
+/// Author of a change and a note on it.
 #[derive(Debug, Args)]
 pub(crate) struct AuthorArgs {
-    /// Operator whom the audit trail names.
+    /// Operator named in the audit trail.
     #[arg(long, env = "USER", default_value = "unknown")]
     pub(crate) who: String,
-    /// Words for the audit trail.
+    /// Note for the audit trail.
     #[arg(long, default_value = "")]
     pub(crate) note: String,
 }
@@ -85,13 +85,13 @@
 /// Arguments of `apply`.
 #[derive(Debug, Args)]
 pub(crate) struct ApplyArgs {
-    /// Files that together hold inventory and rules.
+    /// Files that together contain inventory and rules.
     #[command(flatten)]
     pub(crate) files: FileArgs,
-    /// Revision that the files were made from; else the one they name, else 0.
+    /// Revision that the files are based on; defaults to the one they name, else 0.
     #[arg(long)]
     pub(crate) base: Option<u64>,
-    /// Who changes something, and why.
+    /// Author of the change and a note on it.
     #[command(flatten)]
     pub(crate) author: AuthorArgs,
 }
@@ -99,7 +99,7 @@
 /// Arguments of `show`.
 #[derive(Debug, Args)]
 pub(crate) struct ShowArgs {
-    /// Shows the revision only.
+    /// Shows only the revision.
     #[arg(long)]
     pub(crate) revision: bool,
 }
@@ -107,7 +107,7 @@
 /// Arguments of `status`.
 #[derive(Debug, Args)]
 pub(crate) struct StatusArgs {
-    /// Callers' address of an entry host, or that of its page of counts, IP:port; may be
+    /// Caller-facing address of an entry host, or that of its metrics page, IP:port; may be
     /// repeated.
     #[arg(long = "host", required = true, value_delimiter = ',')]
     pub(crate) hosts: Vec<SocketAddr>,
@@ -118,7 +118,7 @@
 pub(crate) struct StopArgs {
     /// Name of a host, backend server or worker of the inventory.
     pub(crate) name: String,
-    /// Who changes something, and why.
+    /// Author of the change and a note on it.
     #[command(flatten)]
     pub(crate) author: AuthorArgs,
 }
@@ -126,7 +126,7 @@
 /// Arguments of `history`.
 #[derive(Debug, Args)]
 pub(crate) struct HistoryArgs {
-    /// Entries shown, the latest first.
+    /// Number of entries to show, latest first.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=1_000))]
     pub(crate) last: u64,
 }
@@ -134,27 +134,27 @@
 /// Arguments of `submit`.
 #[derive(Debug, Args)]
 pub(crate) struct SubmitArgs {
-    /// Callers' address of an entry host, IP:port; the next one is tried, with
-    /// the same id, when one gives no answer.
+    /// Caller-facing address of an entry host, IP:port; if one does not answer, the
+    /// next one is tried with the same id.
     #[arg(long = "host", required = true, value_delimiter = ',')]
     pub(crate) hosts: Vec<SocketAddr>,
-    /// Team on whose behalf it runs.
+    /// Team that the submission belongs to.
     #[arg(long)]
     pub(crate) team: String,
-    /// Sends a request to this service; without it the body is a job in JSON.
+    /// Service to send a request to; without it the body is a job in JSON.
     #[arg(long)]
     pub(crate) service: Option<String>,
     /// Marks a request as idempotent.
     #[arg(long, requires = "service")]
     pub(crate) idempotent: bool,
-    /// Submission id; else the entry host issues one.
+    /// Submission id; without it the entry host issues one.
     #[arg(long)]
     pub(crate) id: Option<String>,
     /// Time until the deadline, in milliseconds.
     #[arg(long, default_value_t = 30_000,
           value_parser = clap::value_parser!(u64).range(1..=86_400_000))]
     pub(crate) deadline_ms: u64,
-    /// File of the body, - for standard input.
+    /// File with the body, - for standard input.
     #[arg(default_value = "-")]
     pub(crate) file: String,
 }
@@ -165,25 +165,25 @@
     /// Logs of entry hosts, - for standard input.
     #[arg(required = true)]
     pub(crate) files: Vec<String>,
-    /// Shows the causes for each of these too.
+    /// Also shows the causes per group.
     #[arg(long)]
     pub(crate) by: Option<Grouping>,
 }
 
-/// By what `explain` groups jobs.
+/// Criterion by which `explain` groups jobs.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 pub(crate) enum Grouping {
-    /// The second in which they came.
+    /// Second of arrival.
     Second,
-    /// The availability zone of the host that took them.
+    /// Availability zone of the host that accepted the job.
     Zone,
-    /// Their route.
+    /// Route of the job.
     Route,
 }
 
 /// Arguments of `completions`.
 #[derive(Debug, Args)]
 pub(crate) struct CompletionArgs {
-    /// The shell.
+    /// Shell to write the script for.
     pub(crate) shell: Shell,
 }
--- a/endivestile_ctl/src/command/apply.rs
+++ b/endivestile_ctl/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: puts files in force as the next revision.
+//! `apply`: puts a configuration in force as the next revision.
 
 use std::fmt::Write;
 
@@ -16,21 +16,21 @@
 use crate::store::Store;
 use crate::{files, out};
 
-/// Entries of the audit trail that a conflict looks back over.
+/// Number of latest audit entries that a conflict searches for the others' changes.
 const CONFLICT_ENTRIES: u64 = 50;
 
-/// What `apply` did.
+/// Result of `apply`.
 #[derive(Debug, Serialize)]
 struct Applied {
     /// Revision in force.
     revision: u64,
-    /// Keys that changed.
+    /// Number of changed keys.
     changes: usize,
-    /// Serial number of the audit entry; 0 when nothing had to be changed.
+    /// Serial number of the audit entry; 0 if nothing changed.
     serial: u64,
 }
 
-/// Puts files in force as the next revision.
+/// Puts a configuration in force as the next revision.
 pub(crate) fn run(context: &Context, args: &ApplyArgs) -> Result<Exit, CtlError> {
     let mut config = files::read_config(&args.files.files)?;
     let base = args.base.unwrap_or(config.revision);
@@ -38,8 +38,8 @@
     let current = read_current_config(&mut store)?;
     let stored_head = StoredHead::read(&mut store)?;
     let latest = current.config.revision.max(stored_head.head.revision);
-    // Where no host takes what the store holds, nobody's change can be written
-    // over; a higher base is how operators go on after the store lost everything.
+    // If hosts reject what the store holds, no accepted change can be overwritten.
+    // Operators then pass a higher base, for example after the store lost its data.
     let replaceable = current.key_revision == 0 || current.invalid_reason.is_some();
     if base < latest || base > latest && !replaceable {
         return Err(conflict(&mut store, base, latest));
@@ -51,7 +51,7 @@
         return Ok(Exit::Done);
     }
     if let Some(invalid_reason) = &current.invalid_reason {
-        out::print_error(&format!("the value that no host takes is replaced: {invalid_reason}"));
+        out::print_error(&format!("replacing an invalid configuration: {invalid_reason}"));
     }
     check_change(&current.config, &config).map_err(CtlError::Refused)?;
     let mut entry = Entry::new(Action::Apply, &args.author.who, &args.author.note);
@@ -86,13 +86,13 @@
     }
 }
 
-/// Tells what others changed since the revision that the files were made from.
+/// Returns a conflict error that lists the changes made by others since revision `base`.
 fn conflict(store: &mut Store, base: u64, revision: u64) -> CtlError {
     let mut text = format!(
-        "revision {revision} was accepted last, the files were made from revision {base}; \
+        "the last accepted revision is {revision}, the files are based on revision {base}; \
          nothing was changed"
     );
-    // The conflict stands without the trail too.
+    // The conflict is reported even if the audit trail can't be read.
     let trail = read_entries(store, CONFLICT_ENTRIES).unwrap_or_default();
     for entry in trail.iter().filter(|entry| entry.revision > base) {
         let at = out::format_utc(entry.at_s);
@@ -103,7 +103,7 @@
     CtlError::Conflict(text)
 }
 
-/// Adds changed keys to a text, one a line.
+/// Appends changed keys to a text, one per line.
 pub(crate) fn append_changes(text: &mut String, changes: &[Change], omitted: usize) {
     for change in changes {
         // Writing to a string can't fail.
--- a/endivestile_ctl/src/command/history.rs
+++ b/endivestile_ctl/src/command/history.rs
@@ -1,4 +1,4 @@
-//! `history`: the audit trail.
+//! `history`: shows the audit trail.
 
 use endivestile_wire::key;
 use endivestile_wire::store::KeyValue;
@@ -13,10 +13,10 @@
 use crate::out;
 use crate::store::{Store, prefix_range};
 
-/// Entries that one call reads.
+/// Entries read by one call to the store.
 const PAGE_SIZE: u64 = 100;
 
-/// Shows the audit trail, the latest entry first.
+/// Shows the audit trail, latest entry first.
 pub(crate) fn run(context: &Context, args: &HistoryArgs) -> Result<Exit, CtlError> {
     let mut trail = read_entries(&mut context.store()?, args.last)?;
     trail.reverse();
@@ -28,7 +28,7 @@
     Ok(Exit::Done)
 }
 
-/// Reads the last entries, the oldest first.
+/// Reads the last entries, oldest first.
 pub(crate) fn read_entries(store: &mut Store, last: u64) -> Result<Vec<Entry>, CtlError> {
     let head = StoredHead::read(store)?.head;
     let mut entries: Vec<Entry> = Vec::new();
@@ -43,8 +43,10 @@
     Ok(entries)
 }
 
-/// Reads an entry. One that was written past the tools is told and left out;
-/// it must not hold up the changes that look into the trail.
+/// Decodes an entry; reports an invalid one and skips it.
+///
+/// An entry written without this tool must not block `apply`, which reads the
+/// trail on a conflict.
 fn parse_entry(kv: &KeyValue) -> Option<Entry> {
     let entry = serde_json::from_slice(&kv.value).map_err(|error| CtlError::InvalidValue {
         step: "read-history",
--- a/endivestile_ctl/src/command/mod.rs
+++ b/endivestile_ctl/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Implementations of the commands.
 
 mod apply;
 mod history;
@@ -17,7 +17,7 @@
 use crate::exit::Exit;
 use crate::{explain, load};
 
-/// Name of the program.
+/// Program name in completion scripts.
 const PROGRAM: &str = "endivectl";
 
 /// Runs a command.
--- a/endivestile_ctl/src/command/review.rs
+++ b/endivestile_ctl/src/command/review.rs
@@ -1,4 +1,4 @@
-//! `check`, `diff` and `show`: they change nothing.
+//! The read-only commands `check`, `diff` and `show`.
 
 use endivestile_config::{Change, diff as changes};
 use serde::Serialize;
@@ -9,7 +9,7 @@
 use crate::exit::Exit;
 use crate::{files, out};
 
-/// Numbers of a configuration that passed the check.
+/// Counts of the items in a valid configuration.
 #[derive(Debug, Serialize)]
 struct CheckSummary {
     /// Availability zones.
@@ -24,11 +24,11 @@
     services: usize,
     /// Teams.
     teams: usize,
-    /// Size of the canonical form.
+    /// Size of the canonical form, in bytes.
     bytes: usize,
 }
 
-/// Differences to the configuration in force.
+/// Differences from the configuration in force.
 #[derive(Debug, Serialize)]
 struct Difference<'a> {
     /// Revision in force.
@@ -37,7 +37,7 @@
     changes: &'a [Change],
 }
 
-/// Checks files without the store.
+/// Checks a configuration without access to the store.
 pub(crate) fn check(context: &Context, args: &FileArgs) -> Result<Exit, CtlError> {
     let config = files::read_config(&args.files)?;
     let summary = CheckSummary {
@@ -61,7 +61,7 @@
     Ok(Exit::Done)
 }
 
-/// Shows what files would change.
+/// Shows what a configuration would change.
 pub(crate) fn diff(context: &Context, args: &FileArgs) -> Result<Exit, CtlError> {
     let config = files::read_config(&args.files)?;
     let current = read_current_config(&mut context.store()?)?.into_valid()?;
--- a/endivestile_ctl/src/command/status.rs
+++ b/endivestile_ctl/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the state of entry hosts, side by side.
+//! `status`: shows the state of entry hosts side by side.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,20 +12,20 @@
 use crate::http::HostClient;
 use crate::out;
 
-/// Row that tells why a host gave no state.
+/// Row with the error of a host whose state could not be read.
 const ERROR: &str = "error";
-/// Widest value of the table, in characters.
+/// Width of a host's column, in characters.
 const COLUMN_WIDTH: usize = 24;
 
-/// Lists that the table sums up: their fields counted by value, and added up.
-/// A table of every shard and server of every host would show nothing.
+/// Lists that the table summarizes: name, fields counted by value, fields added up.
+/// A row for each shard and server of each host would make the table unreadable.
 const SUMMARIZED: [(&str, &[&str], &[&str]); 3] = [
     ("hosts", &["state"], &["backlog"]),
     ("shards", &["role", "synced"], &["ids"]),
     ("servers", &["health"], &["slots", "free", "waiting"]),
 ];
 
-/// Shows the state of entry hosts: one column a host, one row a value.
+/// Shows the state of entry hosts, with one column per host and one row per value.
 pub(crate) fn run(context: &Context, args: &StatusArgs) -> Result<Exit, CtlError> {
     let http = HostClient::new();
     let mut unreachable = false;
@@ -67,14 +67,14 @@
     text
 }
 
-/// Returns the counters of a host's state.
+/// Returns the counters in a host's state.
 pub(crate) fn counters(page: &Value) -> BTreeMap<String, u64> {
     let fields = page.get("counters").and_then(Value::as_object);
     let counts = fields.into_iter().flatten();
     counts.filter_map(|(name, count)| Some((name.clone(), count.as_u64()?))).collect()
 }
 
-/// Turns nested values into rows named by their path.
+/// Flattens nested values into rows named by their path.
 fn flatten_page(page: &Value) -> BTreeMap<String, String> {
     let mut rows = BTreeMap::new();
     collect_rows("", page, &mut rows);
@@ -112,12 +112,13 @@
     rows.insert(path.to_owned(), items.len().to_string());
     for field in counted {
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
-        for word in items.iter().filter_map(|item| item.get(field)) {
-            let word = word.as_str().map_or_else(|| word.to_string(), str::to_lowercase);
-            *counts.entry(word).or_default() += 1;
+        for field_value in items.iter().filter_map(|item| item.get(field)) {
+            let field_value =
+                field_value.as_str().map_or_else(|| field_value.to_string(), str::to_lowercase);
+            *counts.entry(field_value).or_default() += 1;
         }
-        for (word, count) in counts {
-            rows.insert(format!("{path}.{field}.{word}"), count.to_string());
+        for (field_value, count) in counts {
+            rows.insert(format!("{path}.{field}.{field_value}"), count.to_string());
         }
     }
     for field in summed {
--- a/endivestile_ctl/src/command/stop.rs
+++ b/endivestile_ctl/src/command/stop.rs
@@ -1,4 +1,4 @@
-//! `stop` and `resume`: planned stops.
+//! `stop` and `resume`: start and cancel planned stops.
 
 use endivestile_wire::key;
 use serde::Serialize;
@@ -11,23 +11,23 @@
 use crate::exit::Exit;
 use crate::out;
 
-/// Value of the key of a planned stop.
+/// Stored value of a planned stop.
 #[derive(Debug, Serialize)]
 struct PlannedStop<'a> {
-    /// Operator.
+    /// Operator who started it.
     who: &'a str,
-    /// When it was started, in seconds since 1970.
+    /// Start time, in seconds since 1970.
     at_s: u64,
 }
 
-/// What the command did.
+/// Result of `stop` or `resume`.
 #[derive(Debug, Serialize)]
 struct StopResult<'a> {
-    /// Host, backend server or worker.
+    /// Name of the host, backend server or worker.
     name: &'a str,
-    /// Whether it is stopping now.
+    /// Whether its planned stop is in force.
     stopping: bool,
-    /// Serial number of the audit entry; 0 when nothing had to be changed.
+    /// Serial number of the audit entry; 0 if nothing changed.
     serial: u64,
 }
 
@@ -36,7 +36,7 @@
     set_stop(context, args, true)
 }
 
-/// Takes a planned stop back.
+/// Cancels a planned stop.
 pub(crate) fn resume(context: &Context, args: &StopArgs) -> Result<Exit, CtlError> {
     set_stop(context, args, false)
 }
@@ -47,7 +47,7 @@
     let path = format!("{}{name}", key::STOPS);
     let stored = store.get("read-stop", &path)?;
     let stopped = stored.mod_revision > 0;
-    // A stop may be taken back after its machine has left the inventory.
+    // A stop may be cancelled after its target was removed from the inventory.
     if !stopped {
         check_name(&read_current_config(&mut store)?, name)?;
     }
@@ -73,14 +73,14 @@
             Ok(Exit::Done)
         }
         Outcome::KeyChanged => {
-            let reason = format!("somebody else changed the planned stop of {name} meanwhile");
+            let reason = format!("the planned stop of {name} was changed at the same time");
             Err(CtlError::Conflict(reason))
         }
     }
 }
 
-/// Refuses a name that no machine has. A configuration that can't be read must
-/// not stand in the way of a stop.
+/// Rejects a name that is not in the inventory. An invalid configuration must not
+/// prevent a stop, so any name is accepted then.
 fn check_name(current: &CurrentConfig, name: &str) -> Result<(), CtlError> {
     let config = &current.config;
     let exists = config.hosts.contains_key(name)
--- a/endivestile_ctl/src/command/submit.rs
+++ b/endivestile_ctl/src/command/submit.rs
@@ -1,4 +1,4 @@
-//! `submit`: one request or job.
+//! `submit`: submits one request or job.
 
 use std::net::SocketAddr;
 
@@ -13,23 +13,23 @@
 use crate::http::{Call, CallError, Class, HostClient, Payload, Reply};
 use crate::{files, out};
 
-/// Largest body that is sent, in bytes.
+/// Size limit of a submitted body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// An answer with `--json`.
+/// An answer as written with `--json`.
 #[derive(Debug, Serialize)]
 struct JsonReply {
-    /// What it says of the submission.
+    /// State of the submission.
     class: Class,
-    /// HTTP status; 0 when no answer came.
+    /// HTTP status; 0 if there was no answer.
     status: u16,
-    /// Submission id, if it had one.
+    /// Submission id, if any.
     id: Option<String>,
-    /// Body: JSON where it is that, else text.
+    /// Body, as JSON if it parses as such, else as text.
     body: Value,
 }
 
-/// Submits and shows the answer.
+/// Submits a request or job and shows the answer.
 pub(crate) fn run(context: &Context, args: &SubmitArgs) -> Result<Exit, CtlError> {
     let payload = read_payload(args)?;
     let http = HostClient::new();
@@ -54,9 +54,9 @@
 
 /// Submits to one host after another until one answers.
 ///
-/// A host may die after it took the submission. Under the same id another host
-/// attaches the caller to what runs already, or says that it can't tell; it
-/// starts nothing twice.
+/// A host may crash after it accepted the submission. Under the same id another
+/// host attaches the caller to what is already running, or answers that the state
+/// is unknown; nothing starts twice.
 fn submit(http: &HostClient, hosts: &[SocketAddr], call: &Call<'_>) -> Result<Reply, CallError> {
     let mut sent = false;
     let mut reason = String::new();
@@ -74,21 +74,25 @@
     Err(CallError { sent, reason })
 }
 
-/// Takes no host's word that nothing ran after another was sent the submission
-/// and stayed silent: a paused host may start it when it wakes. The caller
-/// would do the work elsewhere, and it would be done twice.
+/// Changes an answer that nothing ran to unknown.
+///
+/// Used after an earlier host was sent the submission and did not answer: a
+/// paused host may start it when it resumes. A caller that reads "not run"
+/// could submit the work elsewhere, and it would run twice.
 fn downgrade_not_run(reply: Reply) -> Reply {
     if reply.class != Class::NotRun {
         return reply;
     }
-    out::print_error("refused as not run, but an earlier host gave no answer and may still run it");
+    out::print_error(
+        "the answer is \"not run\", but an earlier host did not answer and may still run it",
+    );
     Reply { class: Class::Unknown, ..reply }
 }
 
 fn read_payload(args: &SubmitArgs) -> Result<Payload, CtlError> {
     let body = files::read(&args.file, MAX_BODY_BYTES)?;
     if body.len() > MAX_BODY_BYTES {
-        return Err(CtlError::Usage(format!("the body is over {MAX_BODY_BYTES} bytes")));
+        return Err(CtlError::Usage(format!("the body is larger than {MAX_BODY_BYTES} bytes")));
     }
     if let Some(service) = &args.service {
         let (service, idempotent) = (service.clone(), args.idempotent);
@@ -107,7 +111,7 @@
         match http.issue_ids(*host, 1) {
             Ok(ids) => match ids.into_iter().next() {
                 Some(id) => return Ok(id),
-                None => last = unreachable("no id came back".to_owned()),
+                None => last = unreachable("the host issued no id".to_owned()),
             },
             Err(call_error) => last = unreachable(call_error.reason),
         }
--- a/endivestile_ctl/src/context.rs
+++ b/endivestile_ctl/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command is given.
+//! Options shared by all commands, and the configuration in force.
 
 use std::net::SocketAddr;
 
@@ -10,33 +10,33 @@
 use crate::error::CtlError;
 use crate::store::Store;
 
-/// Step that errors name.
+/// Step named in error messages.
 const STEP: &str = "read-config";
 
-/// Options that all commands share.
+/// Options shared by all commands.
 #[derive(Debug)]
 pub(crate) struct Context {
     /// Addresses of the store.
     addresses: Vec<SocketAddr>,
-    /// Time for a whole command against the store, in milliseconds.
+    /// Time limit for all store calls of a command, in milliseconds.
     timeout_ms: u64,
-    /// Whether output is JSON.
+    /// Whether to write JSON.
     pub(crate) json: bool,
 }
 
-/// What the configuration's key holds.
+/// The configuration as read from its key in the store.
 #[derive(Debug, Default)]
 pub(crate) struct CurrentConfig {
-    /// The configuration; revision 0 when there is none, or none that can be read.
+    /// The configuration; the default with revision 0 if it is absent or can't be parsed.
     pub(crate) config: Config,
-    /// Revision of the key's last change; 0 when absent.
+    /// Revision of the key's last change; 0 if absent.
     pub(crate) key_revision: i64,
-    /// Why no host takes the value, if it was written past the tools.
+    /// Why hosts reject the value. Only a value that was written without this tool is invalid.
     pub(crate) invalid_reason: Option<String>,
 }
 
 impl CurrentConfig {
-    /// Returns the configuration, if it is one that hosts take.
+    /// Returns the configuration, or an error if hosts reject it.
     pub(crate) fn into_valid(self) -> Result<Config, CtlError> {
         match self.invalid_reason {
             Some(reason) => {
@@ -48,18 +48,18 @@
 }
 
 impl Context {
-    /// Takes over the command line's common options.
+    /// Creates a context from the command line's common options.
     pub(crate) fn new(common: Common) -> Self {
         Self { addresses: common.store, timeout_ms: common.timeout_ms, json: common.json }
     }
 
-    /// Makes a client of the store, whose deadline starts now.
+    /// Creates a store client; its time limit starts now.
     pub(crate) fn store(&self) -> Result<Store, CtlError> {
         Store::new(self.addresses.clone(), self.timeout_ms)
     }
 }
 
-/// Reads what the configuration's key holds.
+/// Reads, parses and checks the configuration in the store.
 pub(crate) fn read_current_config(store: &mut Store) -> Result<CurrentConfig, CtlError> {
     let found = store.get(STEP, key::CONFIG)?;
     if found.mod_revision == 0 {
--- a/endivestile_ctl/src/error.rs
+++ b/endivestile_ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the tool.
+//! Errors of the commands.
 
 use std::io;
 
@@ -7,39 +7,39 @@
 
 quick_error! {
     /// Why a command failed.
-    // The macro takes no doc comments on fields and no other visibility.
+    // The macro accepts neither doc comments on fields nor another visibility.
     #[allow(missing_docs, unreachable_pub)]
     #[derive(Debug)]
     pub enum CtlError {
-        /// A file can't be read or written.
+        /// A file or another resource of the operating system can't be used.
         File { step: &'static str, file: String, cause: io::Error } {
             display("step={step} file={file}: {cause}")
             source(cause)
         }
-        /// Wrong arguments that the parser can't see.
+        /// Arguments are invalid in a way that clap does not detect.
         Usage(reason: String) {
             display("{reason}")
         }
-        /// Settings, inventory or rules are refused.
+        /// The configuration is invalid, or changes what is fixed.
         Refused(errors: Vec<ConfigError>) {
             display("{}", lines(errors))
         }
-        /// Somebody else's change came first.
+        /// Another change was made first.
         Conflict(reason: String) {
             display("conflict: {reason}")
         }
-        /// A write was sent and its outcome could not be learnt.
+        /// A write was sent, but its outcome is unknown.
         OutcomeUnknown { step: &'static str, peer: String, reason: String, write: String } {
             display(
                 "step={step} peer={peer}: {reason}; it may have taken effect, look for write \
-                 {write} in the history before another try"
+                 {write} in the history before you retry"
             )
         }
-        /// Store or host out of reach; nothing took effect.
+        /// The store or a host can't be reached; nothing took effect.
         Unreachable { step: &'static str, peer: String, reason: String } {
             display("step={step} peer={peer}: {reason}; nothing was changed")
         }
-        /// The store holds something that can't be read.
+        /// A value in the store can't be decoded, or one can't be encoded.
         InvalidValue { step: &'static str, key: String, reason: String } {
             display("step={step} key={key}: {reason}")
         }
--- a/endivestile_ctl/src/exit.rs
+++ b/endivestile_ctl/src/exit.rs
@@ -1,34 +1,34 @@
-//! Exit codes.
+//! Exit codes of the tool.
 
 use std::process::ExitCode;
 
 use crate::error::CtlError;
 use crate::http::Class;
 
-/// How the tool ended; scripts go by the number.
+/// Exit status; scripts depend on the numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// Done.
+    /// Success.
     Done = 0,
-    /// The tool itself failed, for example on a file.
+    /// The tool failed, for example to read a file or a stored value.
     Internal = 1,
-    /// Wrong arguments.
+    /// Invalid arguments.
     Usage = 2,
-    /// Settings, inventory or rules are refused.
+    /// The configuration is invalid, or changes what is fixed.
     Refused = 3,
-    /// Somebody else's change came first; nothing was changed.
+    /// Another change was made first; nothing was changed.
     Conflict = 4,
-    /// Nobody in reach can tell whether it took effect.
+    /// Whether the call took effect is unknown.
     Unknown = 5,
-    /// Store or host out of reach; nothing took effect.
+    /// The store or a host can't be reached; nothing took effect.
     Unreachable = 6,
     /// The submission was refused; no task ran.
     NotRun = 7,
     /// The submission failed or was cancelled; tasks may have run.
     Failed = 8,
-    /// The entry host found the submission invalid; nothing ran.
+    /// The entry host rejected the submission as invalid; nothing ran.
     Invalid = 9,
-    /// The submission still runs.
+    /// The submission is still running.
     Running = 10,
 }
 
--- a/endivestile_ctl/src/explain/cause.rs
+++ b/endivestile_ctl/src/explain/cause.rs
@@ -1,10 +1,10 @@
-//! Why a job was not served in time: one cause a job.
+//! Finds the cause why a job was not served in time.
 
 use serde::Serialize;
 
 use super::record::{Answer, JobRecord, OwnerRecord};
 
-/// What kept a job from being served in time.
+/// Cause that kept a job from being served in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Cause {
@@ -12,31 +12,31 @@
     NoRoute,
     /// Operators had evacuated every zone that could run it.
     Evacuated,
-    /// No owner of workers was in reach.
+    /// No owner of workers was reachable.
     NoOwner,
-    /// The owner that had it was lost or lost its workers.
+    /// Its owner was lost, or lost its workers.
     OwnerLost,
-    /// Others went before it until its objective was out of reach.
+    /// It waited behind other jobs until its objective could not be met.
     WaitedBehind,
-    /// It was begun in time, on a worker too slow for its objective.
+    /// It was started in time, on a worker too slow for its objective.
     SlowWorker,
-    /// A run of it stalled, failed or came to no end.
+    /// One of its runs stalled, failed or vanished.
     RunTrouble,
-    /// It was refused while its owner had room.
+    /// It was refused while its owner had free capacity.
     RefusedWithRoom,
-    /// It was refused while its owner had no room.
+    /// It was refused while its owner had no free capacity.
     RefusedFull,
-    /// A task of it failed as often as its route allows.
+    /// One of its tasks failed as often as its route allows.
     FailedItself,
-    /// Its caller went away.
+    /// Its caller disconnected.
     CallerLeft,
-    /// No answer is in the logs: the host that took it died, or the log ends.
+    /// The logs hold no answer: the host that accepted it crashed, or the log ends.
     NoAnswer,
-    /// Something else; the reason stands in the host's answer.
+    /// Another cause; the host's answer gives the reason.
     Other,
 }
 
-/// Returns why a job was not served in time; none if it was.
+/// Returns why a job was not served in time; `None` if it was.
 pub(crate) fn find_cause(job: &JobRecord) -> Option<Cause> {
     if job.caller_left {
         return Some(Cause::CallerLeft);
@@ -50,35 +50,35 @@
     }
 }
 
-/// Returns why a job that ended well ended late.
-fn late_cause(answer: &Answer, owner_record: Option<&OwnerRecord>) -> Option<Cause> {
-    let owner_record =
-        owner_record.filter(|owner_record| owner_record.ended_ms > owner_record.objective_ms);
-    // A job that was handed from one placer to the next ends in time by the
-    // later one's count, or says nothing there.
+/// Returns why a completed job was late; `None` if it was not.
+fn late_cause(answer: &Answer, record: Option<&OwnerRecord>) -> Option<Cause> {
+    let record = record.filter(|record| record.ended_ms > record.objective_ms);
+    // For a job that changed owners, the last owner's record shows it as in time or
+    // is missing.
     if answer.attempts > 1 {
         return Some(Cause::OwnerLost);
     }
-    owner_record.map(delay_cause)
+    record.map(delay_cause)
 }
 
-/// Returns what delayed a job that was begun.
-fn delay_cause(owner_record: &OwnerRecord) -> Cause {
-    if owner_record.failed_runs > 0 {
+/// Returns what delayed a job that was started.
+fn delay_cause(record: &OwnerRecord) -> Cause {
+    if record.failed_runs > 0 {
         Cause::RunTrouble
-    } else if owner_record.dispatched_ms + owner_record.typical_ms > owner_record.objective_ms {
+    } else if record.dispatched_ms + record.typical_ms > record.objective_ms {
         Cause::WaitedBehind
     } else {
         Cause::SlowWorker
     }
 }
 
-fn refusal_cause(answer: &Answer, owner_record: Option<&OwnerRecord>) -> Cause {
-    match (answer.reason.as_str(), owner_record) {
+/// Returns why a job was refused.
+fn refusal_cause(answer: &Answer, record: Option<&OwnerRecord>) -> Cause {
+    match (answer.reason.as_str(), record) {
         ("no_config", _) => Cause::NoRoute,
         ("evacuated", _) => Cause::Evacuated,
         ("no_placer", _) => Cause::NoOwner,
-        ("overload" | "deadline", Some(owner_record)) if owner_record.free_capacity > 0 => {
+        ("overload" | "deadline", Some(record)) if record.free_workers > 0 => {
             Cause::RefusedWithRoom
         }
         ("overload" | "deadline", _) => Cause::RefusedFull,
@@ -86,11 +86,11 @@
     }
 }
 
-/// Returns why a job was given up after it had begun, or without anybody knowing.
-fn lost_cause(answer: &Answer, owner_record: Option<&OwnerRecord>) -> Cause {
-    match (answer.reason.as_str(), owner_record) {
+/// Returns why a job was given up although it may have started.
+fn lost_cause(answer: &Answer, record: Option<&OwnerRecord>) -> Cause {
+    match (answer.reason.as_str(), record) {
         ("placer_lost", _) => Cause::OwnerLost,
-        ("deadline", Some(owner_record)) if owner_record.started => delay_cause(owner_record),
+        ("deadline", Some(record)) if record.started => delay_cause(record),
         ("deadline", Some(_)) => Cause::WaitedBehind,
         ("deadline", None) => Cause::OwnerLost,
         ("cancelled", _) => Cause::CallerLeft,
--- a/endivestile_ctl/src/explain/line.rs
+++ b/endivestile_ctl/src/explain/line.rs
@@ -1,33 +1,33 @@
-//! One line of a host's log: `time level event=.. key=value ..`.
+//! Parses a line of a host's log: `time level event=.. key=value ..`.
 
-/// Marks the start of the pairs in a line; what a collector of logs puts
-/// before it, such as the host's name, is passed over.
+/// First key of a line. A prefix added by a log collector, such as the host's name,
+/// is ignored.
 const EVENT_KEY: &str = "event=";
 
-/// A line about one event.
+/// A parsed line, which describes one event.
 #[derive(Debug)]
 pub(crate) struct Line<'a> {
-    /// Time of day as written, `YYYY-MM-DDThh:mm:ss.ffffffZ`; empty if there is none.
+    /// Timestamp as written, `YYYY-MM-DDThh:mm:ss.ffffffZ`; empty if missing.
     pub(crate) time: &'a str,
     pairs: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Line<'a> {
-    /// Reads a line; none if it is no event of ours.
+    /// Parses a line; `None` if it holds no event.
     pub(crate) fn parse(text: &'a str) -> Option<Self> {
         let at = text.find(EVENT_KEY)?;
-        let is_timestamp = |word: &&str| word.len() > 19 && word.as_bytes()[10] == b'T';
+        let is_timestamp = |part: &&str| part.len() > 19 && part.as_bytes()[10] == b'T';
         let time = text[..at].split_whitespace().rfind(is_timestamp).unwrap_or("");
         Some(Self { time, pairs: pairs(&text[at..]) })
     }
 
-    /// Returns the value of a key; none if the line has no such key, or an empty value.
+    /// Returns the value of a key; `None` if it is missing or empty.
     pub(crate) fn get(&self, key: &str) -> Option<&'a str> {
         let pair = self.pairs.iter().find(|(name, _)| *name == key);
         pair.map(|(_, value)| *value).filter(|value| !value.is_empty())
     }
 
-    /// Returns a number; none if the line has none under this key.
+    /// Returns the value of a key as a number; `None` if it is missing or not a number.
     pub(crate) fn number(&self, key: &str) -> Option<f64> {
         self.get(key)?.parse().ok()
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Cuts a text into pairs; a value in quotes may hold spaces.
+/// Splits a text into key-value pairs; a quoted value may contain spaces.
 fn pairs(text: &str) -> Vec<(&str, &str)> {
     let mut pairs = Vec::new();
     let mut rest = text.trim_end();
--- a/endivestile_ctl/src/explain/mod.rs
+++ b/endivestile_ctl/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! `explain`: why jobs were not served in time, from the logs of entry hosts.
+//! `explain`: finds in the logs of entry hosts why jobs were not served in time.
 
 mod cause;
 mod line;
@@ -18,7 +18,7 @@
 use record::JobRecords;
 use report::Report;
 
-/// Reads logs and says what became of the jobs in them.
+/// Reads logs and reports on the jobs in them.
 pub(crate) fn run(context: &Context, args: &ExplainArgs) -> Result<Exit, CtlError> {
     let mut records = JobRecords::default();
     for file in &args.files {
@@ -42,7 +42,7 @@
     };
     for text in source.split(b'\n') {
         let text = text.map_err(failed)?;
-        // A host that was killed while it wrote leaves half a character behind.
+        // A host that was killed during a write may leave an incomplete character.
         let text = String::from_utf8_lossy(&text);
         if let Some(line) = Line::parse(&text) {
             records.handle_line(&line);
--- a/endivestile_ctl/src/explain/record.rs
+++ b/endivestile_ctl/src/explain/record.rs
@@ -1,4 +1,4 @@
-//! What the lines of a log say about each job.
+//! Collects what the logs hold about each job.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,79 +6,80 @@
 
 use super::line::Line;
 
-/// What the placer said when a job ended there, as the log names it.
+/// An owner's record of a job that ended there, from the event `placed_job_ended`.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OwnerRecord {
-    /// Whether a task of it was started.
+    /// Whether a task was started.
     pub(crate) started: bool,
-    /// From its arrival until its last order, in milliseconds.
+    /// Time from arrival to the last dispatch of a task, in milliseconds.
     pub(crate) dispatched_ms: f64,
-    /// From its arrival until its end, in milliseconds.
+    /// Time from arrival to the end, in milliseconds.
     pub(crate) ended_ms: f64,
-    /// From its arrival until its caller is no longer served well, in milliseconds.
+    /// Objective: time from arrival within which its caller is served well, in milliseconds.
     pub(crate) objective_ms: f64,
-    /// What a worker of usual speed takes for it, in milliseconds.
+    /// Run time on a worker of usual speed, in milliseconds.
     pub(crate) typical_ms: f64,
-    /// Its work in core-seconds, by the placer's estimate.
+    /// Work in core-seconds, as estimated by the owner.
     pub(crate) core_s: f64,
-    /// Runs that stalled, failed or came to no end.
+    /// Number of runs that stalled, failed or vanished.
     pub(crate) failed_runs: u32,
-    /// Room for usual tasks when it ended.
-    pub(crate) free_capacity: u32,
+    /// Number of usable workers with free capacity for the job when it ended.
+    pub(crate) free_workers: u32,
 }
 
-/// How the host that took a job answered.
+/// Answer of the host that accepted a job.
 #[derive(Debug, Clone)]
 pub(crate) struct Answer {
-    /// How it ended.
+    /// Outcome of the job, as logged.
     pub(crate) end: String,
-    /// Why, if it did not end well.
+    /// Reason, if the job was not completed.
     pub(crate) reason: String,
-    /// Placers that had it.
+    /// Number of owners that were given the job.
     pub(crate) attempts: u32,
 }
 
-/// One job.
+/// What the logs hold about one job.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct JobRecord {
-    /// Second of the day in which it came, as written, to the second.
+    /// Timestamp of its first event, to the second.
     pub(crate) second: String,
-    /// Its route.
+    /// Route.
     pub(crate) route: String,
-    /// Availability zone of the host that took it.
+    /// Availability zone of the host that accepted it.
     pub(crate) zone: String,
-    /// The placer's account; none for a job that ended well.
+    /// Record of the owner at which it ended; `None` if it met its objective there or the
+    /// owner logged nothing.
     pub(crate) owner_record: Option<OwnerRecord>,
-    /// The answer; none if it got none.
+    /// Answer, if any was logged.
     pub(crate) answer: Option<Answer>,
-    /// Whether its caller went away.
+    /// Whether its caller disconnected.
     pub(crate) caller_left: bool,
 }
 
-/// All jobs of the logs.
+/// Records of all jobs, refused calls and evacuations in the logs.
 #[derive(Debug, Default)]
 pub(crate) struct JobRecords {
     /// Jobs by id.
     pub(crate) jobs: HashMap<String, JobRecord>,
-    /// Calls that were turned away before a job was made of them: time, reason.
+    /// Calls that were refused before they became a job: time, reason.
     pub(crate) refused_calls: Vec<(String, String)>,
-    /// Evacuations by zone: the second in which a host first knew of one, and of its end.
+    /// Evacuations by zone.
     pub(crate) evacuations: BTreeMap<String, Evacuation>,
 }
 
-/// When a zone was evacuated.
+/// Times of a zone's evacuation, to the second; empty if not logged.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct Evacuation {
-    /// Second in which a host first knew of it; empty when the log does not tell.
+    /// When the first host learned of it.
     pub(crate) started: String,
-    /// Second in which a host last found that nothing ran there any more.
+    /// When the last host found that nothing ran in the zone any more.
     pub(crate) drained: String,
-    /// Second in which the last host knew of its end.
+    /// When the last host learned of its end.
     pub(crate) ended: String,
 }
 
 impl JobRecords {
-    /// Takes a line in.
+    /// Adds the event of a line.
     pub(crate) fn handle_line(&mut self, line: &Line<'_>) {
         match line.event() {
             "job_sent" => self.handle_sent(line),
@@ -143,7 +144,7 @@
     }
 
     fn handle_ended(&mut self, line: &Line<'_>) {
-        // A task that was passed on is told of by the placer that passed it on.
+        // The owner that forwarded a task logs its own record of the job.
         if line.get("forwarded") == Some("true") {
             return;
         }
@@ -152,6 +153,8 @@
     }
 }
 
+/// Returns an owner's record; `None` for the short line of a job that met its objective,
+/// which lacks these values.
 fn parse_owner_record(line: &Line<'_>) -> Option<OwnerRecord> {
     let count = |key: &str| line.number(key).unwrap_or(0.0) as u32;
     Some(OwnerRecord {
@@ -162,10 +165,11 @@
         typical_ms: line.number("usual_ms")?,
         core_s: line.number("core_ms")? / 1_000.0,
         failed_runs: count("stalled") + count("failed") + count("vanished"),
-        free_capacity: count("free"),
+        free_workers: count("free"),
     })
 }
 
+/// Returns a line's timestamp without the fraction; empty if missing.
 fn second_of(line: &Line<'_>) -> String {
     line.time.get(..19).unwrap_or("").to_owned()
 }
--- a/endivestile_ctl/src/explain/report.rs
+++ b/endivestile_ctl/src/explain/report.rs
@@ -1,4 +1,4 @@
-//! Sums of jobs and of their work by cause.
+//! Sums up jobs and their work by cause.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,12 +9,12 @@
 use super::record::{Evacuation, JobRecord, JobRecords};
 use crate::cli::Grouping;
 
-/// Jobs, and their work.
+/// Number of jobs and their total work.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub(crate) struct Sum {
-    /// Jobs.
+    /// Number of jobs.
     jobs: u32,
-    /// Their work in core-seconds, as far as a placer has told it.
+    /// Their work in core-seconds, as far as owners logged it.
     core_s: f64,
 }
 
@@ -25,25 +25,25 @@
     }
 }
 
-/// What became of the jobs.
+/// Report on the jobs of the logs.
 #[derive(Debug, Serialize)]
 pub(crate) struct Report {
-    /// Jobs seen.
+    /// Number of jobs.
     jobs: u32,
-    /// Those that were served in time, or whose end no placer complained about.
+    /// Jobs served in time, which includes completed ones that no owner logged as late.
     in_time: u32,
-    /// The others, by cause, those with the most work first.
+    /// The other jobs by cause, in descending order of work.
     causes: Vec<(Cause, Sum)>,
-    /// The others again, by what was asked for and by cause.
+    /// The other jobs by the requested grouping and by cause.
     groups: BTreeMap<String, BTreeMap<Cause, Sum>>,
-    /// Calls that no job was made of, by reason.
+    /// Calls that were refused before they became a job, by reason.
     turned_away: BTreeMap<String, u32>,
-    /// Zones that were evacuated, and when.
+    /// Evacuations by zone.
     evacuations: BTreeMap<String, Evacuation>,
 }
 
 impl Report {
-    /// Sums up the jobs of a log.
+    /// Creates the report on all jobs of the logs.
     pub(crate) fn new(records: &JobRecords, by: Option<Grouping>) -> Self {
         let mut causes: BTreeMap<Cause, Sum> = BTreeMap::new();
         let mut groups: BTreeMap<String, BTreeMap<Cause, Sum>> = BTreeMap::new();
--- a/endivestile_ctl/src/files.rs
+++ b/endivestile_ctl/src/files.rs
@@ -1,4 +1,4 @@
-//! Files that operators hand in.
+//! Input files of the commands.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -8,10 +8,12 @@
 
 use crate::error::CtlError;
 
-/// Name that stands for standard input.
+/// File name that selects standard input.
 const STDIN: &str = "-";
 
-/// Reads a file or, for `-`, standard input, up to `limit` bytes and one more.
+/// Reads a file or, for `-`, standard input.
+///
+/// Reads at most `limit + 1` bytes, so that callers can detect a file that is too long.
 pub(crate) fn read(file: &str, limit: usize) -> Result<Vec<u8>, CtlError> {
     let mut bytes = Vec::new();
     let max_bytes = limit as u64 + 1;
@@ -25,7 +27,7 @@
     Ok(bytes)
 }
 
-/// Reads, parses and checks inventory and rules.
+/// Reads, parses and checks a configuration; its errors name file and line.
 pub(crate) fn read_config(files: &[String]) -> Result<Config, CtlError> {
     let mut texts = Vec::new();
     for file in files {
--- a/endivestile_ctl/src/http.rs
+++ b/endivestile_ctl/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls to entry hosts.
+//! HTTP client for the callers' interface of entry hosts.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -12,20 +12,21 @@
 
 /// Header that marks a request as idempotent.
 const IDEMPOTENT_HEADER: &str = "Idempotent";
-/// Header that asks for fresh ids with the answer.
+/// Header that asks the host to issue ids with its answer.
 const WANT_IDS_HEADER: &str = "Want-Ids";
-/// Largest answer that is read, in bytes.
+/// Size limit of an answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 256 << 20;
-/// Time that an answer may come after its deadline, in milliseconds.
+/// Time to wait for an answer after its deadline, in milliseconds; also the timeout of
+/// status calls.
 const ANSWER_GRACE_MS: u64 = 2_000;
-/// Time for a connection, in milliseconds.
+/// Timeout for connecting, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 2_000;
 
-/// What an answer says of a submission.
+/// State of a submission as an answer reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Class {
-    /// All results are there.
+    /// All results are available.
     Complete,
     /// No result; tasks may have run.
     Failed,
@@ -34,29 +35,30 @@
     /// Refused; no task ran.
     #[serde(rename = "not run")]
     NotRun,
-    /// Nobody in reach can tell whether tasks ran.
+    /// Whether tasks ran is unknown.
     Unknown,
     /// Still running.
     Running,
     /// The id belongs to another submission; nothing of this one ran.
     Conflict,
-    /// Nothing is known of the id.
+    /// The id is unknown.
     #[serde(rename = "not found")]
     NotFound,
-    /// Not accepted as it stands; nothing ran.
+    /// Rejected as invalid; nothing ran.
     Invalid,
 }
 
 impl Class {
-    /// Reads the class of an answer. A body that says nothing of a known class
-    /// counts as unknown: to take it for a refusal could make a caller start
-    /// its submission again elsewhere.
+    /// Returns the class of an answer.
+    ///
+    /// A body without a known class counts as unknown: reading it as a refusal
+    /// could make a caller submit again elsewhere, and the work would run twice.
     fn from_answer(answer: Option<&AnswerBody>) -> Self {
         let class_name = answer.map(|answer| answer.status.as_str()).unwrap_or_default();
         serde_json::from_value(class_name.into()).unwrap_or(Self::Unknown)
     }
 
-    /// Returns the word of the interface.
+    /// Returns the name used in the interface.
     pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Complete => "complete",
@@ -75,72 +77,72 @@
 /// What is submitted.
 #[derive(Debug, Clone)]
 pub(crate) enum Payload {
-    /// A request to a service, with its body.
+    /// Request to a service.
     Request {
-        /// The service.
+        /// Name of the service.
         service: String,
-        /// The body.
+        /// Body of the request.
         body: Vec<u8>,
         /// Whether it may run more than once.
         idempotent: bool,
     },
-    /// A job.
+    /// Job of one or more tasks.
     Job(JobBody),
 }
 
-/// A submission on its way.
+/// Submission of a request or job.
 #[derive(Debug)]
 pub(crate) struct Call<'a> {
-    /// Team on whose behalf it runs.
+    /// Team that the submission belongs to.
     pub(crate) team: &'a str,
-    /// Id, if any.
+    /// Submission id, if any.
     pub(crate) id: Option<&'a str>,
     /// Time until the deadline, in milliseconds.
     pub(crate) deadline_ms: u64,
-    /// Fresh ids wanted with the answer.
+    /// Number of ids that the host is asked to issue with its answer.
     pub(crate) ids: usize,
     /// What is submitted.
     pub(crate) payload: &'a Payload,
 }
 
-/// What came back.
+/// Answer of a host.
 #[derive(Debug)]
 pub(crate) struct Reply {
     /// HTTP status.
     pub(crate) status: u16,
-    /// What it says of the submission.
+    /// State of the submission.
     pub(crate) class: Class,
-    /// Body as it came.
+    /// Unchanged body.
     pub(crate) body: Vec<u8>,
-    /// Fresh ids.
+    /// Issued ids.
     pub(crate) ids: Vec<String>,
 }
 
-/// Why nothing came back.
+/// Error of a call without a usable answer.
 #[derive(Debug)]
 pub(crate) struct CallError {
-    /// Whether the call may have arrived.
+    /// Whether the call may have reached the host.
     pub(crate) sent: bool,
-    /// What went wrong.
+    /// Description of the error.
     pub(crate) reason: String,
 }
 
-/// Fresh ids in the body of `POST /v1/ids`.
+/// Response body of `POST /v1/ids`.
 #[derive(Debug, Deserialize)]
 struct Ids {
-    /// The ids.
+    /// Issued ids.
     ids: Vec<String>,
 }
 
-/// Client of entry hosts. Each thread has its own, for the connections.
+/// Client for entry hosts. Each thread uses its own, and so its own connections.
 #[derive(Debug)]
 pub(crate) struct HostClient {
-    /// The library's client.
+    /// Client of the HTTP library.
     agent: Agent,
 }
 
 impl HostClient {
-    /// Makes a client without open connections.
+    /// Creates a client without open connections.
     pub(crate) fn new() -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -150,7 +152,7 @@
         Self { agent: config.new_agent() }
     }
 
-    /// Submits and waits for the answer.
+    /// Submits a request or job and waits for the answer.
     pub(crate) fn submit(&self, host: SocketAddr, call: &Call<'_>) -> Result<Reply, CallError> {
         let (path, body) = match call.payload {
             Payload::Request { service, body, .. } => {
@@ -179,7 +181,7 @@
         parse_reply(response, matches!(call.payload, Payload::Request { .. }))
     }
 
-    /// Asks for fresh ids.
+    /// Asks a host to issue `count` ids.
     pub(crate) fn issue_ids(
         &self,
         host: SocketAddr,
@@ -191,7 +193,7 @@
         Ok(ids.ids)
     }
 
-    /// Reads the state of a host, or its page of counts.
+    /// Reads the state or the metrics page of a host.
     pub(crate) fn status(&self, host: SocketAddr) -> Result<serde_json::Value, CallError> {
         let request = self.agent.get(format!("http://{host}/status")).config();
         let request = request.timeout_global(Some(Duration::from_millis(ANSWER_GRACE_MS))).build();
@@ -200,6 +202,7 @@
         page.or_else(|error| parse_metrics(&body).ok_or_else(|| malformed(&error)))
     }
 
+    /// Returns the body of a successful response, or an error with its status and body.
     fn success_body(&self, response: Response<Body>) -> Result<Vec<u8>, CallError> {
         let status = response.status();
         let body = read_body(response)?;
@@ -211,7 +214,7 @@
     }
 }
 
-/// Reads a page of counts, one `name value` a line; none if it is no such page.
+/// Parses a metrics page with one `name value` per line; `None` if it is not one.
 fn parse_metrics(body: &[u8]) -> Option<serde_json::Value> {
     let text = std::str::from_utf8(body).ok().filter(|text| !text.is_empty())?;
     let metrics = text.lines().map(|line| {
@@ -221,6 +224,7 @@
     metrics.collect::<Option<serde_json::Map<_, _>>>().map(serde_json::Value::Object)
 }
 
+/// Reads a response. With `is_raw`, a body with status 200 is the result itself.
 fn parse_reply(response: Response<Body>, is_raw: bool) -> Result<Reply, CallError> {
     let status = response.status().as_u16();
     let header = response.headers().get(MINTED_HEADER).and_then(|value| value.to_str().ok());
@@ -245,12 +249,13 @@
 }
 
 fn malformed(error: &serde_json::Error) -> CallError {
-    CallError { sent: true, reason: format!("garbled answer: {error}") }
+    CallError { sent: true, reason: format!("malformed answer: {error}") }
 }
 
-/// Tells calls that never left from calls that may have arrived. To take the
-/// second for the first would make a caller submit again under a new id, and
-/// the work would be done twice.
+/// Converts an error of the library, and decides whether the call may have been sent.
+///
+/// If a call that may have arrived counted as not sent, a caller would submit
+/// again under a new id, and the work would run twice.
 fn call_error(error: Error) -> CallError {
     let not_sent = match &error {
         Error::Io(cause) => cause.kind() == ErrorKind::ConnectionRefused,
--- a/endivestile_ctl/src/lib.rs
+++ b/endivestile_ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! `endivectl` as a library: commands of operators and callers.
+//! Implementation of `endivectl`, the command-line tool of operators and callers.
 
 mod audit;
 mod change;
@@ -22,12 +22,12 @@
 use cli::Cli;
 use exit::Exit;
 
-/// Runs the tool with the arguments of a process and returns its exit code.
+/// Runs the tool with the given process arguments and returns its exit code.
 pub fn run(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(args) {
         Ok(cli) => cli,
         Err(error) => {
-            // Nothing is left to tell when standard error is closed.
+            // A failed write to standard error can't be reported anywhere.
             let _ = error.print();
             return ExitCode::from(error.exit_code() as u8);
         }
--- a/endivestile_ctl/src/load/caller.rs
+++ b/endivestile_ctl/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller of the load.
+//! A caller, which sends submissions one after another.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,31 +10,31 @@
 use super::workload::Submission;
 use crate::http::{Call, HostClient};
 
-/// How far behind its time a submission may start without being counted as late.
+/// Delay after which the start of a submission counts as late.
 const LATE_AFTER: Duration = Duration::from_millis(2);
-/// Ids that are asked for at once when none is left.
+/// Number of ids requested at once when none is left.
 const ID_BATCH: usize = 64;
 
-/// One caller: it waits for an answer before it sends the next submission.
+/// A caller, which waits for an answer before it sends the next submission.
 #[derive(Debug)]
 pub(super) struct Caller<'a> {
-    /// What all callers share.
+    /// State shared by all callers.
     shared: &'a Shared,
-    /// Connections of this caller.
+    /// Client of this caller.
     http: HostClient,
-    /// Issued ids by the host that issued them and alone may start them.
+    /// Unused ids by the host that issued them; only this host starts them.
     ids: HashMap<SocketAddr, Vec<String>>,
-    /// What came back.
+    /// Results of its submissions.
     results: Results,
 }
 
 impl<'a> Caller<'a> {
-    /// Makes a caller.
+    /// Creates a caller without ids and results.
     pub(super) fn new(shared: &'a Shared) -> Self {
         Self { shared, http: HostClient::new(), ids: HashMap::new(), results: Results::default() }
     }
 
-    /// Sends until the load ends.
+    /// Sends submissions until the load ends.
     pub(super) fn run(mut self) -> Results {
         while let Some(submission) = self.shared.next() {
             self.send(&submission);
@@ -42,6 +42,7 @@
         self.results
     }
 
+    /// Sends a submission when it is due and records the outcome.
     fn send(&mut self, submission: &Submission) {
         let id = if submission.needs_id() { self.take_id(submission) } else { None };
         let due = self.wait_until_due(submission);
@@ -68,9 +69,10 @@
         self.results.record(submission, outcome, at_us, took_us, self.shared.args.trace.is_some());
     }
 
-    /// Waits until the shot is due and returns that instant. A shot that is
-    /// late, because all callers were busy, counts from when it was due; else
-    /// slow answers would hide by slowing the load down.
+    /// Waits until a submission is due and returns that instant.
+    ///
+    /// The latency of a late submission counts from when it was due. Otherwise slow
+    /// answers would delay the following submissions without showing in the report.
     fn wait_until_due(&self, submission: &Submission) -> Instant {
         let now = Instant::now();
         if self.shared.args.rate.is_none() {
@@ -81,6 +83,7 @@
         due
     }
 
+    /// Returns an id for a submission: generated, or issued by its host.
     fn take_id(&mut self, submission: &Submission) -> Option<String> {
         if self.shared.args.own_ids {
             let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -90,7 +93,7 @@
         }
         let ids = self.ids.entry(submission.host).or_default();
         if ids.is_empty() {
-            // Without an id the host refuses the call, and the report shows that.
+            // If no id is issued, the host rejects the call, and the report shows that.
             *ids = self.http.issue_ids(submission.host, ID_BATCH).unwrap_or_default();
         }
         ids.pop()
--- a/endivestile_ctl/src/load/mod.rs
+++ b/endivestile_ctl/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! `load`: bounded load on entry hosts, and a report on the answers.
+//! `load`: sends load to entry hosts for a limited time and reports on the answers.
 
 mod args;
 mod caller;
@@ -22,21 +22,21 @@
 use report::{Report, Results};
 use workload::{Submission, Workload};
 
-/// What the callers share.
+/// State shared by the callers.
 #[derive(Debug)]
 struct Shared {
-    /// Where the next shot comes from.
+    /// Source of the submissions.
     workload: Mutex<Workload>,
-    /// Arguments.
+    /// Arguments of the command.
     args: LoadArgs,
-    /// When the load starts.
+    /// Start of the load.
     start: Instant,
-    /// When no further shot starts.
+    /// Time after which no submission starts.
     end: Instant,
 }
 
 impl Shared {
-    /// Draws the next shot; none when the load has ended.
+    /// Returns the next submission; `None` if the load has ended.
     fn next(&self) -> Option<Submission> {
         if Instant::now() >= self.end {
             return None;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends load and reports.
+/// Sends load and shows the report.
 pub(crate) fn run(context: &Context, args: &LoadArgs) -> Result<Exit, CtlError> {
     args.check().map_err(CtlError::Usage)?;
     let before = sum_counters(args);
@@ -68,7 +68,7 @@
     Ok(if report.answered() { Exit::Done } else { Exit::Unreachable })
 }
 
-/// Runs all callers to their end.
+/// Runs all callers; returns their results and the elapsed seconds.
 fn run_callers(args: &LoadArgs) -> Result<(Results, f64), CtlError> {
     let start = Instant::now();
     let end = start + Duration::from_secs(args.seconds);
@@ -92,7 +92,7 @@
     Ok((results, start.elapsed().as_secs_f64()))
 }
 
-/// Adds up the hosts' counters; a host that gives none counts nothing.
+/// Sums up the hosts' counters; skips hosts whose state can't be read.
 fn sum_counters(args: &LoadArgs) -> BTreeMap<String, u64> {
     let http = HostClient::new();
     let mut sum = BTreeMap::new();
--- a/endivestile_ctl/src/load/report.rs
+++ b/endivestile_ctl/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What came back, and the report on it.
+//! Results of submissions and the report on them.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -14,14 +14,14 @@
 /// Significant digits of the histograms.
 const DIGITS: u8 = 3;
 
-/// How a submission ended.
+/// Outcome of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Outcome {
-    /// With an answer.
+    /// It was answered.
     Class(Class),
-    /// Sent, and no answer came.
+    /// It was sent, but not answered.
     Lost,
-    /// Not sent: the host could not be reached.
+    /// It was not sent, because the host could not be reached.
     Unreachable,
 }
 
@@ -40,42 +40,42 @@
 struct TraceLine {
     /// Serial number.
     serial: u64,
-    /// When it was due, in microseconds since the start.
+    /// Time at which it was due, in microseconds since the start of the load.
     at_us: u64,
-    /// Time to the answer, in microseconds.
+    /// Time until the answer, in microseconds.
     took_us: u64,
-    /// Tasks.
+    /// Number of tasks.
     tasks: u64,
     /// Whether it was a job.
     job: bool,
     /// Team.
     team: String,
-    /// How it ended.
+    /// Outcome.
     outcome: Outcome,
 }
 
-/// What came back to one caller, or to all.
+/// Results of one caller or of all callers.
 #[derive(Debug, Default)]
 pub(super) struct Results {
-    /// Times to the answer by ending, in microseconds.
+    /// Times until the answer by outcome.
     latencies: BTreeMap<Outcome, Latencies>,
-    /// Tasks of complete submissions.
+    /// Number of tasks of complete submissions.
     complete_tasks: u64,
-    /// Tasks of all submissions.
+    /// Number of tasks of all submissions.
     tasks: u64,
-    /// Submissions that started late, because all callers were busy.
+    /// Number of submissions that started late because all callers were busy.
     pub(super) late: u64,
-    /// The trace, if wanted.
+    /// Trace, if requested.
     lines: Vec<TraceLine>,
 }
 
-/// Times to the answer, in microseconds.
+/// Histogram of times until the answer, in microseconds.
 #[derive(Debug)]
 struct Latencies(Histogram<u64>);
 
 impl Default for Latencies {
     fn default() -> Self {
-        // Three digits are within what the library accepts.
+        // The library accepts up to 5 digits.
         Self(Histogram::new(DIGITS).expect("histogram of three digits"))
     }
 }
@@ -90,7 +90,7 @@
         took_us: u64,
         keep_trace: bool,
     ) {
-        // The histogram grows as needed, so no time is out of its range.
+        // The histogram resizes itself, so every time is within its range.
         let _ = self.latencies.entry(outcome).or_default().0.record(took_us);
         let tasks = submission.tasks();
         self.tasks += tasks;
@@ -104,10 +104,10 @@
         }
     }
 
-    /// Adds what came back to another caller.
+    /// Adds the results of another caller.
     pub(super) fn add(&mut self, other: Self) {
         for (outcome, latencies) in other.latencies {
-            // As above.
+            // The histogram resizes itself, as in `record`.
             let _ = self.latencies.entry(outcome).or_default().0.add(latencies.0);
         }
         self.complete_tasks += other.complete_tasks;
@@ -132,12 +132,12 @@
     }
 }
 
-/// Times to the answers of one ending, in microseconds.
+/// Times until the answers with one outcome, in microseconds.
 #[derive(Debug, Serialize)]
 struct Row {
-    /// How they ended.
+    /// Name of the outcome.
     class: &'static str,
-    /// Submissions.
+    /// Number of submissions.
     count: u64,
     /// Median.
     p50_us: u64,
@@ -149,28 +149,28 @@
     max_us: u64,
 }
 
-/// The report.
+/// Report on a load.
 #[derive(Debug, Serialize)]
 pub(super) struct Report {
-    /// Length of the load to its last answer, in seconds.
+    /// Time from the start of the load to its last answer, in seconds.
     seconds: f64,
-    /// Submissions.
+    /// Number of submissions.
     submissions: u64,
-    /// Tasks of all submissions.
+    /// Number of tasks of all submissions.
     tasks: u64,
-    /// Submissions that started late, because all callers were busy; many of
-    /// them mean that the rate was not reached.
+    /// Number of submissions that started late because all callers were busy; if
+    /// there are many, the rate was not reached.
     late: u64,
-    /// Tasks of complete submissions a second.
+    /// Tasks of complete submissions per second.
     goodput: f64,
-    /// Times by ending.
+    /// Times by outcome.
     classes: Vec<Row>,
-    /// By how much the hosts' counters grew.
+    /// Increase of the hosts' counters during the load.
     counters: BTreeMap<String, u64>,
 }
 
 impl Report {
-    /// Makes the report.
+    /// Creates the report from the results.
     pub(super) fn new(results: &Results, seconds: f64, counters: BTreeMap<String, u64>) -> Self {
         let classes: Vec<Row> = results
             .latencies
@@ -188,13 +188,13 @@
         }
     }
 
-    /// Tells whether any submission was answered.
+    /// Returns whether any submission was answered.
     pub(super) fn answered(&self) -> bool {
         let unanswered = [Outcome::Lost.label(), Outcome::Unreachable.label()];
         self.classes.iter().any(|row| !unanswered.contains(&row.class))
     }
 
-    /// Returns the report for people.
+    /// Returns the report as a readable text.
     pub(super) fn text(&self) -> String {
         let Self { seconds, submissions, tasks, late, goodput, .. } = self;
         let mut text = format!(
--- a/endivestile_ctl/src/load/workload.rs
+++ b/endivestile_ctl/src/load/workload.rs
@@ -1,4 +1,4 @@
-//! What is submitted and when, drawn from a seed.
+//! Generates submissions and their start times from a seed.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 pub(super) struct Submission {
     /// Serial number, from 0.
     pub(super) serial: u64,
-    /// When it starts, in microseconds since the start of the load; 0 for at once.
+    /// Start time in microseconds since the start of the load; 0 without a rate.
     pub(super) at_us: u64,
     /// Entry host.
     pub(super) host: SocketAddr,
@@ -36,37 +36,37 @@
         }
     }
 
-    /// Tells whether it can't be sent without an id.
+    /// Returns whether it needs an id; only idempotent requests don't.
     pub(super) fn needs_id(&self) -> bool {
         !matches!(self.payload, Payload::Request { idempotent: true, .. })
     }
 }
 
-/// The source of the shots; the same seed gives the same shots.
+/// Source of the submissions; the same seed and arguments give the same submissions.
 #[derive(Debug)]
 pub(super) struct Workload {
-    /// Arguments.
+    /// Arguments of the command.
     args: LoadArgs,
-    /// Generator.
+    /// Random number generator.
     rng: StdRng,
-    /// Serial number of the next shot.
+    /// Serial number of the next submission.
     serial: u64,
-    /// Start of the last shot, in microseconds.
+    /// Start time of the latest submission, in microseconds.
     at_us: f64,
 }
 
 impl Workload {
-    /// Makes the source for a seed.
+    /// Creates the source from the arguments and their seed.
     pub(super) fn new(args: &LoadArgs) -> Self {
         let rng = StdRng::seed_from_u64(args.seed);
         Self { args: args.clone(), rng, serial: 0, at_us: 0.0 }
     }
 
-    /// Draws the next shot.
+    /// Returns the next submission.
     pub(super) fn next(&mut self) -> Submission {
         let serial = self.serial;
         if let Some(rate) = self.args.rate {
-            // Gaps of independent arrivals are exponential.
+            // The gaps between independent arrivals are exponentially distributed.
             let uniform: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
             self.at_us -= uniform.ln() * SECOND_US / rate as f64;
         }
@@ -102,7 +102,7 @@
         TaskBody { service: None, need, declared_ms, work }
     }
 
-    /// Draws a run time and fills the work's template.
+    /// Draws a run time and returns the filled work template with it.
     fn body(&mut self, task: u64) -> (String, u32) {
         let longest_ms = self.args.max_run_ms.unwrap_or(self.args.run_ms);
         let run_ms = self.rng.random_range(self.args.run_ms..=longest_ms);
@@ -116,7 +116,7 @@
     }
 }
 
-/// Draws one of several words; empty when there are none.
+/// Draws one of several names; empty if there are none.
 fn pick(rng: &mut StdRng, names: &[String]) -> String {
     match names {
         [] => String::new(),
--- a/endivestile_ctl/src/main.rs
+++ b/endivestile_ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `endivectl`, the operators' and callers' tool.
+//! `endivectl`, the command-line tool of operators and callers.
 
 use std::process::ExitCode;
 
--- a/endivestile_ctl/src/out.rs
+++ b/endivestile_ctl/src/out.rs
@@ -1,22 +1,22 @@
-//! Output of the commands.
+//! Writes to standard output and standard error.
 
 use std::io::{self, Write};
 
 use serde::Serialize;
 
-/// Writes a text to standard output.
+/// Writes a text to standard output, with a newline at its end.
 pub(crate) fn print(text: &str) {
     let mut out = io::stdout().lock();
-    // A reader that went away, such as `head`, wants no more.
+    // A reader such as `head` may close the pipe early.
     let _ = out.write_all(text.as_bytes());
     if !text.ends_with('\n') {
         let _ = out.write_all(b"\n");
     }
 }
 
-/// Writes bytes to standard output as they are.
+/// Writes bytes to standard output unchanged.
 pub(crate) fn print_bytes(bytes: &[u8]) {
-    // As above.
+    // The reader may have closed the pipe.
     let _ = io::stdout().lock().write_all(bytes);
 }
 
@@ -30,11 +30,11 @@
 
 /// Writes a line to standard error.
 pub(crate) fn print_error(text: &str) {
-    // Nothing is left to tell when standard error is closed.
+    // A failed write to standard error can't be reported anywhere.
     let _ = writeln!(io::stderr().lock(), "{text}");
 }
 
-/// Writes an instant in seconds since 1970 as `YYYY-MM-DDThh:mm:ssZ`.
+/// Formats seconds since 1970 as `YYYY-MM-DDThh:mm:ssZ`.
 pub(crate) fn format_utc(at_s: u64) -> String {
     const DAY_S: u64 = 86_400;
     let (year, month, day) = date_from_days(at_s / DAY_S);
@@ -43,8 +43,9 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{:02}Z", second % 60)
 }
 
-/// Turns days since 1970 into year, month and day. Years are counted from
-/// March, so that the leap day is the last one of its year.
+/// Converts days since 1970 to year, month and day of the Gregorian calendar.
+///
+/// Counts years from March, so that a leap day is the last day of its year.
 fn date_from_days(days: u64) -> (u64, u64, u64) {
     const DAYS_OF_400_YEARS: u64 = 146_097;
     const MARCH_0000_TO_1970: u64 = 719_468;
--- a/endivestile_ctl/src/store/client.rs
+++ b/endivestile_ctl/src/store/client.rs
@@ -1,4 +1,4 @@
-//! Client of the store.
+//! Calls to the store, with retries.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,52 +14,52 @@
 use super::key_range;
 use crate::error::CtlError;
 
-/// Largest answer of the store, in bytes: a page of audit entries.
+/// Size limit of a response, in bytes; the largest is a page of audit entries.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// First wait between two attempts, in milliseconds; doubled each time.
+/// First wait between two attempts, in milliseconds; doubled after each attempt.
 const MIN_BACKOFF_MS: u64 = 50;
 /// Longest wait between two attempts, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 1_000;
-/// Longest that one call may take, in milliseconds.
+/// Longest timeout of one call, in milliseconds.
 const MAX_CALL_MS: u64 = 2_000;
 
-/// Why a call to the store has no answer.
+/// Error of a call to the store.
 #[derive(Debug)]
 pub(crate) struct StoreError {
     /// Address that was called.
     pub(crate) peer: String,
-    /// What went wrong.
+    /// Description of the error.
     pub(crate) reason: String,
     /// Whether the call may have taken effect.
     pub(crate) sent: bool,
-    /// Whether the store refused the call as such, so that a retry is in vain.
+    /// Whether the store rejected the call itself, so that a retry can't succeed.
     pub(crate) permanent: bool,
 }
 
 impl StoreError {
-    /// Makes the error of a read, or of a write that was never sent.
+    /// Converts the error of a read, or of a write that was never sent.
     pub(crate) fn into_unreachable(self, step: &'static str) -> CtlError {
         CtlError::Unreachable { step, peer: self.peer, reason: self.reason }
     }
 }
 
-/// The store, called from one thread.
+/// Blocking client for the store.
 #[derive(Debug)]
 pub(crate) struct Store {
-    /// Runtime of the client library.
+    /// Runtime for the client library.
     runtime: Runtime,
-    /// Addresses, tried in turn.
+    /// Addresses, tried in turn after errors.
     addresses: Vec<SocketAddr>,
     /// Index of the address in use.
     current: usize,
-    /// Open connection.
+    /// Open connection, if any.
     channel: Option<Channel>,
-    /// When to give up.
+    /// Time after which no call is retried.
     deadline: Instant,
 }
 
 impl Store {
-    /// Makes a client that gives up `timeout_ms` milliseconds from now.
+    /// Creates a client that gives up `timeout_ms` milliseconds from now.
     pub(crate) fn new(addresses: Vec<SocketAddr>, timeout_ms: u64) -> Result<Self, CtlError> {
         if addresses.is_empty() {
             let reason = "the store's address is missing: --store or ENDIVESTILE_STORE";
@@ -72,13 +72,13 @@
         Ok(Self { runtime: build.map_err(fail)?, addresses, current: 0, channel: None, deadline })
     }
 
-    /// Reads one key.
+    /// Reads one key; the default value if it is absent.
     pub(crate) fn get(&mut self, step: &'static str, key: &str) -> Result<KeyValue, CtlError> {
         let response = self.read(step, &key_range(key))?;
         Ok(response.kvs.into_iter().next().unwrap_or_default())
     }
 
-    /// Reads a range; tried again until the deadline, since a read changes nothing.
+    /// Reads a range and retries until the deadline, which is safe because reads change nothing.
     pub(crate) fn read(
         &mut self,
         step: &'static str,
@@ -96,12 +96,11 @@
         }
     }
 
-    /// Runs a transaction until it has an answer.
+    /// Runs a transaction and retries until it has a response.
     ///
-    /// An answer can be lost after the write took effect. Sending the same
-    /// transaction again can't take effect twice, because its compares fail
-    /// from then on; the caller tells from what it reads back whether its own
-    /// write was the one that came through.
+    /// A response can be lost after the write took effect. A retry of the same
+    /// transaction can't take effect again, because its comparisons then fail; from
+    /// what the failed transaction reads back the caller recognises its own write.
     pub(crate) fn run_txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, StoreError> {
         let mut backoff_ms = MIN_BACKOFF_MS;
         let mut sent = false;
@@ -155,6 +154,7 @@
         }
     }
 
+    /// Converts the status of a failed call and selects the next address.
     fn call_failed(&mut self, status: &Status) -> StoreError {
         let peer = self.peer();
         self.use_next_address();
@@ -172,7 +172,7 @@
         StoreError { peer, reason, sent: !permanent, permanent }
     }
 
-    /// Drops the connection and takes the next address.
+    /// Drops the connection and selects the next address.
     fn use_next_address(&mut self) {
         self.channel = None;
         self.current = (self.current + 1) % self.addresses.len();
@@ -182,7 +182,7 @@
         self.addresses[self.current].to_string()
     }
 
-    /// Waits before the next attempt; false when the deadline leaves no time for it.
+    /// Waits before the next attempt; returns false if the deadline leaves no time for it.
     fn back_off(&self, backoff_ms: &mut u64) -> bool {
         let pause = Duration::from_millis(*backoff_ms);
         if Instant::now() + pause >= self.deadline {
@@ -193,14 +193,14 @@
         true
     }
 
-    /// Returns the time that one call may take.
+    /// Returns the timeout of one call: the time until the deadline, at most [`MAX_CALL_MS`].
     fn call_timeout(&self) -> Duration {
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         remaining.clamp(Duration::from_millis(1), Duration::from_millis(MAX_CALL_MS))
     }
 }
 
-/// Returns the innermost cause; the library's own text says only "transport error".
+/// Returns the innermost cause; the error's own text is just "transport error".
 fn root_cause(error: &dyn std::error::Error) -> String {
     let mut cause = error;
     while let Some(inner) = cause.source() {
--- a/endivestile_ctl/src/store/mod.rs
+++ b/endivestile_ctl/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store.
+//! Client for the platform's store.
 
 mod client;
 mod request;
--- a/endivestile_ctl/src/store/request.rs
+++ b/endivestile_ctl/src/store/request.rs
@@ -1,4 +1,4 @@
-//! Parts of requests to the store.
+//! Builds parts of requests to the store.
 
 use endivestile_wire::key;
 use endivestile_wire::store::compare::{CompareResult, CompareTarget, TargetUnion};
@@ -8,18 +8,18 @@
     Compare, DeleteRangeRequest, KeyValue, PutRequest, RangeRequest, RequestOp, ResponseOp,
 };
 
-/// Reads one key.
+/// Returns a read of one key.
 pub(crate) fn key_range(key: &str) -> RangeRequest {
     RangeRequest { key: key.into(), ..RangeRequest::default() }
 }
 
-/// Reads up to `limit` keys under `prefix`, from `from` on.
+/// Returns a read of up to `limit` keys under `prefix`, starting at `from`.
 pub(crate) fn prefix_range(prefix: &str, from: &str, limit: i64) -> RangeRequest {
     let range_end = key::range_end(prefix);
     RangeRequest { key: from.into(), range_end, limit, ..RangeRequest::default() }
 }
 
-/// Demands that the last change of a key has this revision, 0 for an absent key.
+/// Returns a condition that the last change of a key has this revision; 0 requires it absent.
 pub(crate) fn compare_mod_revision(key: &str, revision: i64) -> Compare {
     Compare {
         result: CompareResult::Equal.into(),
@@ -29,19 +29,19 @@
     }
 }
 
-/// Writes a key.
+/// Returns a write of one key.
 pub(crate) fn put(key: &str, value: Vec<u8>) -> RequestOp {
     let put = PutRequest { key: key.into(), value, lease: 0 };
     RequestOp { request: Some(Op::RequestPut(put)) }
 }
 
-/// Deletes a key.
+/// Returns a delete of one key.
 pub(crate) fn delete(key: &str) -> RequestOp {
     let delete = DeleteRangeRequest { key: key.into(), range_end: Vec::new() };
     RequestOp { request: Some(Op::RequestDeleteRange(delete)) }
 }
 
-/// Returns the first key that a read within a transaction found.
+/// Returns the first key of a read within a transaction; `None` if it found none.
 pub(crate) fn first_kv(response: Option<ResponseOp>) -> Option<KeyValue> {
     match response?.response? {
         Done::ResponseRange(range) => range.kvs.into_iter().next(),
--- a/endivestile_ctl/tests/calls.rs
+++ b/endivestile_ctl/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to entry hosts: `submit`, `load`, `status`.
+//! Tests of the commands that call entry hosts, and of `completions` and `check`.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panic")]
 
@@ -28,16 +28,16 @@
 #[test_case(202, r#"{"status":"running"}"# => 10; "running")]
 #[test_case(422, r#"{"status":"conflict"}"# => 9; "conflict")]
 #[test_case(400, r#"{"status":"invalid","field":"tasks"}"# => 9; "invalid")]
-#[test_case(502, "a balancer's page" => 5; "no answer of ours")]
+#[test_case(502, "a balancer's page" => 5; "answer of a load balancer")]
 #[test_case(200, "{}" => 5; "no status")]
-fn submit_job_exit(status: u16, body: &'static str) -> i32 {
+fn submit_job_exit_code(status: u16, body: &'static str) -> i32 {
     let host = FakeHost::start(status, body);
     let run = submit(&host.address(), &[], JOB);
     assert_eq!(run.out, body);
-    let seen = host.seen();
-    assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].id.as_deref(), Some("m:a:1:1"));
-    assert_eq!(seen[0].path, "/v1/jobs");
+    let received = host.received();
+    assert_eq!(received.len(), 1);
+    assert_eq!(received[0].id.as_deref(), Some("m:a:1:1"));
+    assert_eq!(received[0].path, "/v1/jobs");
     run.code
 }
 
@@ -46,9 +46,9 @@
     let host = FakeHost::start(200, "\u{7}raw");
     let run = submit(&host.address(), &["--service", "orders", "--idempotent"], "w");
     assert_eq!((run.code, run.out.as_str()), (0, "\u{7}raw"));
-    let seen = &host.seen()[0];
-    assert_eq!((seen.path.as_str(), &seen.id), ("/v1/requests/orders", &None));
-    assert!(seen.idempotent);
+    let received = &host.received()[0];
+    assert_eq!((received.path.as_str(), &received.id), ("/v1/requests/orders", &None));
+    assert!(received.idempotent);
 }
 
 #[test]
@@ -75,29 +75,29 @@
     assert_eq!(run.code, 6, "{run:?}");
 }
 
-/// The entry host reads the submission and dies before it answers. The tasks
-/// may have run; a caller that reads "not run" would submit them again.
+/// The entry host reads the submission and crashes before it answers. The tasks may
+/// have run, so the exit code must not be that of "not run": the caller would submit
+/// them again.
 #[test]
 fn submit_host_closes_without_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let host = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        let mut some = [0; 64];
-        stream.read_exact(&mut some).unwrap();
+        let mut head = [0; 64];
+        stream.read_exact(&mut head).unwrap();
     });
     let run = submit(&address, &["--id", "1:k"], JOB);
     host.join().unwrap();
     assert_eq!(run.code, 5, "{run:?}");
 }
 
-/// The first host dies, or is paused, with the submission in its hands, and the
-/// caller comes back by another host. Under another id the job could be done a
-/// second time; so it could if the caller took a refusal by the second host for
-/// the word of both.
+/// The first host crashes or is paused after it read the submission, and the tool
+/// retries at another host. With another id the job could run twice; so it could if
+/// a refusal by the second host counted for both.
 #[test_case(200, r#"{"status":"complete","results":["r"]}"# => 0; "complete")]
-#[test_case(503, r#"{"status":"not run"}"# => 5; "not run by the second only")]
-fn submit_again_by_other_host(status: u16, body: &'static str) -> i32 {
+#[test_case(503, r#"{"status":"not run"}"# => 5; "not run by second host")]
+fn submit_retried_at_other_host(status: u16, body: &'static str) -> i32 {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let dying = listener.local_addr().unwrap();
     let other = FakeHost::start(status, body);
@@ -108,7 +108,7 @@
     let both = format!("{dying},{}", other.address());
     let run = submit(&both, &["--id", "1:k"], JOB);
     host.join().unwrap();
-    assert_eq!(other.seen()[0].id.as_deref(), Some("1:k"));
+    assert_eq!(other.received()[0].id.as_deref(), Some("1:k"));
     run.code
 }
 
@@ -128,60 +128,60 @@
     assert_eq!(row["class"], "not run");
     assert_eq!(row["count"], report["submissions"]);
     assert!(row["p50_us"].as_u64() <= row["p99_us"].as_u64());
-    let seen = host.seen();
-    assert_eq!(seen.len() as u64, report["submissions"].as_u64().unwrap());
-    assert!(seen.iter().all(|call| call.idempotent != call.id.is_some()));
+    let received = host.received();
+    assert_eq!(received.len() as u64, report["submissions"].as_u64().unwrap());
+    assert!(received.iter().all(|call| call.idempotent != call.id.is_some()));
 }
 
 #[test]
-fn load_same_seed_same_submissions() {
+fn load_same_seed_gives_same_submissions() {
     let host = FakeHost::start(200, r#"{"status":"complete","results":[]}"#);
-    let plans: Vec<Vec<String>> = ["a.csv", "b.csv"]
+    let traces: Vec<Vec<String>> = ["a.csv", "b.csv"]
         .iter()
         .map(|name| {
             let trace = file(name, "");
             let more = ["--rate", "200", "--job-percent", "30", "--seed", "9", "--trace", &trace];
             assert_eq!(load(&host.address(), &more).code, 0);
             let text = std::fs::read_to_string(&trace).unwrap();
-            // All but the time taken repeats.
+            // All columns except the latency are the same in both runs.
             text.lines()
                 .map(|line| line.split(',').enumerate().filter(|(at, _)| *at != 2))
                 .map(|fields| fields.map(|(_, field)| field).collect::<Vec<_>>().join(","))
                 .collect()
         })
         .collect();
-    let common = plans[0].len().min(plans[1].len());
+    let common = traces[0].len().min(traces[1].len());
     assert!(common > 50, "{common}");
-    assert_eq!(plans[0][..common], plans[1][..common]);
+    assert_eq!(traces[0][..common], traces[1][..common]);
 }
 
 #[test_case("10.0.0.1:80", "--allow-remote"; "remote address")]
-#[test_case("192.168.1.1:80,127.0.0.1:80", "--allow-remote"; "one of two")]
-fn load_refused(address: &str, hint: &str) {
+#[test_case("192.168.1.1:80,127.0.0.1:80", "--allow-remote"; "one of two addresses")]
+fn load_remote_address_refused(address: &str, hint: &str) {
     let run = load(address, &[]);
     assert_eq!(run.code, 2);
     assert!(run.err.contains(hint), "{run:?}");
 }
 
 #[test]
-fn load_nobody_answers() {
+fn load_host_unreachable() {
     let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let run = load(&address.to_string(), &["--rate", "5"]);
     assert_eq!(run.code, 6, "{run:?}");
     assert!(run.out.contains("unreachable"), "{run:?}");
 }
 
-/// Returns the first column of a row of the table.
+/// Returns a row's value in the first column of hosts.
 fn value<'a>(table: &'a str, row: &str) -> &'a str {
     let lines = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
     lines.filter(|cells| cells[0] == row).map(|cells| cells[1]).next().unwrap_or("none")
 }
 
 #[test]
-fn status_beside_silent_host() {
+fn status_with_unreachable_host() {
     let host = FakeHost::start(200, "");
-    let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let both = format!("{},{gone}", host.address());
+    let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let both = format!("{},{closed}", host.address());
     let run = tool(&["status", "--host", &both], "");
     assert_eq!(run.code, 6, "{run:?}");
     let rows = ["counters.forwards", "hosts.state.suspect", "hosts.backlog", "shards.role.home"];
@@ -203,9 +203,9 @@
 }
 
 #[test]
-fn check_names_file_and_line() {
-    let bad = common::CONFIG.replace("slots = 8", "slotz = 8");
-    let path = file("inventory.ini", &bad);
+fn check_error_names_file_and_line() {
+    let invalid = common::CONFIG.replace("slots = 8", "slotz = 8");
+    let path = file("inventory.ini", &invalid);
     let run = tool(&["check", &path], "");
     assert_eq!(run.code, 3);
     let message =
--- a/endivestile_ctl/tests/change.rs
+++ b/endivestile_ctl/tests/change.rs
@@ -1,4 +1,4 @@
-//! Changes of what the store holds: `apply`, `stop`, `resume`, `history`.
+//! Tests of the commands that use the store: `apply`, `stop`, `resume`, `history`.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panic")]
 
@@ -35,7 +35,7 @@
     assert_eq!(trail[0]["who"], "ben");
     assert_eq!(trail[0]["changes"][0]["new"], "9");
     assert_eq!(trail[1]["revision"], 1);
-    // What is shown can be edited and applied, since it names its revision.
+    // The output of `show` names its revision, so it can be edited and applied.
     let shown = with_store(&store, &["show"], "").out;
     let edited = shown.replace("limit = 100", "limit = 101");
     assert_eq!(with_store(&store, &["apply", "-"], &edited).code, 0);
@@ -53,9 +53,8 @@
     assert_eq!(revision(&store), "1");
 }
 
-/// Two operators edit the same files. The second one applies what was made
-/// from a revision that is no longer in force, and would silently take back
-/// the change of the first.
+/// Two operators edit the same files. The second applies files based on a revision
+/// that is no longer in force, which would silently revert the first one's change.
 #[test]
 fn apply_stale_base() {
     let store = StoreStandIn::start().unwrap();
@@ -68,9 +67,9 @@
     assert_eq!(revision(&store), "2");
 }
 
-/// Many operators apply at the same moment, from the same revision. All but
-/// one must be told of a conflict; a second success would mean that a change
-/// that was reported as accepted is not in force.
+/// Several operators apply at the same time, based on the same revision. All but one
+/// must get a conflict; a second success would mean that a change reported as
+/// accepted is not in force.
 #[test]
 fn apply_race_has_one_winner() {
     let store = StoreStandIn::start().unwrap();
@@ -96,10 +95,10 @@
     assert!(shown.contains(&format!("limit = {winner}\n")), "{shown}");
 }
 
-/// The store carries the change out and its answer is lost. An operator who
-/// is told of an error would apply again, and meet a conflict with himself.
+/// The store makes the change, but its response is lost. An operator who gets an
+/// error would apply again and get a conflict with the own change.
 #[test]
-fn apply_answer_lost_is_recognised() {
+fn apply_lost_response_recognised() {
     let store = StoreStandIn::start().unwrap();
     store.lose_answers(1);
     let run = apply(&store, CONFIG, 0, "ann");
@@ -108,10 +107,10 @@
     assert_eq!(history(&store).len(), 1);
 }
 
-/// The store goes silent after it was sent the change. Nobody can tell whether
-/// it is in force; the operator must not read "failed".
+/// The store receives the change, but all its responses are lost. The change may be
+/// in force, so the exit code must be "unknown" and not "failed".
 #[test]
-fn apply_answers_all_lost_is_unknown() {
+fn apply_all_responses_lost_is_unknown() {
     let store = StoreStandIn::start().unwrap();
     store.lose_answers(u32::MAX);
     let run = with_store(&store, &["--timeout-ms", "600", "apply", "-"], CONFIG);
@@ -121,9 +120,9 @@
     assert!(run.err.contains(&write), "{run:?}");
 }
 
-/// The store refuses a moment and comes back; the operator notices nothing.
+/// The store refuses a few calls and recovers; retries hide this from the operator.
 #[test]
-fn apply_store_back_in_time() {
+fn apply_retries_until_store_recovers() {
     let store = StoreStandIn::start().unwrap();
     store.refuse(3);
     assert_eq!(apply(&store, CONFIG, 0, "ann").code, 0);
@@ -131,7 +130,7 @@
 }
 
 #[test]
-fn apply_store_down() {
+fn apply_store_unreachable() {
     let store = StoreStandIn::start().unwrap();
     store.down();
     let run = with_store(&store, &["--timeout-ms", "300", "apply", "-"], CONFIG);
@@ -143,14 +142,14 @@
 #[test]
 fn apply_second_address_answers() {
     let store = StoreStandIn::start().unwrap();
-    let gone = StoreStandIn::start().unwrap().address();
-    let both = format!("{gone},{}", store.address());
+    let stopped = StoreStandIn::start().unwrap().address();
+    let both = format!("{stopped},{}", store.address());
     let run = common::tool(&["--store", &both, "apply", "-"], CONFIG);
     assert_eq!(run.code, 0, "{run:?}");
 }
 
-/// A number of shards that changes under running hosts would give one id two
-/// homes, and both would start it.
+/// If the number of shards changed while hosts run, one id could have two homes, and
+/// both would start it.
 #[test]
 fn apply_fixed_key_refused() {
     let store = StoreStandIn::start().unwrap();
@@ -162,7 +161,7 @@
 }
 
 #[test]
-fn apply_drops_oldest_entry() {
+fn apply_deletes_oldest_entry() {
     let store = StoreStandIn::start().unwrap();
     store.put(key::AUDIT_HEAD, r#"{"next":1001}"#);
     let oldest = format!("{}{:020}", key::AUDIT, 1);
@@ -198,9 +197,8 @@
     assert!(store.list(key::STOPS).is_empty());
 }
 
-/// Planned stops of different machines are started at the same moment. They
-/// share only the audit trail; none may fail for that, and none may be missing
-/// in it.
+/// Planned stops of different servers are started at the same time. They share only
+/// the audit trail: none may fail because of that, and none may be missing in it.
 #[test]
 fn stop_race_keeps_every_entry() {
     let store = StoreStandIn::start().unwrap();
@@ -226,14 +224,14 @@
     assert_eq!(serials, [7, 6, 5, 4, 3, 2, 1]);
 }
 
-/// Another program writes the configuration between this tool's read and its
-/// write, without an audit entry. To write over it would take back a change
-/// that hosts may have adopted already.
+/// Another program writes the configuration between the tool's read and its write,
+/// without an audit entry. Overwriting it would revert a change that hosts may
+/// already have adopted.
 #[test]
-fn apply_raced_past_the_trail() {
+fn apply_conflict_without_audit_entry() {
     let store = StoreStandIn::start().unwrap();
     apply(&store, CONFIG, 0, "ann");
-    let other = store.get(key::CONFIG).unwrap();
+    let rewritten = store.get(key::CONFIG).unwrap();
     let reads = store.counts().range;
     store.slow(50);
     let run = thread::scope(|scope| {
@@ -242,16 +240,16 @@
         while store.counts().range < reads + 2 {
             thread::yield_now();
         }
-        store.put(key::CONFIG, other);
+        store.put(key::CONFIG, rewritten);
         tool.join().unwrap()
     });
     assert_eq!(run.code, 4, "{run:?}");
     assert_eq!(revision(&store), "1");
 }
 
-/// Somebody deletes the configuration's key. The hosts go on with revision 2
-/// and take only a higher one; an operator who starts again from 1 would be
-/// told that it is in force, and it would be in force nowhere.
+/// The configuration's key is deleted. The hosts keep revision 2 and adopt only a
+/// higher one; a new revision 1 would be reported as in force, but no host would
+/// adopt it.
 #[test]
 fn apply_after_deleted_key() {
     let store = StoreStandIn::start().unwrap();
@@ -265,14 +263,14 @@
 }
 
 #[test]
-fn apply_after_lost_store() {
+fn apply_to_empty_store_with_base() {
     let store = StoreStandIn::start().unwrap();
     assert_eq!(apply(&store, CONFIG, 41, "ann").code, 0);
     assert_eq!(revision(&store), "42");
 }
 
 #[test]
-fn history_over_pages() {
+fn history_reads_all_pages() {
     let store = StoreStandIn::start().unwrap();
     apply(&store, CONFIG, 0, "ann");
     let first = store.list(key::AUDIT).remove(0).1;
@@ -289,12 +287,12 @@
     assert!(run.err.contains("00120"), "{run:?}");
 }
 
-/// Somebody writes a value past the tools that no host takes. The hosts go on
-/// with revision 1; operators must still be able to stop machines, and to put
-/// a good configuration in force.
-#[test_case("no configuration"; "no text of ours")]
+/// Another program writes a configuration that hosts reject, and they keep revision
+/// 1. Operators must still be able to stop servers and to apply a valid
+/// configuration.
+#[test_case("no configuration"; "not parseable")]
 #[test_case("[configuration]\nrevision = 9\n"; "fails the check")]
-fn apply_over_unusable_value(value: &str) {
+fn apply_over_invalid_value(value: &str) {
     let store = StoreStandIn::start().unwrap();
     apply(&store, CONFIG, 0, "ann");
     store.put(key::CONFIG, value);
@@ -306,8 +304,8 @@
     assert_eq!(revision(&store), "10");
 }
 
-/// Somebody puts back an old value past the tools. No host adopts it, and a
-/// change that goes on from its revision would be in force nowhere.
+/// Another program restores an old value. Hosts don't adopt it, and a change based
+/// on its revision would not be adopted either.
 #[test]
 fn apply_over_reverted_value() {
     let store = StoreStandIn::start().unwrap();
--- a/endivestile_ctl/tests/common/mod.rs
+++ b/endivestile_ctl/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the tool as a process.
+//! Helpers that run the tool as a process.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a test fails by panic")]
@@ -27,7 +27,7 @@
 limit = 100
 ";
 
-/// How a run ended.
+/// Exit code and output of a run.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) code: i32,
@@ -35,7 +35,7 @@
     pub(crate) err: String,
 }
 
-/// Runs the tool with `input` on its standard input.
+/// Runs the tool with `input` as its standard input.
 pub(crate) fn tool(args: &[&str], input: &str) -> Run {
     let mut child = Command::new(env!("CARGO_BIN_EXE_endivectl"))
         .args(args)
@@ -45,7 +45,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // A command that reads no input may have closed the pipe.
+    // A command that reads no input may already have closed the pipe.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     let output = child.wait_with_output().unwrap();
     Run {
@@ -55,19 +55,19 @@
     }
 }
 
-/// Runs the tool against a store.
+/// Runs the tool with the address of a store.
 pub(crate) fn with_store(store: &StoreStandIn, args: &[&str], input: &str) -> Run {
     let address = store.address().to_string();
     let common = ["--store", &address];
     tool(&[&common[..], args].concat(), input)
 }
 
-/// Applies a text made from revision `base`, as operator `who`.
+/// Applies a configuration based on revision `base`, as operator `who`.
 pub(crate) fn apply(store: &StoreStandIn, text: &str, base: u64, who: &str) -> Run {
     with_store(store, &["apply", "-", "--base", &base.to_string(), "--who", who], text)
 }
 
-/// Writes a file that the test's own directory keeps.
+/// Writes a file to the directory for test files and returns its path.
 pub(crate) fn file(name: &str, text: &str) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
--- a/endivestile_ctl/tests/explain.rs
+++ b/endivestile_ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `endivectl explain` on the logs of entry hosts.
+//! Tests of `endivectl explain` on logs of entry hosts.
 
 use std::process::Command;
 
@@ -27,8 +27,8 @@
     row.map_or(0, |row| row[1]["jobs"].as_u64().expect("a count"))
 }
 
-/// Each job of the log was not served in time for another reason; an operator
-/// finds it under that reason and under no other.
+/// Each of these jobs was not served in time for another reason and must be counted
+/// under exactly that cause.
 #[test_case("waited-behind"; "waited")]
 #[test_case("slow-worker"; "slow")]
 #[test_case("run-trouble"; "stalled")]
@@ -37,14 +37,14 @@
 #[test_case("no-owner"; "alone")]
 #[test_case("owner-lost"; "moved")]
 #[test_case("caller-left"; "gone")]
-fn explain_cause(cause: &str) {
+fn explain_finds_cause(cause: &str) {
     assert_eq!(jobs(&explain("second")["causes"], cause), 1);
 }
 
-/// A host died while it wrote its last line, and one job had no answer yet:
-/// both are told as jobs without an answer, and nothing else is lost.
+/// The log ends in an incomplete line, and one job has no answer yet: both are
+/// counted as jobs without an answer, and all other lines are read.
 #[test]
-fn explain_log_cut() {
+fn explain_truncated_log() {
     let report = explain("zone");
     assert_eq!(jobs(&report["causes"], "no-answer"), 2);
     assert_eq!(report["jobs"], 11);
@@ -53,14 +53,14 @@
 }
 
 #[test]
-fn explain_grouped() {
+fn explain_groups_by_route() {
     let report = explain("route");
     assert_eq!(report["groups"]["long"]["refused-full"]["core_s"], 1.0);
     assert_eq!(report["groups"]["quick"]["slow-worker"]["jobs"], 1);
 }
 
-/// A job was refused while a zone was evacuated: the report names the evacuation as the
-/// cause, and when the zone was emptied and taken back.
+/// A job was refused because of an evacuation: the report names it as the cause, and
+/// gives the times at which it started, was drained and ended.
 #[test]
 fn explain_evacuated() {
     let report = explain_log(EVACUATED, "zone");
--- a/endivestile_ctl/tests/status.rs
+++ b/endivestile_ctl/tests/status.rs
@@ -1,4 +1,4 @@
-//! `endivectl status` on the page of counts of a host on the users' platform.
+//! Tests of `endivectl status` on the metrics page of a host on the users' platform.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use test_case::test_case;
 
-/// Serves one request with a body; returns the address.
+/// Starts a server that answers one request with `body`; returns its address.
 fn serve(body: &'static str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn status_counts_read() {
+fn status_reads_metrics_page() {
     let page = "endivestile_zones_evacuated 1\nendivestile_task_run_us{quantile=\"0.5\"} 90\n";
     let (done, table) = status(&serve(page));
     assert!(done);
@@ -43,7 +43,7 @@
 
 #[test_case("no page of counts"; "words")]
 #[test_case("figure one\n"; "not_a_number")]
-fn status_garbled(body: &'static str) {
+fn status_malformed_page(body: &'static str) {
     let (done, table) = status(&serve(body));
     assert!(!done);
     assert!(table["error"].is_string());
