--- a/endivestile_ctl/src/command/apply.rs
+++ b/endivestile_ctl/src/command/apply.rs
@@ -38,8 +38,9 @@
     let current = read_current_config(&mut store)?;
     let stored_head = StoredHead::read(&mut store)?;
     let latest = current.config.revision.max(stored_head.head.revision);
-    // If hosts reject what the store holds, no accepted change can be overwritten.
-    // Operators then pass a higher base, for example after the store lost its data.
+    // If the store holds no configuration that hosts accept, no change of others can
+    // be overwritten. Operators may then pass a higher base, for example after the
+    // store lost its data.
     let replaceable = current.key_revision == 0 || current.invalid_reason.is_some();
     if base < latest || base > latest && !replaceable {
         return Err(conflict(&mut store, base, latest));
--- a/endivestile_ctl/src/explain/record.rs
+++ b/endivestile_ctl/src/explain/record.rs
@@ -70,11 +70,11 @@
 /// Times of a zone's evacuation, to the second; empty if not logged.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct Evacuation {
-    /// When the first host learned of it.
+    /// Earliest start that a host logged.
     pub(crate) started: String,
-    /// When the last host found that nothing ran in the zone any more.
+    /// Latest time at which a host logged that nothing ran in the zone any more.
     pub(crate) drained: String,
-    /// When the last host learned of its end.
+    /// Latest end that a host logged.
     pub(crate) ended: String,
 }
 
--- a/endivestile_ctl/src/load/args.rs
+++ b/endivestile_ctl/src/load/args.rs
@@ -13,7 +13,7 @@
     /// Caller-facing address of an entry host, IP:port; several are used in turn.
     #[arg(long = "host", required = true, value_delimiter = ',')]
     pub(crate) hosts: Vec<SocketAddr>,
-    /// Allows addresses other than loopback.
+    /// Allows hosts other than loopback addresses (127.0.0.0/8 and ::1).
     #[arg(long)]
     pub(crate) allow_remote: bool,
     /// Duration in which submissions start, in seconds.
--- a/endivestile_ctl/tests/change.rs
+++ b/endivestile_ctl/tests/change.rs
@@ -96,7 +96,7 @@
 }
 
 /// The store makes the change, but its response is lost. An operator who gets an
-/// error would apply again and get a conflict with the own change.
+/// error would apply again and get a conflict with that same change.
 #[test]
 fn apply_lost_response_recognised() {
     let store = StoreStandIn::start().unwrap();
