--- a/endivestile_ctl/src/audit.rs
+++ b/endivestile_ctl/src/audit.rs
@@ -6,23 +6,23 @@
 use endivestile_wire::key;
 use serde::{Deserialize, Serialize};
 
-/// Entries that are kept; the oldest goes when a new one comes.
-pub(crate) const KEPT: u64 = 1_000;
-/// Changed keys that one entry lists.
-const LISTED: usize = 100;
-/// Longest value that an entry shows, in characters.
-const SHOWN: usize = 120;
+/// Number of entries that are kept; each further one replaces the oldest.
+pub(crate) const MAX_ENTRIES: u64 = 1_000;
+/// Number of changed keys that one entry lists.
+const MAX_LISTED_KEYS: usize = 100;
+/// Characters of a value that an entry keeps; the rest is cut off.
+const MAX_VALUE_CHARS: usize = 120;
 
-/// Head of the audit trail.
+/// Head of the audit trail, stored under [`key::AUDIT_HEAD`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Head {
-    /// Serial number that the next entry gets.
+    /// Serial number of the next entry.
     pub(crate) next: u64,
-    /// Last revision of the configuration that was accepted; 0 when none was.
+    /// Last accepted revision of the configuration; 0 if there was none.
     ///
-    /// Hosts take only a higher revision. If the configuration's key is lost,
-    /// or written past the tools, a change that goes on from a lower one would
-    /// be reported as accepted and be in force nowhere.
+    /// Hosts adopt only a higher revision. If the configuration's key is lost
+    /// or was written without this tool, a change based on a lower revision
+    /// would be reported as accepted, but no host would adopt it.
     #[serde(default)]
     pub(crate) revision: u64,
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// What was done.
+/// Kind of change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Action {
@@ -41,13 +41,13 @@
     Apply,
     /// A planned stop was started.
     Stop,
-    /// A planned stop was taken back.
+    /// A planned stop was cancelled.
     Resume,
 }
 
 impl Action {
-    /// Returns the word for people.
-    pub(crate) fn word(self) -> &'static str {
+    /// Returns the name that entries and output show.
+    pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Apply => "apply",
             Self::Stop => "stop",
@@ -59,37 +59,37 @@
 /// One accepted change.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Entry {
-    /// Serial number, without gaps.
+    /// Serial number; consecutive entries have consecutive numbers.
     pub(crate) serial: u64,
-    /// Random id by which the writer knows its own entry again.
+    /// Random id that identifies this write, so that its writer can recognise it after a retry.
     pub(crate) write: String,
-    /// Operator.
+    /// Operator who made the change.
     pub(crate) who: String,
-    /// When, in seconds since 1970 on the operator's clock.
+    /// Time of the change by the operator's clock, in seconds since 1970.
     pub(crate) at_s: u64,
-    /// What was done.
+    /// Kind of change.
     pub(crate) action: Action,
     /// Host, backend server or worker of a planned stop; empty otherwise.
     pub(crate) target: String,
     /// Revision of the configuration after the change; 0 for a planned stop.
     pub(crate) revision: u64,
-    /// Operator's own words.
+    /// Operator's note.
     pub(crate) note: String,
-    /// Changed keys, at most [`LISTED`], long values cut.
+    /// Changed keys, at most [`MAX_LISTED_KEYS`], with long values cut.
     pub(crate) changes: Vec<Change>,
-    /// Changed keys that are not listed.
+    /// Number of changed keys that are not listed.
     pub(crate) omitted: usize,
 }
 
 impl Entry {
-    /// Makes the entry of a change that happens now.
+    /// Returns an entry with the current time and a new write id; its serial number is set later.
     pub(crate) fn new(action: Action, who: &str, note: &str) -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
             serial: 0,
             write: format!("{:032x}", rand::random::<u128>()),
             who: who.to_owned(),
-            at_s: since.map(|since| since.as_secs()).unwrap_or_default(),
+            at_s: since_epoch.map(|since_epoch| since_epoch.as_secs()).unwrap_or_default(),
             action,
             target: String::new(),
             revision: 0,
@@ -99,25 +99,30 @@
         }
     }
 
-    /// Lists changed keys as far as they fit.
-    pub(crate) fn list(&mut self, changes: &[Change]) {
-        let cut = |value: &Option<String>| value.as_deref().map(shorten);
+    /// Sets the listed changes, up to [`MAX_LISTED_KEYS`], and counts the omitted ones.
+    pub(crate) fn set_changes(&mut self, changes: &[Change]) {
+        let truncated = |value: &Option<String>| value.as_deref().map(truncate);
         self.changes = changes
             .iter()
-            .take(LISTED)
-            .map(|change| Change { old: cut(&change.old), new: cut(&change.new), ..change.clone() })
+            .take(MAX_LISTED_KEYS)
+            .map(|change| Change {
+                old: truncated(&change.old),
+                new: truncated(&change.new),
+                ..change.clone()
+            })
             .collect();
         self.omitted = changes.len() - self.changes.len();
     }
 }
 
-/// Returns the key of an entry.
-pub(crate) fn key(serial: u64) -> String {
+/// Returns the store key of an entry.
+pub(crate) fn entry_key(serial: u64) -> String {
     format!("{}{serial:020}", key::AUDIT)
 }
 
-fn shorten(text: &str) -> String {
-    let mut cut: String = text.chars().take(SHOWN).collect();
+/// Cuts a text to [`MAX_VALUE_CHARS`] characters and marks the cut.
+fn truncate(text: &str) -> String {
+    let mut cut: String = text.chars().take(MAX_VALUE_CHARS).collect();
     if cut.len() < text.len() {
         cut.push_str("...");
     }
--- a/endivestile_ctl/src/command/mod.rs
+++ b/endivestile_ctl/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Implementations of the commands.
 
 mod apply;
 mod history;
@@ -17,7 +17,7 @@
 use crate::exit::Exit;
 use crate::{explain, load};
 
-/// Name of the program.
+/// Program name in completion scripts.
 const PROGRAM: &str = "endivectl";
 
 /// Runs a command.
@@ -42,6 +42,6 @@
 fn complete(args: &CompletionArgs) -> Exit {
     let mut script = Vec::new();
     clap_complete::generate(args.shell, &mut Cli::command(), PROGRAM, &mut script);
-    crate::out::raw(&script);
+    crate::out::print_bytes(&script);
     Exit::Done
 }
--- a/endivestile_ctl/src/load/report.rs
+++ b/endivestile_ctl/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What came back, and the report on it.
+//! Results of submissions and the report on them.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -7,110 +7,110 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::plan::Shot;
+use super::workload::Submission;
 use crate::error::CtlError;
-use crate::http::{Class, Work};
+use crate::http::{Class, Payload};
 
 /// Significant digits of the histograms.
 const DIGITS: u8 = 3;
 
-/// How a submission ended.
+/// Outcome of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Ending {
-    /// With an answer.
+pub(super) enum Outcome {
+    /// It was answered.
     Class(Class),
-    /// Sent, and no answer came.
+    /// It was sent, but not answered.
     Lost,
-    /// Not sent: the host could not be reached.
-    Refused,
+    /// It was not sent, because the host could not be reached.
+    Unreachable,
 }
 
-impl Ending {
-    fn word(self) -> &'static str {
+impl Outcome {
+    fn label(self) -> &'static str {
         match self {
-            Self::Class(class) => class.word(),
+            Self::Class(class) => class.label(),
             Self::Lost => "lost",
-            Self::Refused => "unreachable",
+            Self::Unreachable => "unreachable",
         }
     }
 }
 
 /// One line of the trace.
 #[derive(Debug)]
-struct Line {
+struct TraceLine {
     /// Serial number.
     serial: u64,
-    /// When it was due, in microseconds since the start.
+    /// Time at which it was due, in microseconds since the start of the load.
     at_us: u64,
-    /// Time to the answer, in microseconds.
+    /// Time until the answer, in microseconds.
     took_us: u64,
-    /// Tasks.
+    /// Number of tasks.
     tasks: u64,
     /// Whether it was a job.
     job: bool,
     /// Team.
     team: String,
-    /// How it ended.
-    ending: Ending,
+    /// Outcome.
+    outcome: Outcome,
 }
 
-/// What came back to one caller, or to all.
+/// Results of one caller or of all callers.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
-    /// Times to the answer by ending, in microseconds.
-    times: BTreeMap<Ending, Times>,
-    /// Tasks of complete submissions.
-    done: u64,
-    /// Tasks of all submissions.
+pub(super) struct Results {
+    /// Times until the answer by outcome.
+    latencies: BTreeMap<Outcome, Latencies>,
+    /// Number of tasks of complete submissions.
+    complete_tasks: u64,
+    /// Number of tasks of all submissions.
     tasks: u64,
-    /// Submissions that started late, because all callers were busy.
+    /// Number of submissions that started late because all callers were busy.
     pub(super) late: u64,
-    /// The trace, if wanted.
-    lines: Vec<Line>,
+    /// Trace, if requested.
+    lines: Vec<TraceLine>,
 }
 
-/// Times to the answer, in microseconds.
+/// Histogram of times until the answer, in microseconds.
 #[derive(Debug)]
-struct Times(Histogram<u64>);
+struct Latencies(Histogram<u64>);
 
-impl Default for Times {
+impl Default for Latencies {
     fn default() -> Self {
-        // Three digits are within what the library accepts.
+        // The library accepts up to 5 digits.
         Self(Histogram::new(DIGITS).expect("histogram of three digits"))
     }
 }
 
-impl Tally {
+impl Results {
     /// Records one submission.
     pub(super) fn record(
         &mut self,
-        shot: &Shot,
-        ending: Ending,
+        submission: &Submission,
+        outcome: Outcome,
         at_us: u64,
         took_us: u64,
-        traced: bool,
+        keep_trace: bool,
     ) {
-        // The histogram grows as needed, so no time is out of its range.
-        let _ = self.times.entry(ending).or_default().0.record(took_us);
-        let tasks = shot.tasks();
+        // The histogram resizes itself, so every time is within its range.
+        let _ = self.latencies.entry(outcome).or_default().0.record(took_us);
+        let tasks = submission.tasks();
         self.tasks += tasks;
-        if ending == Ending::Class(Class::Complete) {
-            self.done += tasks;
+        if outcome == Outcome::Class(Class::Complete) {
+            self.complete_tasks += tasks;
         }
-        if traced {
-            let job = matches!(shot.work, Work::Job(_));
-            let (serial, team) = (shot.serial, shot.team.clone());
-            self.lines.push(Line { serial, at_us, took_us, tasks, job, team, ending });
+        if keep_trace {
+            let job = matches!(submission.payload, Payload::Job(_));
+            let (serial, team) = (submission.serial, submission.team.clone());
+            self.lines.push(TraceLine { serial, at_us, took_us, tasks, job, team, outcome });
         }
     }
 
-    /// Adds what came back to another caller.
+    /// Adds the results of another caller.
     pub(super) fn add(&mut self, other: Self) {
-        for (ending, times) in other.times {
-            // As above.
-            let _ = self.times.entry(ending).or_default().0.add(times.0);
+        for (outcome, latencies) in other.latencies {
+            // The histogram resizes itself, as in `record`.
+            let _ = self.latencies.entry(outcome).or_default().0.add(latencies.0);
         }
-        self.done += other.done;
+        self.complete_tasks += other.complete_tasks;
         self.tasks += other.tasks;
         self.late += other.late;
         self.lines.extend(other.lines);
@@ -123,8 +123,8 @@
         writeln!(out, "serial,due_us,took_us,kind,tasks,team,class").map_err(fail)?;
         for line in &self.lines {
             let kind = if line.job { "job" } else { "request" };
-            let Line { serial, at_us, took_us, tasks, team, ending, .. } = line;
-            let class = ending.word();
+            let TraceLine { serial, at_us, took_us, tasks, team, outcome, .. } = line;
+            let class = outcome.label();
             writeln!(out, "{serial},{at_us},{took_us},{kind},{tasks},{team},{class}")
                 .map_err(fail)?;
         }
@@ -132,12 +132,12 @@
     }
 }
 
-/// Times to the answers of one ending, in microseconds.
+/// Times until the answers with one outcome, in microseconds.
 #[derive(Debug, Serialize)]
 struct Row {
-    /// How they ended.
+    /// Name of the outcome.
     class: &'static str,
-    /// Submissions.
+    /// Number of submissions.
     count: u64,
     /// Median.
     p50_us: u64,
@@ -149,49 +149,52 @@
     max_us: u64,
 }
 
-/// The report.
+/// Report on a load.
 #[derive(Debug, Serialize)]
 pub(super) struct Report {
-    /// Length of the load to its last answer, in seconds.
+    /// Time from the start of the load to its last answer, in seconds.
     seconds: f64,
-    /// Submissions.
+    /// Number of submissions.
     submissions: u64,
-    /// Tasks of all submissions.
+    /// Number of tasks of all submissions.
     tasks: u64,
-    /// Submissions that started late, because all callers were busy; many of
-    /// them mean that the rate was not reached.
+    /// Number of submissions that started late because all callers were busy; if
+    /// there are many, the rate was not reached.
     late: u64,
-    /// Tasks of complete submissions a second.
+    /// Tasks of complete submissions per second.
     goodput: f64,
-    /// Times by ending.
+    /// Times by outcome.
     classes: Vec<Row>,
-    /// By how much the hosts' counters grew.
+    /// Increase of the hosts' counters during the load.
     counters: BTreeMap<String, u64>,
 }
 
 impl Report {
-    /// Makes the report.
-    pub(super) fn new(tally: &Tally, seconds: f64, counters: BTreeMap<String, u64>) -> Self {
-        let classes: Vec<Row> =
-            tally.times.iter().map(|(ending, Times(times))| row(*ending, times)).collect();
+    /// Creates the report from the results.
+    pub(super) fn new(results: &Results, seconds: f64, counters: BTreeMap<String, u64>) -> Self {
+        let classes: Vec<Row> = results
+            .latencies
+            .iter()
+            .map(|(outcome, Latencies(latencies))| latency_row(*outcome, latencies))
+            .collect();
         Self {
             seconds,
             submissions: classes.iter().map(|row| row.count).sum(),
-            tasks: tally.tasks,
-            late: tally.late,
-            goodput: tally.done as f64 / seconds,
+            tasks: results.tasks,
+            late: results.late,
+            goodput: results.complete_tasks as f64 / seconds,
             classes,
             counters,
         }
     }
 
-    /// Tells whether any submission was answered.
+    /// Returns whether any submission was answered.
     pub(super) fn answered(&self) -> bool {
-        let silent = [Ending::Lost.word(), Ending::Refused.word()];
-        self.classes.iter().any(|row| !silent.contains(&row.class))
+        let unanswered = [Outcome::Lost.label(), Outcome::Unreachable.label()];
+        self.classes.iter().any(|row| !unanswered.contains(&row.class))
     }
 
-    /// Returns the report for people.
+    /// Returns the report as a readable text.
     pub(super) fn text(&self) -> String {
         let Self { seconds, submissions, tasks, late, goodput, .. } = self;
         let mut text = format!(
@@ -213,13 +216,13 @@
     }
 }
 
-fn row(ending: Ending, times: &Histogram<u64>) -> Row {
+fn latency_row(outcome: Outcome, latencies: &Histogram<u64>) -> Row {
     Row {
-        class: ending.word(),
-        count: times.len(),
-        p50_us: times.value_at_quantile(0.5),
-        p95_us: times.value_at_quantile(0.95),
-        p99_us: times.value_at_quantile(0.99),
-        max_us: times.max(),
+        class: outcome.label(),
+        count: latencies.len(),
+        p50_us: latencies.value_at_quantile(0.5),
+        p95_us: latencies.value_at_quantile(0.95),
+        p99_us: latencies.value_at_quantile(0.99),
+        max_us: latencies.max(),
     }
 }
