--- a/endivestile_wire/src/adapter.rs
+++ b/endivestile_wire/src/adapter.rs
@@ -1,9 +1,8 @@
-//! What an adapter to a users' platform translates.
+//! Interface between the daemon and an adapter to the users' platform.
 //!
-//! The daemon carries HTTP messages and knows neither their paths nor their
-//! bodies; the kernel decides on typed values. An adapter is the table of pure
-//! functions between both. It registers itself by name, and the settings
-//! choose it.
+//! The daemon transports HTTP messages whose paths and bodies are opaque to it; the
+//! kernel works on typed values. An adapter is a table of pure functions that convert
+//! between the two. Adapters register themselves by name; the settings select one.
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
@@ -15,177 +14,186 @@
 use http::request::Parts;
 use http::{Request, Response, StatusCode};
 
-/// What a caller wants.
+/// Request of a caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerRequest {
-    /// Run a job and answer with its end.
+    /// Run a job and respond once it has ended.
     Submit(Box<Job>),
-    /// How many accepted jobs of a route wait.
+    /// Get the number of accepted jobs of a route that are waiting.
     Pending(Name),
-    /// How the job of an id stands.
+    /// Get the state of the job with this id.
     State(Name),
-    /// Stop the job of an id.
+    /// Cancel the job with this id.
     Cancel(Name),
-    /// Whether new connections are welcome.
+    /// Get whether the host accepts new connections.
     Ready,
-    /// The call cannot be served.
+    /// Invalid or unsupported request.
     Refuse(Refused),
 }
 
-/// A call that is refused without any decision of the kernel.
+/// A request that the adapter refuses without involving the kernel.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refused {
-    /// Status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// What is wrong, with the field's name where one is.
+    /// Reason, with the name of the invalid field if there is one.
     pub reason: String,
 }
 
 impl Refused {
-    /// Refuses with a status and a reason.
+    /// Returns a refusal with a status and a reason.
     pub fn new(status: StatusCode, reason: impl Into<String>) -> Self {
         Self { status, reason: reason.into() }
     }
 }
 
-/// What a caller is told.
+/// Response to a caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerResponse {
-    /// How its job ended; the instant is now.
+    /// How its job ended, and the current time.
     Ended(JobEnd, Time),
-    /// How many accepted jobs of the route wait.
+    /// Number of accepted jobs of the route that are waiting.
     Pending(u32),
-    /// Whether the id's job is at work here.
+    /// Whether this host is processing the job with that id.
     Running(bool),
-    /// Whether there was a job to stop.
+    /// Whether there was a job to cancel.
     Cancelled(bool),
-    /// Whether new connections are welcome.
+    /// Whether the host accepts new connections.
     Ready(bool),
-    /// The call cannot be served.
+    /// Invalid or unsupported request.
     Refused(Refused),
 }
 
-/// One key of the store.
+/// State of one key of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
     /// Key.
     pub key: String,
-    /// Value; none once the key was deleted.
+    /// Value; `None` if the key was deleted.
     pub value: Option<Bytes>,
-    /// Revision of its last change.
+    /// Revision of the key's last change.
     pub revision: u64,
 }
 
-/// A page of a reading, or the changes that a watch saw.
+/// One page of a read, or the changes that a watch returned.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Page {
     /// Items.
     pub items: Vec<Item>,
-    /// Whether there are further ones behind the last.
+    /// Whether there are more items after the last one.
     pub more: bool,
-    /// Revision of the store.
+    /// Revision of the store at the time of the call.
     pub store_revision: u64,
 }
 
-/// A change of one key under the condition of its revision.
+/// Compare-and-swap of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Swap {
     /// Key.
     pub key: Name,
-    /// Revision that it must have; 0 for an absent key.
+    /// Expected revision; 0 if the key must not exist.
     pub revision: u64,
     /// New value.
     pub value: Bytes,
 }
 
-/// Why a call to the store brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreCallError {
-    /// The store did nothing: it turned the call away.
+    /// The store is overloaded and refused the call; nothing was changed.
     Busy,
-    /// The history that a watch asked for is gone.
+    /// The revision from which to watch has been compacted.
     Compacted,
-    /// The condition did not hold; the key's present revision.
+    /// Conflict: the key has another revision, its current one if known, else 0.
     Raced(u64),
-    /// The answer cannot be read, or there was none: a change may take effect later.
+    /// No valid response was received; a change may have been made or may still be made.
     Lost,
 }
 
-/// Keys of the store that others write.
+/// Keys of the store that operators and workers write.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreKeys {
-    /// Prefix of everything that operators write.
+    /// Prefix of all keys that operators write.
     pub operator_prefix: &'static str,
-    /// The configuration.
+    /// Key of the configuration.
     pub config_key: &'static str,
-    /// Prefix of the keys that each name a zone to be evacuated for as long as they stand.
+    /// Prefix of the evacuation keys; a zone is evacuated as long as its key exists.
     pub evacuation_prefix: &'static str,
-    /// Prefix of the workers' registrations.
+    /// Prefix of the registrations of workers.
     pub worker_prefix: &'static str,
 }
 
-/// Pure functions between the platform's messages and the project's types.
+/// Pure functions that convert between the platform's messages and the project's types.
 pub trait PlatformCodec {
-    /// Keys of the store that others write.
+    /// Keys of the store that operators and workers write.
     const KEYS: StoreKeys;
 
-    /// Reads a caller's call.
+    /// Decodes a call; `table` is `None` until a configuration has been read.
     fn decode_call(
         head: &Parts,
         body: &[u8],
         table: Option<&RouteTable>,
         now: Time,
     ) -> CallerRequest;
-    /// Writes the answer to a caller.
-    fn encode_response(say: &CallerResponse) -> Response<Bytes>;
+    /// Encodes the response to a call.
+    fn encode_response(reply: &CallerResponse) -> Response<Bytes>;
 
-    /// Writes an order to start.
-    fn encode_start(order: &StartRequest) -> Request<Bytes>;
-    /// Reads its answer.
+    /// Encodes a request to start a run.
+    fn encode_start(start: &StartRequest) -> Request<Bytes>;
+    /// Decodes the response to a start request.
     fn decode_start(status: StatusCode, body: &[u8]) -> StartResult;
-    /// Writes an order to stop.
-    fn encode_stop(order: &StopRequest) -> Request<Bytes>;
-    /// Reads its answer.
+    /// Encodes a request to stop a run.
+    fn encode_stop(stop: &StopRequest) -> Request<Bytes>;
+    /// Decodes the worker's clock, in milliseconds, from the response to a stop request.
+    ///
+    /// # Errors
+    ///
+    /// Why the call failed.
     fn decode_stop(status: StatusCode, body: &[u8]) -> Result<u64, CallError>;
-    /// Writes a hold.
-    fn encode_renewal(order: &RenewRequest) -> Request<Bytes>;
-    /// Reads its answer.
+    /// Encodes a lease renewal.
+    fn encode_renewal(renewal: &RenewRequest) -> Request<Bytes>;
+    /// Decodes the response to a lease renewal.
+    ///
+    /// # Errors
+    ///
+    /// Why the call failed.
     fn decode_renewal(status: StatusCode, body: &[u8]) -> Result<RenewReply, CallError>;
 
-    /// Reads a worker's registration; none when it names nothing to use.
+    /// Decodes the registration of a worker; `None` if it names no usable worker.
     fn decode_worker(id: &str, value: &[u8]) -> Option<WorkerEntry>;
-    /// Reads the configuration.
+    /// Decodes the configuration.
     ///
     /// # Errors
     ///
-    /// What cannot be read, in words.
+    /// A description of what is invalid.
     fn decode_routes(value: &[u8]) -> Result<RouteTable, String>;
 
-    /// Asks for the keys with a prefix, behind a key where one is given.
+    /// Encodes a read of the keys with a prefix; `after` is the last key of the previous page.
     fn encode_range(prefix: &str, after: Option<&str>) -> Request<Bytes>;
-    /// Asks for changes of keys with a prefix after a revision, for so many milliseconds.
-    fn encode_watch(prefix: &str, after: u64, wait: u32) -> Request<Bytes>;
-    /// Reads the answer to either.
+    /// Encodes a watch of the keys with a prefix for changes after a revision; the store
+    /// waits up to `wait_ms` for one.
+    fn encode_watch(prefix: &str, after: u64, wait_ms: u32) -> Request<Bytes>;
+    /// Decodes the response to a read or a watch.
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// Why the call failed.
     fn decode_page(status: StatusCode, body: &[u8]) -> Result<Page, StoreCallError>;
-    /// Asks for a change under a condition.
+    /// Encodes a compare-and-swap.
     fn encode_swap(swap: &Swap) -> Request<Bytes>;
-    /// Reads the new revision.
+    /// Decodes the key's new revision from the response to a compare-and-swap.
     ///
     /// # Errors
     ///
-    /// Why it took no effect, as far as that is known.
+    /// Why the call failed; after [`StoreCallError::Lost`] the change may still take effect.
     fn decode_swap(status: StatusCode, body: &[u8]) -> Result<u64, StoreCallError>;
 }
 
-/// The functions of an adapter, without dynamic dispatch.
+/// A platform codec as a table of function pointers.
 #[derive(Debug, Clone, Copy)]
-#[allow(missing_docs, reason = "each is the function of that name of `PlatformCodec`")]
+#[allow(missing_docs, reason = "each field is the function of the same name of `PlatformCodec`")]
 pub struct Adapter {
-    /// Name by which settings choose it.
+    /// Name in the settings.
     pub name: &'static str,
     pub keys: StoreKeys,
     pub decode_call: fn(&Parts, &[u8], Option<&RouteTable>, Time) -> CallerRequest,
@@ -206,7 +214,7 @@
 }
 
 impl Adapter {
-    /// Makes the table of a translation.
+    /// Returns the function table of a codec.
     pub const fn from_codec<T: PlatformCodec>(name: &'static str) -> Self {
         Self {
             name,
@@ -229,7 +237,7 @@
         }
     }
 
-    /// Returns the adapter of a name.
+    /// Returns the registered adapter with this name.
     pub fn by_name(name: &str) -> Option<&'static Self> {
         inventory::iter::<Self>.into_iter().find(|adapter| adapter.name == name)
     }
--- a/endivestile_wire/src/call.rs
+++ b/endivestile_wire/src/call.rs
@@ -1,20 +1,20 @@
-//! Bodies and headers between callers and an entry host.
+//! Headers and bodies of the calls between callers, entry hosts, backend servers and workers.
 
 use serde::{Deserialize, Serialize};
 
-/// Header that carries the submission id.
+/// Header with the submission id.
 pub const ID_HEADER: &str = "Idempotency-Key";
-/// Header that carries the time left until the deadline, in milliseconds.
+/// Header with the time left until the deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "Deadline-Ms";
-/// Header that carries the team on whose behalf the call is made.
+/// Header with the team that the call is made for.
 pub const TEAM_HEADER: &str = "Team";
-/// Header by which a backend server says that it did not start the task.
+/// Header of a backend server's response: the reason why the task was not started.
 pub const NOT_RUN_HEADER: &str = "Not-Run";
-/// Header that returns fresh minted ids, separated by commas.
+/// Header of a response with newly minted submission ids, separated by commas.
 pub const MINTED_HEADER: &str = "Minted-Ids";
-/// Header on a call to a worker: the lease on the task, in milliseconds.
+/// Header of a call to a worker: the lease of the task, in milliseconds.
 pub const LEASE_HEADER: &str = "Lease-Ms";
-/// Header on a call to a back end: the key of the task, for a later stop.
+/// Header of a call to a backend server or worker: the task's key, used to stop it later.
 pub const TASK_HEADER: &str = "Task-Key";
 
 /// Body of `POST /v1/jobs`.
@@ -25,25 +25,25 @@
     pub tasks: Vec<TaskBody>,
 }
 
-/// One task of a job: a service or a need, and the work itself.
+/// One task of a job: either a service or resource needs, and the work itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskBody {
     /// Service that runs the task on a backend server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// What the task takes of a worker.
+    /// Resources that the task takes on a worker.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub need: Option<NeedBody>,
-    /// Declared run time in milliseconds, a hint only.
+    /// Estimated run time in milliseconds; a hint only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub declared_ms: Option<u32>,
-    /// The work, handed to the back end as it is.
+    /// The work, passed to the backend server or worker unchanged.
     #[serde(default)]
     pub work: String,
 }
 
-/// What a task takes of a worker.
+/// Resources that a task takes on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NeedBody {
@@ -58,21 +58,22 @@
     pub accelerators: u16,
 }
 
-/// Body of every answer to a job or a request's refusal.
+/// Body of the response to a job and of a refused request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AnswerBody {
-    /// `complete`, `failed`, `not run`, `unknown`, `running`, `cancelled` or `invalid`.
+    /// `complete`, `failed`, `not run`, `unknown`, `running`, `cancelled`, `conflict`, `not found`
+    /// or `invalid`.
     pub status: String,
-    /// Results in the order of the tasks; present only when complete.
+    /// Results in the order of the tasks; only with status `complete`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub results: Option<Vec<String>>,
-    /// Why, unless complete.
+    /// Reason, unless the job is running or complete.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// The field at fault, when invalid.
+    /// Name of the invalid field; only with status `invalid`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// When to come back, in milliseconds.
+    /// Time to wait before a retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_ms: Option<u64>,
 }
--- a/endivestile_wire/src/lib.rs
+++ b/endivestile_wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages on the wire: links between entry hosts, calls to the platform's
-//! store, and the bodies that callers exchange with an entry host.
+//! Messages on the wire: links between entry hosts, calls to the store, the calls of
+//! callers, and the interface of platform adapters.
 
 pub mod adapter;
 pub mod call;
