--- a/endivestile_config/src/diff.rs
+++ b/endivestile_config/src/diff.rs
@@ -15,9 +15,9 @@
     pub section: String,
     /// Key.
     pub key: String,
-    /// Value before; none when the section is new.
+    /// Old value; `None` if the section is new.
     pub old: Option<String>,
-    /// Value after; none when the section is gone.
+    /// New value; `None` if the section was removed.
     pub new: Option<String>,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Returns every key that differs; the revision is left out.
+/// Returns all keys that differ, except the revision.
 pub fn diff(old: &Config, new: &Config) -> Vec<Change> {
     let mut changes = Vec::new();
     compare(&mut changes, "rules", Some(&old.rules), Some(&new.rules));
@@ -65,11 +65,11 @@
     new: Option<&T>,
 ) {
     for key in T::KEYS {
-        let was = old.map(|value| value.get(key));
-        let is = new.map(|value| value.get(key));
-        if was != is {
+        let before = old.map(|value| value.get(key));
+        let after = new.map(|value| value.get(key));
+        if before != after {
             let (section, key) = (section.to_owned(), (*key).to_owned());
-            changes.push(Change { section, key, old: was, new: is });
+            changes.push(Change { section, key, old: before, new: after });
         }
     }
 }
--- a/endivestile_config/src/error.rs
+++ b/endivestile_config/src/error.rs
@@ -6,21 +6,21 @@
 
 use crate::model::Name;
 
-/// Where in a text an error arose.
+/// Location of an error in a text.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Location {
-    /// File, or another name of the text; empty when not known.
+    /// File or other name of the text; empty if unknown.
     pub origin: Name,
-    /// Line, from 1; 0 when not known.
+    /// Line, from 1; 0 if unknown.
     pub line: usize,
-    /// Section, as `kind` or `kind name`; empty when the error is in none.
+    /// Section, as `kind` or `kind name`; empty if the error is in none.
     pub section: String,
-    /// Key; empty when the error is in none.
+    /// Key; empty if the error is in none.
     pub key: String,
 }
 
 impl Location {
-    /// Makes a place that knows its section and key only.
+    /// Returns a location with a section and a key only.
     pub(crate) fn key(section: &str, key: &str) -> Self {
         Self { section: section.to_owned(), key: key.to_owned(), ..Self::default() }
     }
@@ -51,32 +51,32 @@
 quick_error! {
     /// Why settings, inventory or rules are refused.
     ///
-    /// Each variant names the place at fault, where it has one.
-    // The macro takes no doc comments on fields.
+    /// Each variant holds the location of the error if it has one.
+    // The macro does not accept doc comments on fields.
     #[allow(missing_docs)]
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum ConfigError {
-        /// The text is no INI.
+        /// The text is not valid INI.
         Syntax { location: Location, reason: String } {
             display("{location}: {reason}")
         }
-        /// The text is larger than the platform's store holds.
+        /// The text is larger than a value of the store may be.
         TooLarge { location: Location, bytes: usize, limit: usize } {
             display("{location}: {bytes} bytes, at most {limit} are accepted")
         }
-        /// No section of this kind is known.
+        /// Unknown kind of section.
         UnknownSection { location: Location, suggestion: String } {
             display("{location}: unknown section, the nearest is [{suggestion}]")
         }
-        /// No key of this name is known in its section.
+        /// Unknown key in its section.
         UnknownKey { location: Location, suggestion: String } {
             display("{location}: unknown key, the nearest is {suggestion}")
         }
-        /// The section or key stands twice.
+        /// The section or key is defined twice.
         Duplicate { location: Location, first_line: usize } {
-            display("{location}: stands twice, first in line {first_line}")
+            display("{location}: defined twice, first in line {first_line}")
         }
-        /// The key must be given and isn't.
+        /// A required key is missing.
         Missing { location: Location } {
             display("{location}: missing")
         }
@@ -84,19 +84,19 @@
         InvalidValue { location: Location, value: String, accepted: String } {
             display("{location}: \"{value}\" is not accepted, only {accepted}")
         }
-        /// The value names something that doesn't exist.
+        /// The value names something that does not exist.
         UnknownReference { location: Location, value: String, suggestion: Option<String> } {
-            display("{location}: there is no \"{value}\"{}", hint(suggestion))
+            display("{location}: there is no \"{value}\"{}", suggestion_text(suggestion))
         }
-        /// Two sections claim the same value.
+        /// Two sections have the same value.
         Conflict { location: Location, value: String, other: String } {
-            display("{location}: {value} belongs to [{other}] already")
+            display("{location}: {value} is already used by [{other}]")
         }
-        /// The key is fixed once a configuration was accepted.
+        /// The key cannot change once a configuration has been accepted.
         Immutable { location: Location, old: String, new: String } {
-            display("{location}: fixed at {old} once accepted, cannot become {new}")
+            display("{location}: fixed at {old} once accepted, cannot change to {new}")
         }
-        /// The revision doesn't grow.
+        /// The revision is not higher than the one in force.
         StaleRevision { old: u64, new: u64 } {
             display("[configuration] revision: {new} is not above {old}, which is in force")
         }
@@ -104,7 +104,7 @@
 }
 
 impl ConfigError {
-    /// Returns where the error arose, if it has a place.
+    /// Returns the location of the error, if it has one.
     pub fn location(&self) -> Option<&Location> {
         match self {
             Self::Syntax { location, .. }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Returns the place for a change.
+    /// Returns the location for modification.
     pub(crate) fn location_mut(&mut self) -> Option<&mut Location> {
         match self {
             Self::Syntax { location, .. }
@@ -139,7 +139,7 @@
     }
 }
 
-fn hint(suggestion: &Option<String>) -> String {
+fn suggestion_text(suggestion: &Option<String>) -> String {
     match suggestion {
         Some(suggestion) => format!(", the nearest is \"{suggestion}\""),
         None => String::new(),
--- a/endivestile_config/src/keys.rs
+++ b/endivestile_config/src/keys.rs
@@ -1,4 +1,4 @@
-//! Structures that are read from, and written as, the keys of a section.
+//! Structs that are read from and written as the keys of a section.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,26 @@
 use crate::error::{ConfigError, Location};
 use crate::raw::{RawValue, nearest};
 
-/// A structure whose fields are the keys of a section.
+/// A struct whose fields are the keys of a section.
 ///
-/// Reading, the canonical form and the difference of two configurations all go
-/// by this one list of keys.
+/// Parsing, the canonical form and the diff of two configurations all use this list of
+/// keys.
 pub(crate) trait SectionFields {
     /// All keys.
     const KEYS: &'static [&'static str];
-    /// Keys that have no default.
+    /// Keys without a default.
     const REQUIRED: &'static [&'static str];
 
-    /// Sets the field of a key of [`Self::KEYS`].
+    /// Sets the field of a key in [`Self::KEYS`].
     fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError>;
 
-    /// Returns the value of a key of [`Self::KEYS`] as it is written.
+    /// Returns the value of a key in [`Self::KEYS`] in its written form.
     fn get(&self, key: &str) -> String;
 }
 
-/// Reads all keys of a section.
+/// Sets the fields of all keys of a section.
+///
+/// Refuses duplicate, unknown and missing keys.
 pub(crate) fn set_keys<T: SectionFields>(
     value: &mut T,
     section: &Section,
@@ -44,7 +46,7 @@
     }
 }
 
-/// Reads one key, refusing an unknown one.
+/// Sets the field of one key; refuses an unknown key.
 pub(crate) fn set_key<T: SectionFields>(value: &mut T, raw: &RawValue) -> Result<(), ConfigError> {
     if T::KEYS.contains(&raw.location.key.as_str()) {
         return value.set(raw);
@@ -52,23 +54,23 @@
     Err(unknown_key::<T>(raw))
 }
 
-/// Refuses a key, naming the nearest one.
+/// Returns the error for an unknown key, with the most similar key.
 pub(crate) fn unknown_key<T: SectionFields>(raw: &RawValue) -> ConfigError {
     let suggestion = nearest(&raw.location.key, T::KEYS.iter().copied()).unwrap_or_default();
     ConfigError::UnknownKey { location: raw.location.clone(), suggestion }
 }
 
-/// Refuses a section that lacks a key.
+/// Returns the error for a section without a required key.
 pub(crate) fn missing_key(section: &Location, key: &str) -> ConfigError {
     ConfigError::Missing { location: Location { key: key.to_owned(), ..section.clone() } }
 }
 
-/// Writes a section with every key.
+/// Writes a section with all keys.
 pub(crate) fn write_section<T: SectionFields>(out: &mut String, title: &str, value: &T) {
     out.push_str(&format!("[{title}]\n"));
     for key in T::KEYS {
         let text = value.get(key);
-        let gap = if text.is_empty() { "" } else { " " };
-        out.push_str(&format!("{key} ={gap}{text}\n"));
+        let separator = if text.is_empty() { "" } else { " " };
+        out.push_str(&format!("{key} ={separator}{text}\n"));
     }
 }
--- a/endivestile_config/src/lib.rs
+++ b/endivestile_config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings, inventory and rules of endivestile: parse, check, canonical form.
+//! Parses, checks and writes the settings, inventory and rules of endivestile.
 
 pub mod model;
 
--- a/endivestile_config/src/mechanism.rs
+++ b/endivestile_config/src/mechanism.rs
@@ -1,42 +1,42 @@
-//! Policies of placing that a trial can leave out, to measure what each is worth.
+//! Scheduling mechanisms, which experiments can disable to measure the effect of each.
 
-/// One policy.
+/// A scheduling mechanism.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Routes with a lower priority number go first.
+    /// Jobs of routes with a lower priority number run first.
     Priority,
-    /// The other tasks of a job that has begun go before late jobs.
+    /// The remaining tasks of a started job run before late jobs.
     StartedFirst,
-    /// Late jobs whose turn cannot come in time are refused at once.
+    /// Late jobs that cannot start in time are refused at once.
     Shedding,
-    /// The speed of each worker is learnt.
+    /// The speed of each worker is learned.
     Speeds,
-    /// What the tasks of each route take is learnt.
+    /// The duration of each route's tasks is learned.
     Durations,
-    /// Runs that make too little progress are begun elsewhere.
+    /// Runs with too little progress are stopped and restarted elsewhere.
     Stalls,
-    /// Workers that fail what they start get no more than a probe.
+    /// Workers whose runs fail get only a probe.
     Health,
-    /// Tasks go to placers of other zones while the own one is full.
+    /// Tasks are forwarded to schedulers of other zones while the own zone is full.
     Forwarding,
-    /// Of two owners drawn, the one with more room gets a job.
+    /// Of two randomly drawn owners, the one with more spare capacity gets a job.
     TwoChoices,
-    /// An owner is asked in its record before its pool is claimed.
+    /// An owner is challenged through its ownership record before its pool is claimed.
     Challenge,
-    /// Hosts with the least pools for their processor time take over first.
+    /// Hosts with the fewest pools per core take over first.
     CandidateOrder,
     /// A task is not started on a worker where it would miss its objective.
     Fitting,
-    /// A place has to fit with a reserve that shrinks as a job waits.
+    /// A run has to fit with a margin on its duration, which shrinks while the job waits.
     Reserve,
-    /// Jobs with the least work left go first; without it, those that have to start first.
+    /// Jobs with the least remaining work run first; without it, those that must start first.
     LeastWork,
-    /// Pools go from owners with many to hosts that could drive more.
+    /// Pools are transferred from owners with many pools to hosts that could own more.
     Balance,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Self; 15] = [
         Self::Priority,
         Self::StartedFirst,
@@ -55,7 +55,7 @@
         Self::Balance,
     ];
 
-    /// Returns the word for settings.
+    /// Returns the name used in settings.
     pub fn label(self) -> &'static str {
         match self {
             Self::Priority => "priority",
@@ -76,32 +76,33 @@
         }
     }
 
-    /// Returns the policy of a word.
-    pub fn by_label(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|mechanism| mechanism.label() == word)
+    /// Returns the mechanism with this name in the settings.
+    pub fn by_label(name: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|mechanism| mechanism.label() == name)
     }
 }
 
-/// The policies in force: all of them, but for trials.
+/// The set of enabled mechanisms; all by default, fewer in experiments.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Policy {
-    left_out: u32,
+    /// Bit set of the disabled mechanisms.
+    disabled: u32,
 }
 
 impl Policy {
-    /// Leaves one out.
+    /// Returns the policy with a mechanism disabled.
     #[must_use]
     pub fn without(mut self, mechanism: Mechanism) -> Self {
-        self.left_out |= bit(mechanism);
+        self.disabled |= bit(mechanism);
         self
     }
 
-    /// Returns whether one is in force.
+    /// Returns whether a mechanism is enabled.
     pub fn has(self, mechanism: Mechanism) -> bool {
-        self.left_out & bit(mechanism) == 0
+        self.disabled & bit(mechanism) == 0
     }
 
-    /// Returns those that are left out.
+    /// Returns the disabled mechanisms.
     pub fn disabled(self) -> impl Iterator<Item = Mechanism> {
         Mechanism::ALL.into_iter().filter(move |mechanism| !self.has(*mechanism))
     }
--- a/endivestile_config/src/model.rs
+++ b/endivestile_config/src/model.rs
@@ -1,17 +1,17 @@
-//! The configuration that operators accept: inventory and rules.
+//! The configuration: inventory and rules.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Shared immutable string that names a thing.
+/// Name of an object, as a shared immutable string.
 pub type Name = Arc<str>;
 
-/// One accepted configuration.
+/// A configuration.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Config {
-    /// Grows by one with every accepted change; 0 when none was accepted yet.
+    /// Increases by one with each accepted change; 0 before the first one.
     pub revision: u64,
     /// Availability zones by name.
     pub zones: BTreeMap<Name, Zone>,
@@ -25,7 +25,7 @@
     pub services: BTreeMap<Name, Service>,
     /// Teams by name.
     pub teams: BTreeMap<Name, Team>,
-    /// Rules that hold for the whole deployment.
+    /// Rules of the whole deployment.
     pub rules: Rules,
 }
 
@@ -41,9 +41,9 @@
 pub struct Host {
     /// Availability zone.
     pub zone: Name,
-    /// Address of links from its peers, `IP:port`.
+    /// Address for links from its peers, `IP:port`.
     pub address: Name,
-    /// Relative size; a host of weight 2 takes twice the share of weight 1.
+    /// Relative size: a host of weight 2 gets twice the share of one of weight 1.
     pub weight: u32,
 }
 
@@ -52,13 +52,13 @@
 pub struct Server {
     /// Availability zone.
     pub zone: Name,
-    /// Rack, empty when not known.
+    /// Rack; empty if unknown.
     pub rack: Name,
     /// Address of its HTTP interface, `IP:port`.
     pub address: Name,
-    /// Tasks it runs at once.
+    /// Maximum number of concurrent tasks.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Maximum number of connections.
     pub connections: u32,
 }
 
@@ -67,11 +67,11 @@
 pub struct Worker {
     /// Availability zone.
     pub zone: Name,
-    /// Rack, empty when not known.
+    /// Rack; empty if unknown.
     pub rack: Name,
     /// Address of its HTTP interface, `IP:port`.
     pub address: Name,
-    /// Processors in thousandths of a core.
+    /// Processor time in thousandths of a core.
     pub cpu_milli: u32,
     /// Memory in MiB.
     pub memory_mb: u32,
@@ -79,52 +79,52 @@
     pub accelerators: u16,
 }
 
-/// One service and the backend servers it may use.
+/// One service and its backend servers.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Service {
     /// Names of the backend servers.
     pub servers: Vec<Name>,
-    /// Path that is called on a backend server.
+    /// Path of the calls to a backend server.
     pub path: Name,
 }
 
-/// One team and how much work it may hold.
+/// One team, with its limit and weight.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
-    /// Tasks of the team, waiting or running, in the whole deployment.
+    /// Maximum number of the team's waiting and running tasks in the whole deployment.
     pub limit: u32,
-    /// Share under contention against the other teams.
+    /// Relative share under contention with other teams.
     pub weight: u32,
 }
 
-/// Where a shard keeps its witness.
+/// Availability zone of a shard's witness.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum WitnessZone {
-    /// Another availability zone than the home's: survives the loss of a zone.
+    /// Another availability zone than the home's: the shard survives the loss of a zone.
     #[default]
     Other,
-    /// The home's own availability zone: fewer milliseconds, lost with the zone.
+    /// The home's availability zone: lower latency, but lost with the zone.
     Same,
 }
 
-/// Rules that hold for the whole deployment.
+/// Rules of the whole deployment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Shards of the callers' own ids; fixed once accepted.
+    /// Number of shards of the callers' own ids; cannot change once accepted.
     pub shards: u32,
-    /// Seconds for which a submission may be resubmitted; fixed once accepted.
+    /// Time in which a submission may be resubmitted, in seconds; cannot change once accepted.
     pub window_s: u64,
-    /// Price of a message between hosts, in thousandths of a millisecond.
+    /// Placement cost of a message between hosts, in microseconds.
     pub price_us: u64,
-    /// One-way distance between availability zones, in microseconds.
+    /// One-way latency between availability zones, in microseconds.
     pub distance_us: u64,
     /// Name of the placement policy.
     pub policy: Name,
-    /// Where witnesses are kept.
+    /// Availability zone of the witnesses.
     pub witness: WitnessZone,
-    /// Retries of idempotent requests, in percent of first tries.
+    /// Retry budget of idempotent requests, in percent of first attempts.
     pub retry_percent: u32,
-    /// Waiting tasks that one entry host holds at most.
+    /// Maximum number of waiting tasks on one entry host.
     pub queue_limit: u32,
 }
 
--- a/endivestile_config/src/model_keys.rs
+++ b/endivestile_config/src/model_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the inventory and of the rules.
+//! Keys of the sections of inventory and rules.
 
 use crate::check::PLACEMENT_POLICIES;
 use crate::error::ConfigError;
@@ -6,8 +6,8 @@
 use crate::model::{Host, Name, Rules, Server, Service, Team, WitnessZone, Worker, Zone};
 use crate::raw::{RawValue, is_valid_name};
 
-/// Names of [`WitnessZone`] in a text, in the order of its variants.
-const WITNESS_WORDS: [&str; 2] = ["other", "same"];
+/// Names of the variants of [`WitnessZone`], in their order.
+const WITNESS_NAMES: [&str; 2] = ["other", "same"];
 
 impl SectionFields for Zone {
     const KEYS: &'static [&'static str] = &["region"];
@@ -126,8 +126,8 @@
 
 fn patterns(raw: &RawValue) -> Result<Vec<Name>, ConfigError> {
     let items = raw.list()?;
-    let fits = |item: &RawValue| is_valid_name(&item.text.replace('*', "x"));
-    match items.iter().find(|item| !fits(item)) {
+    let valid = |item: &RawValue| is_valid_name(&item.text.replace('*', "x"));
+    match items.iter().find(|item| !valid(item)) {
         Some(item) => Err(item.invalid("names of backend servers, * for any run of characters")),
         None => Ok(items.iter().map(|item| Name::from(item.text.as_str())).collect()),
     }
@@ -173,7 +173,7 @@
             "window-s" => self.window_s = raw.number(10..=86_400)?,
             "price-us" => self.price_us = raw.number(0..=10_000_000)?,
             "distance-us" => self.distance_us = raw.number(0..=10_000_000)?,
-            "policy" => self.policy = raw.word(&PLACEMENT_POLICIES)?,
+            "policy" => self.policy = raw.one_of(&PLACEMENT_POLICIES)?,
             "witness" => self.witness = witness(raw)?,
             "retry-percent" => self.retry_percent = raw.number(0..=100)?,
             "queue-limit" => self.queue_limit = raw.number(1..=1_000_000)?,
@@ -189,7 +189,7 @@
             "price-us" => self.price_us.to_string(),
             "distance-us" => self.distance_us.to_string(),
             "policy" => self.policy.to_string(),
-            "witness" => WITNESS_WORDS[self.witness as usize].to_owned(),
+            "witness" => WITNESS_NAMES[self.witness as usize].to_owned(),
             "retry-percent" => self.retry_percent.to_string(),
             _ => self.queue_limit.to_string(),
         }
@@ -197,7 +197,7 @@
 }
 
 fn witness(raw: &RawValue) -> Result<WitnessZone, ConfigError> {
-    match raw.word(&WITNESS_WORDS)?.as_ref() {
+    match raw.one_of(&WITNESS_NAMES)?.as_ref() {
         "other" => Ok(WitnessZone::Other),
         _ => Ok(WitnessZone::Same),
     }
--- a/endivestile_config/src/parse.rs
+++ b/endivestile_config/src/parse.rs
@@ -1,4 +1,4 @@
-//! Inventory and rules from INI texts, and their canonical form.
+//! Parses inventory and rules from INI texts and writes their canonical form.
 
 use std::collections::BTreeMap;
 
@@ -19,22 +19,22 @@
     "service",
     "worker",
 ];
-/// The section that only the canonical form has.
-const HEAD: &str = "configuration";
-/// The section of the rules.
+/// Section that only the canonical form has.
+const CONFIGURATION: &str = "configuration";
+/// Section of the rules.
 const RULES: &str = "rules";
 
-/// A text and the name under which errors mention it.
+/// Name of a text in errors, and the text.
 pub type SourceFile<'a> = (&'a str, &'a str);
 
-/// Head of the canonical form.
+/// Section `configuration` of the canonical form.
 #[derive(Debug, Default)]
-struct Head {
+struct Header {
     /// Revision of the configuration.
     revision: u64,
 }
 
-impl SectionFields for Head {
+impl SectionFields for Header {
     const KEYS: &'static [&'static str] = &["revision"];
     const REQUIRED: &'static [&'static str] = &["revision"];
 
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// The first fault of the text. References between sections are left to
+/// The first error in the text. References between sections are not resolved; see
 /// [`check`](crate::check()).
 pub fn parse(text: &str, origin: &str) -> Result<Config, ConfigError> {
     parse_files(&[(origin, text)])
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// As [`parse`]; the files together may be no larger than [`MAX_BYTES`].
+/// As [`parse`], or the files together are larger than [`MAX_BYTES`].
 pub fn parse_files(files: &[SourceFile<'_>]) -> Result<Config, ConfigError> {
     let bytes = files.iter().map(|(_, text)| text.len()).sum();
     if bytes > MAX_BYTES {
@@ -86,19 +86,19 @@
                     first_line: first,
                 });
             }
-            add(&mut config, &section)?;
+            add_section(&mut config, &section)?;
             if section.kind == "service" {
                 services.push(section);
             }
         }
     }
     for section in &services {
-        expand(&mut config, section)?;
+        expand_patterns(&mut config, section)?;
     }
     Ok(config)
 }
 
-fn add(config: &mut Config, section: &Section) -> Result<(), ConfigError> {
+fn add_section(config: &mut Config, section: &Section) -> Result<(), ConfigError> {
     if !KINDS.contains(&section.kind.as_str()) {
         let suggestion = nearest(&section.kind, KINDS).unwrap_or_default();
         return Err(ConfigError::UnknownSection { location: section.location.clone(), suggestion });
@@ -113,20 +113,20 @@
         "team" => insert(&mut config.teams, section),
         RULES => set_keys(&mut config.rules, section),
         _ => {
-            let mut head = Head::default();
-            set_keys(&mut head, section)?;
-            config.revision = head.revision;
+            let mut header = Header::default();
+            set_keys(&mut header, section)?;
+            config.revision = header.revision;
             Ok(())
         }
     }
 }
 
 fn check_name(section: &Section) -> Result<(), ConfigError> {
-    let single = matches!(section.kind.as_str(), RULES | HEAD);
+    let single = matches!(section.kind.as_str(), RULES | CONFIGURATION);
     if single && section.name.is_empty() || !single && is_valid_name(&section.name) {
         return Ok(());
     }
-    let accepted = if single { "no name" } else { NAME_ACCEPTED };
+    let accepted = if single { "a section without a name" } else { NAME_ACCEPTED };
     let raw = RawValue { location: section.location.clone(), text: section.name.clone() };
     Err(raw.invalid(accepted))
 }
@@ -141,8 +141,8 @@
     Ok(())
 }
 
-/// Replaces the patterns of a service by the names they match, sorted.
-fn expand(config: &mut Config, section: &Section) -> Result<(), ConfigError> {
+/// Replaces the patterns of a service with the sorted names of the matching servers.
+fn expand_patterns(config: &mut Config, section: &Section) -> Result<(), ConfigError> {
     let Some(service) = config.services.get_mut(section.name.as_str()) else {
         return Ok(());
     };
@@ -153,7 +153,7 @@
             continue;
         }
         let before = names.len();
-        names.extend(matching(&config.servers, pattern));
+        names.extend(matching_servers(&config.servers, pattern));
         if names.len() == before {
             let location = location_of(section, "backend-servers");
             return Err(ConfigError::UnknownReference {
@@ -169,14 +169,15 @@
     Ok(())
 }
 
-fn matching(servers: &BTreeMap<Name, Server>, pattern: &str) -> Vec<Name> {
-    servers.keys().filter(|name| glob(pattern, name)).cloned().collect()
+fn matching_servers(servers: &BTreeMap<Name, Server>, pattern: &str) -> Vec<Name> {
+    servers.keys().filter(|name| glob_matches(pattern, name)).cloned().collect()
 }
 
-/// Matches a name against a pattern in which `*` stands for any run of
-/// characters. The first piece is anchored at the start and the last one at
-/// the end; the others are found from left to right, which is enough.
-fn glob(pattern: &str, name: &str) -> bool {
+/// Matches a name against a pattern in which `*` matches any characters.
+///
+/// The first piece is anchored at the start and the last one at the end. For the others
+/// the leftmost match is sufficient.
+fn glob_matches(pattern: &str, name: &str) -> bool {
     let mut pieces = pattern.split('*');
     let Some(mut rest) = pieces.next().and_then(|first| name.strip_prefix(first)) else {
         return false;
@@ -198,16 +199,16 @@
     raw.map_or_else(|| section.location.clone(), |raw| raw.location.clone())
 }
 
-/// Adds file and line to errors of [`check`](crate::check()), which knows only
-/// section and key.
+/// Adds file and line to errors of [`check`](crate::check()), which hold only section and
+/// key.
 pub fn locate(files: &[SourceFile<'_>], errors: &mut [ConfigError]) {
     let texts = files.iter().map(|(origin, text)| read_sections(text, origin));
     let sections: Vec<Section> = texts.filter_map(Result::ok).flatten().collect();
     for location in errors.iter_mut().filter_map(ConfigError::location_mut) {
-        let title = |section: &&Section| {
+        let same_title = |section: &&Section| {
             format!("{} {}", section.kind, section.name).trim_end() == location.section
         };
-        if let Some(section) = sections.iter().find(title) {
+        if let Some(section) = sections.iter().find(same_title) {
             let found = location_of(section, &location.key);
             location.origin = found.origin;
             location.line = found.line;
@@ -216,12 +217,12 @@
 }
 
 impl Config {
-    /// Returns the canonical form: every key, sections sorted by kind and name.
+    /// Returns the canonical form: all keys, with sections sorted by kind and name.
     ///
-    /// Parsing it gives the same configuration again.
+    /// Parsing it returns the same configuration.
     pub fn canonical(&self) -> String {
         let mut out = String::new();
-        write_section(&mut out, HEAD, &Head { revision: self.revision });
+        write_section(&mut out, CONFIGURATION, &Header { revision: self.revision });
         out.push('\n');
         write_section::<Rules>(&mut out, RULES, &self.rules);
         write_all(&mut out, "availability-zone", &self.zones);
--- a/endivestile_config/src/raw.rs
+++ b/endivestile_config/src/raw.rs
@@ -1,4 +1,4 @@
-//! Values as they stand in a text, and their conversions.
+//! Values as written in a text, and their conversions.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -8,22 +8,22 @@
 use crate::error::{ConfigError, Location};
 use crate::model::Name;
 
-/// Longest name of a zone, host, server, worker, service, team or rack.
-const MAX_NAME: usize = 64;
-/// Longest path of a service.
-const MAX_PATH: usize = 256;
+/// Maximum length of the name of a zone, host, server, worker, service, team or rack, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// Maximum length of a service's path, in bytes.
+const MAX_PATH_BYTES: usize = 256;
 
-/// A value and where it stands.
+/// A value and its location.
 #[derive(Debug, Clone)]
 pub(crate) struct RawValue {
-    /// Where it stands.
+    /// Location of the value.
     pub(crate) location: Location,
     /// The value, trimmed.
     pub(crate) text: String,
 }
 
 impl RawValue {
-    /// Refuses the value, naming what is accepted.
+    /// Returns the error for an invalid value, with a description of valid ones.
     pub(crate) fn invalid(&self, accepted: impl Into<String>) -> ConfigError {
         let location = self.location.clone();
         ConfigError::InvalidValue {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Reads a whole number within a range.
+    /// Parses a whole number within a range.
     pub(crate) fn number<T>(&self, range: RangeInclusive<T>) -> Result<T, ConfigError>
     where
         T: FromStr + PartialOrd + Display,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Reads a name.
+    /// Parses a name.
     pub(crate) fn name(&self) -> Result<Name, ConfigError> {
         if !is_valid_name(&self.text) {
             return Err(self.invalid(NAME_ACCEPTED));
@@ -57,7 +57,7 @@
         Ok(Name::from(self.text.as_str()))
     }
 
-    /// Reads a name or nothing.
+    /// Parses a name or an empty value.
     pub(crate) fn name_or_empty(&self) -> Result<Name, ConfigError> {
         if self.text.is_empty() {
             return Ok(Name::from(""));
@@ -65,12 +65,12 @@
         self.name()
     }
 
-    /// Reads an address, any port.
+    /// Parses a socket address with any port.
     pub(crate) fn socket(&self) -> Result<SocketAddr, ConfigError> {
         self.text.parse().map_err(|_| self.invalid("IP:port, for example 10.0.1.7:8080"))
     }
 
-    /// Reads an address that others dial: no unspecified IP and no port 0.
+    /// Parses an address that others dial: no unspecified IP and no port 0.
     pub(crate) fn address(&self) -> Result<Name, ConfigError> {
         let socket = self.socket()?;
         if socket.ip().is_unspecified() || socket.port() == 0 {
@@ -79,7 +79,7 @@
         Ok(Name::from(socket.to_string()))
     }
 
-    /// Reads a list separated by commas; empty entries are refused.
+    /// Parses a list separated by commas, without empty entries.
     pub(crate) fn list(&self) -> Result<Vec<Self>, ConfigError> {
         if self.text.is_empty() {
             return Ok(Vec::new());
@@ -94,17 +94,17 @@
         Ok(items)
     }
 
-    /// Reads the path of a URL.
+    /// Parses the path of a URL.
     pub(crate) fn path(&self) -> Result<Name, ConfigError> {
         let printable = self.text.bytes().all(|b| b.is_ascii_graphic() && b != b'\\');
-        if !printable || !self.text.starts_with('/') || self.text.len() > MAX_PATH {
+        if !printable || !self.text.starts_with('/') || self.text.len() > MAX_PATH_BYTES {
             return Err(self.invalid("a path: / and up to 255 further visible ASCII characters"));
         }
         Ok(Name::from(self.text.as_str()))
     }
 
-    /// Reads one of a few words.
-    pub(crate) fn word(&self, words: &[&str]) -> Result<Name, ConfigError> {
+    /// Parses one of the given words.
+    pub(crate) fn one_of(&self, words: &[&str]) -> Result<Name, ConfigError> {
         if !words.contains(&self.text.as_str()) {
             return Err(self.invalid(words.join(", ")));
         }
@@ -112,30 +112,30 @@
     }
 }
 
-/// What [`is_valid_name`] accepts, in words.
+/// Description of the names that [`is_valid_name`] accepts.
 pub(crate) const NAME_ACCEPTED: &str =
     "names of 1 to 64 of a-z, A-Z, 0-9, dot, dash and underscore, starting with a letter or digit";
 
-/// Tells whether a text can name a thing of the inventory.
+/// Returns whether a text is a valid name in the inventory.
 pub(crate) fn is_valid_name(text: &str) -> bool {
-    let starts = text.bytes().next().is_some_and(|b| b.is_ascii_alphanumeric());
-    let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'-' | b'_');
-    starts && text.len() <= MAX_NAME && text.bytes().all(fits)
+    let valid_start = text.bytes().next().is_some_and(|b| b.is_ascii_alphanumeric());
+    let valid = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'-' | b'_');
+    valid_start && text.len() <= MAX_NAME_BYTES && text.bytes().all(valid)
 }
 
-/// Returns the word nearest to `text`.
+/// Returns the word most similar to `text`.
 pub(crate) fn nearest<'a>(text: &str, words: impl IntoIterator<Item = &'a str>) -> Option<String> {
     let distance = |word: &&str| strsim::damerau_levenshtein(text, word);
     words.into_iter().min_by_key(distance).map(str::to_owned)
 }
 
-/// Cuts a value short for an error message.
+/// Shortens a value for an error message.
 pub(crate) fn truncate(text: &str) -> String {
-    const SHOWN: usize = 80;
-    if text.chars().count() <= SHOWN {
+    const MAX_CHARS: usize = 80;
+    if text.chars().count() <= MAX_CHARS {
         return text.to_owned();
     }
-    let mut cut: String = text.chars().take(SHOWN).collect();
+    let mut cut: String = text.chars().take(MAX_CHARS).collect();
     cut.push_str("...");
     cut
 }
--- a/endivestile_config/src/settings/backend.rs
+++ b/endivestile_config/src/settings/backend.rs
@@ -4,15 +4,15 @@
 use crate::keys::{SectionFields, unknown_key};
 use crate::raw::RawValue;
 
-/// How backend servers and workers are called.
+/// Settings of calls to backend servers and workers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendSettings {
-    /// Threads that each carry one call.
+    /// Number of threads; each makes one call at a time.
     pub threads: usize,
-    /// Age at which an idle connection is closed, in milliseconds; keep it
-    /// under the back ends' own limit.
+    /// Time after which an idle connection is closed, in milliseconds; should be below the
+    /// limit of the backend servers and workers.
     pub idle_timeout_ms: u64,
-    /// Largest answer of a task, in bytes.
+    /// Maximum size of a task's result, in bytes.
     pub answer_limit: usize,
 }
 
--- a/endivestile_config/src/settings/call.rs
+++ b/endivestile_config/src/settings/call.rs
@@ -4,19 +4,19 @@
 use crate::keys::{SectionFields, unknown_key};
 use crate::raw::RawValue;
 
-/// Longest deadline that a setting accepts, in milliseconds: a day.
+/// Maximum deadline in the settings, in milliseconds: one day.
 const DAY_MS: u64 = 86_400_000;
 
-/// How callers are served.
+/// Settings of calls from callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallSettings {
-    /// Threads that read requests.
+    /// Number of threads that read requests.
     pub threads: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub body_limit: usize,
-    /// Deadline of a call that names none, in milliseconds from its arrival.
+    /// Default deadline of a call, in milliseconds from its arrival.
     pub default_deadline_ms: u64,
-    /// Latest deadline that a call may name, in milliseconds from its arrival.
+    /// Latest deadline that a call may set, in milliseconds from its arrival.
     pub max_deadline_ms: u64,
 }
 
--- a/endivestile_config/src/settings/host.rs
+++ b/endivestile_config/src/settings/host.rs
@@ -6,30 +6,31 @@
 use crate::keys::{SectionFields, unknown_key};
 use crate::model::Name;
 use crate::raw::{RawValue, is_valid_name};
-use crate::settings::{optional, optional_socket};
+use crate::settings::{format_optional, optional_socket};
 
-/// What a seed is, in words.
+/// Description of a valid seed.
 const SEED_ACCEPTED: &str = "name@IP:port of another entry host, for example e2@10.0.1.8:8081";
 
-/// What the host is and where it listens.
+/// Identity and addresses of the host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostSettings {
     /// Name of the host in the inventory.
     pub name: Name,
     /// Availability zone.
     pub zone: Name,
-    /// Address for callers.
+    /// Address that listens for callers.
     pub http_address: SocketAddr,
-    /// Address for links from peers.
+    /// Address that listens for links from peers.
     pub peer_address: SocketAddr,
-    /// Address that peers dial; none means the address of `peers`.
+    /// Address that peers dial; `None` for `peer_address`.
     pub advertise_address: Option<SocketAddr>,
-    /// Hosts to ask for the configuration while the store is away: name and address of links.
+    /// Hosts to get the configuration from while the store is unavailable: name and address for
+    /// links.
     pub seeds: Vec<(Name, SocketAddr)>,
 }
 
 impl HostSettings {
-    /// Returns the address that peers dial, with port 0 still as it is set.
+    /// Returns the address that peers dial; port 0 is not resolved.
     pub fn advertised_address(&self) -> SocketAddr {
         self.advertise_address.unwrap_or(self.peer_address)
     }
@@ -40,15 +41,15 @@
         Self {
             name: Name::from(""),
             zone: Name::from(""),
-            http_address: any(8080),
-            peer_address: any(8081),
+            http_address: unspecified(8080),
+            peer_address: unspecified(8081),
             advertise_address: None,
             seeds: Vec::new(),
         }
     }
 }
 
-const fn any(port: u16) -> SocketAddr {
+const fn unspecified(port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), port)
 }
 
@@ -63,7 +64,7 @@
             "http" => self.http_address = raw.socket()?,
             "peers" => self.peer_address = raw.socket()?,
             "advertise" => self.advertise_address = optional_socket(raw)?,
-            "seeds" => self.seeds = seeds(raw)?,
+            "seeds" => self.seeds = parse_seeds(raw)?,
             _ => return Err(unknown_key::<Self>(raw)),
         }
         Ok(())
@@ -75,24 +76,24 @@
             "zone" => self.zone.to_string(),
             "http" => self.http_address.to_string(),
             "peers" => self.peer_address.to_string(),
-            "advertise" => optional(self.advertise_address),
-            _ => seeds_text(&self.seeds),
+            "advertise" => format_optional(self.advertise_address),
+            _ => format_seeds(&self.seeds),
         }
     }
 }
 
-fn seeds(raw: &RawValue) -> Result<Vec<(Name, SocketAddr)>, ConfigError> {
+fn parse_seeds(raw: &RawValue) -> Result<Vec<(Name, SocketAddr)>, ConfigError> {
     let items = raw.list()?;
-    items.iter().map(|item| seed(item).ok_or_else(|| item.invalid(SEED_ACCEPTED))).collect()
+    items.iter().map(|item| parse_seed(item).ok_or_else(|| item.invalid(SEED_ACCEPTED))).collect()
 }
 
-fn seed(raw: &RawValue) -> Option<(Name, SocketAddr)> {
+fn parse_seed(raw: &RawValue) -> Option<(Name, SocketAddr)> {
     let (name, address) = raw.text.split_once('@')?;
     let address = address.parse().ok()?;
     is_valid_name(name).then(|| (Name::from(name), address))
 }
 
-fn seeds_text(seeds: &[(Name, SocketAddr)]) -> String {
+fn format_seeds(seeds: &[(Name, SocketAddr)]) -> String {
     let items: Vec<String> = seeds.iter().map(|(name, at)| format!("{name}@{at}")).collect();
     items.join(", ")
 }
--- a/endivestile_config/src/settings/log.rs
+++ b/endivestile_config/src/settings/log.rs
@@ -6,17 +6,17 @@
 use crate::keys::{SectionFields, unknown_key};
 use crate::model::Name;
 use crate::raw::RawValue;
-use crate::settings::optional;
+use crate::settings::format_optional;
 
-/// Levels of the log.
+/// Log levels.
 const LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// What is logged and where.
+/// Settings of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogSettings {
     /// Least severe level that is written: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: Name,
-    /// File that events are appended to; none means standard error.
+    /// File that events are appended to; `None` for standard error.
     pub file: Option<PathBuf>,
 }
 
@@ -32,7 +32,7 @@
 
     fn set(&mut self, raw: &RawValue) -> Result<(), ConfigError> {
         match raw.location.key.as_str() {
-            "level" => self.level = raw.word(&LEVELS)?,
+            "level" => self.level = raw.one_of(&LEVELS)?,
             "file" => self.file = (!raw.text.is_empty()).then(|| PathBuf::from(&raw.text)),
             _ => return Err(unknown_key::<Self>(raw)),
         }
@@ -42,7 +42,7 @@
     fn get(&self, key: &str) -> String {
         match key {
             "level" => self.level.to_string(),
-            _ => optional(self.file.as_ref().map(|file| file.display())),
+            _ => format_optional(self.file.as_ref().map(|file| file.display())),
         }
     }
 }
--- a/endivestile_config/src/settings/metric.rs
+++ b/endivestile_config/src/settings/metric.rs
@@ -5,16 +5,16 @@
 use crate::error::ConfigError;
 use crate::keys::{SectionFields, unknown_key};
 use crate::raw::RawValue;
-use crate::settings::{optional, optional_socket};
+use crate::settings::{format_optional, optional_socket};
 
-/// Where metrics go.
+/// Settings of the metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MetricSettings {
-    /// Address of the statsd sink; none sends nothing.
+    /// Address of the statsd server; `None` sends nothing.
     pub statsd_address: Option<SocketAddr>,
-    /// Time between two sends, in milliseconds.
+    /// Interval between two reports to the statsd server, in milliseconds.
     pub interval_ms: u64,
-    /// Address of the page with counters and latencies; none serves no page.
+    /// Address of the page with counters and latencies; `None` serves no page.
     pub page_address: Option<SocketAddr>,
 }
 
@@ -40,9 +40,9 @@
 
     fn get(&self, key: &str) -> String {
         match key {
-            "statsd" => optional(self.statsd_address),
+            "statsd" => format_optional(self.statsd_address),
             "interval-ms" => self.interval_ms.to_string(),
-            _ => optional(self.page_address),
+            _ => format_optional(self.page_address),
         }
     }
 }
--- a/endivestile_config/src/settings/mod.rs
+++ b/endivestile_config/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one entry host's daemon.
+//! Settings of an entry host's daemon.
 
 mod backend;
 mod call;
@@ -29,8 +29,8 @@
 /// Sections of the settings.
 const SECTIONS: [&str; 8] =
     ["backends", "calls", "host", "log", "metrics", "platform", "stop", "store"];
-/// How errors name an override of the command line.
-const OVERRIDE: &str = "command line";
+/// Origin of overrides in errors.
+const OVERRIDE_ORIGIN: &str = "command line";
 
 /// All settings.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -58,17 +58,17 @@
     ///
     /// # Errors
     ///
-    /// The first fault of the text, or a setting that must be given and isn't.
+    /// The first error in the text, or a required setting that is missing.
     pub fn parse(text: &str, origin: &str) -> Result<Self, ConfigError> {
         Self::load(text, origin, &[])
     }
 
-    /// Parses settings, then lets overrides of the form `section.key=value` win.
+    /// Parses settings, then applies overrides of the form `section.key=value`.
     ///
     /// # Errors
     ///
-    /// As [`Self::parse`]; a setting that is missing in the text may be given
-    /// by an override.
+    /// As [`Self::parse`], or an invalid override. An override may supply a required setting
+    /// that the text lacks.
     pub fn load(text: &str, origin: &str, overrides: &[String]) -> Result<Self, ConfigError> {
         let mut settings = Self::default();
         let mut seen: Vec<(String, usize)> = Vec::new();
@@ -80,7 +80,7 @@
                 });
             }
             if !section.name.is_empty() {
-                return Err(unknown(&section.location, &section.kind));
+                return Err(unknown_section(&section.location, &section.kind));
             }
             seen.push((section.kind.clone(), section.location.line));
             match section.kind.as_str() {
@@ -92,7 +92,7 @@
                 "metrics" => set_keys(&mut settings.metrics, &section)?,
                 "platform" => set_keys(&mut settings.platform, &section)?,
                 "stop" => set_keys(&mut settings.stop, &section)?,
-                kind => return Err(unknown(&section.location, kind)),
+                kind => return Err(unknown_section(&section.location, kind)),
             }
         }
         for assignment in overrides {
@@ -106,10 +106,11 @@
     ///
     /// # Errors
     ///
-    /// An unknown section or key, or a value that is not accepted.
+    /// An unknown section or key, or an invalid value.
     pub fn set(&mut self, assignment: &str) -> Result<(), ConfigError> {
-        let (section, key, text) = split(assignment)?;
-        let location = Location { origin: Name::from(OVERRIDE), ..Location::key(section, key) };
+        let (section, key, text) = split_assignment(assignment)?;
+        let location =
+            Location { origin: Name::from(OVERRIDE_ORIGIN), ..Location::key(section, key) };
         let raw = RawValue { location, text: text.to_owned() };
         match section {
             "host" => set_key(&mut self.host, &raw),
@@ -120,11 +121,11 @@
             "metrics" => set_key(&mut self.metrics, &raw),
             "platform" => set_key(&mut self.platform, &raw),
             "stop" => set_key(&mut self.stop, &raw),
-            kind => Err(unknown(&raw.location, kind)),
+            kind => Err(unknown_section(&raw.location, kind)),
         }
     }
 
-    /// Checks what must be given and what must fit together.
+    /// Checks that required settings are present and that settings are consistent.
     fn check(&self, origin: &str) -> Result<(), ConfigError> {
         let location = |section: &str, key: &str| Location {
             origin: Name::from(origin),
@@ -143,22 +144,23 @@
             return Err(ConfigError::InvalidValue {
                 location: location("calls", "default-deadline-ms"),
                 value: self.calls.default_deadline_ms.to_string(),
-                accepted: format!("up to max-deadline-ms, {}", self.calls.max_deadline_ms),
+                accepted: format!("numbers up to max-deadline-ms, {}", self.calls.max_deadline_ms),
             });
         }
         self.check_stop(location("stop", "limit-s"))
     }
 
-    /// Refuses a shutdown that ends before the longest call: it would cut off
-    /// requests, and their callers would see a closed connection.
+    /// Refuses a shutdown limit below the longest call: a shutdown would cut off requests,
+    /// and their callers would see a closed connection.
     fn check_stop(&self, location: Location) -> Result<(), ConfigError> {
-        let least = self.calls.max_deadline_ms.div_ceil(1_000);
-        // A platform sets the limit itself, whatever its callers' deadlines are.
-        if self.stop.shutdown_limit_s >= least || self.platform.adapter.is_some() {
+        let min_limit_s = self.calls.max_deadline_ms.div_ceil(1_000);
+        // A platform sets its own limit, regardless of its callers' deadlines.
+        if self.stop.shutdown_limit_s >= min_limit_s || self.platform.adapter.is_some() {
             return Ok(());
         }
         let value = self.stop.shutdown_limit_s.to_string();
-        let accepted = format!("from {least}, the seconds of [calls] max-deadline-ms");
+        let accepted =
+            format!("numbers from {min_limit_s}, which is [calls] max-deadline-ms in seconds");
         Err(ConfigError::InvalidValue { location, value, accepted })
     }
 
@@ -177,19 +179,19 @@
     }
 }
 
-fn split(assignment: &str) -> Result<(&str, &str, &str), ConfigError> {
+fn split_assignment(assignment: &str) -> Result<(&str, &str, &str), ConfigError> {
     let parts = assignment.split_once('=').and_then(|(path, value)| {
         let (section, key) = path.trim().split_once('.')?;
         Some((section, key, value.trim()))
     });
     parts.ok_or_else(|| ConfigError::InvalidValue {
-        location: Location { origin: Name::from(OVERRIDE), ..Location::default() },
+        location: Location { origin: Name::from(OVERRIDE_ORIGIN), ..Location::default() },
         value: truncate(assignment),
         accepted: "section.key=value".to_owned(),
     })
 }
 
-fn unknown(location: &Location, kind: &str) -> ConfigError {
+fn unknown_section(location: &Location, kind: &str) -> ConfigError {
     let suggestion = nearest(kind, SECTIONS).unwrap_or_default();
     ConfigError::UnknownSection {
         location: Location { key: String::new(), ..location.clone() },
@@ -197,12 +199,12 @@
     }
 }
 
-/// Reads an address or nothing.
+/// Parses a socket address or an empty value.
 pub(crate) fn optional_socket(raw: &RawValue) -> Result<Option<SocketAddr>, ConfigError> {
     if raw.text.is_empty() { Ok(None) } else { raw.socket().map(Some) }
 }
 
-/// Writes a value, or nothing for none.
-pub(crate) fn optional(value: Option<impl ToString>) -> String {
+/// Formats a value; `None` becomes empty.
+pub(crate) fn format_optional(value: Option<impl ToString>) -> String {
     value.map(|value| value.to_string()).unwrap_or_default()
 }
--- a/endivestile_config/src/settings/platform.rs
+++ b/endivestile_config/src/settings/platform.rs
@@ -8,29 +8,29 @@
 use crate::mechanism::{Mechanism, Policy};
 use crate::model::Name;
 use crate::raw::RawValue;
-use crate::settings::{optional, optional_socket};
+use crate::settings::{format_optional, optional_socket};
 
-/// Which platform the host serves on, and the times that it grants.
+/// Settings of the platform that the host runs on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Adapter that translates; none serves the product's own interface.
+    /// Name of the platform adapter; `None` serves the project's own interface.
     pub adapter: Option<Name>,
-    /// Address on which the balancer asks whether the host is ready.
+    /// Additional address, for the load balancer's readiness checks.
     pub ready_address: Option<SocketAddr>,
-    /// Time after which a caller without an answer sends its job again, in milliseconds.
+    /// Time after which a caller without a response resubmits its job, in milliseconds.
     pub caller_resend_ms: u64,
-    /// Longest lease that a worker grants, in milliseconds.
+    /// Maximum lease that a worker grants, in milliseconds.
     pub max_lease_ms: u64,
-    /// Time from the signal to stop until the process is killed, in milliseconds.
+    /// Grace period from the stop signal until the process is killed, in milliseconds.
     pub grace_ms: u64,
-    /// Processor time that the host may use, in thousandths of a core; 0 when
-    /// that is not known. Hosts with more of it own workers first.
+    /// Processor time that the host may use, in thousandths of a core; 0 if unknown. Hosts
+    /// with more of it are preferred as owners of workers.
     pub cpu_milli: u32,
-    /// Bandwidth of the host's link, in kilobits a second; 0 when that is not known.
+    /// Bandwidth of the host's network link, in kilobits per second; 0 if unknown.
     pub link_kbps: u32,
-    /// How many times longer a task takes away from its data, in thousandths.
+    /// Factor by which a task's run time grows on a worker without its data, in thousandths.
     pub remote_factor_milli: u32,
-    /// Policies in force: all of them, but for trials.
+    /// Enabled scheduling mechanisms; all of them except in experiments.
     pub policy: Policy,
 }
 
@@ -51,15 +51,18 @@
 }
 
 impl PlatformSettings {
-    /// Returns the lease of a worker's runs, in milliseconds: half the time
-    /// after which a caller sends its job again, so that no run of the first
-    /// sending is left when the second comes.
+    /// Returns the lease of a worker's runs, in milliseconds.
+    ///
+    /// It is at most half the time after which a caller resubmits its job, so that no run
+    /// of the first submission is left when the second one arrives.
     pub fn worker_lease_ms(&self) -> u64 {
         (self.caller_resend_ms / 2).min(self.max_lease_ms)
     }
 
-    /// Returns the lease of another host's tasks, in milliseconds. Both leases
-    /// and a tenth of the time for stops and slow clocks fit into that time.
+    /// Returns the lease of another host's tasks, in milliseconds.
+    ///
+    /// Both leases together leave a tenth of the resubmission time for stops and slow
+    /// clocks.
     pub fn host_lease_ms(&self) -> u64 {
         self.caller_resend_ms * 2 / 5
     }
@@ -83,15 +86,15 @@
         match raw.location.key.as_str() {
             "adapter" => self.adapter = Some(raw.name_or_empty()?).filter(|name| !name.is_empty()),
             "ready" => self.ready_address = optional_socket(raw)?,
-            "resend-ms" => set(&mut self.caller_resend_ms, raw, 200.0..=600_000.0, 1.0)?,
-            "hold-ms" => set(&mut self.max_lease_ms, raw, 100.0..=600_000.0, 1.0)?,
-            "grace-s" => set(&mut self.grace_ms, raw, 0.1..=600.0, 1_000.0)?,
-            "cores" => set_small(&mut self.cpu_milli, raw, 0.0..=1_024.0, 1_000.0)?,
-            "link-mbps" => set_small(&mut self.link_kbps, raw, 0.0..=1_000_000.0, 1_000.0)?,
+            "resend-ms" => set_scaled(&mut self.caller_resend_ms, raw, 200.0..=600_000.0, 1.0)?,
+            "hold-ms" => set_scaled(&mut self.max_lease_ms, raw, 100.0..=600_000.0, 1.0)?,
+            "grace-s" => set_scaled(&mut self.grace_ms, raw, 0.1..=600.0, 1_000.0)?,
+            "cores" => set_scaled_u32(&mut self.cpu_milli, raw, 0.0..=1_024.0, 1_000.0)?,
+            "link-mbps" => set_scaled_u32(&mut self.link_kbps, raw, 0.0..=1_000_000.0, 1_000.0)?,
             "remote-factor" => {
-                set_small(&mut self.remote_factor_milli, raw, 1.0..=1_000.0, 1_000.0)?
+                set_scaled_u32(&mut self.remote_factor_milli, raw, 1.0..=1_000.0, 1_000.0)?
             }
-            "without" => self.policy = policy(raw)?,
+            "without" => self.policy = parse_policy(raw)?,
             _ => return Err(unknown_key::<Self>(raw)),
         }
         Ok(())
@@ -99,26 +102,27 @@
 
     fn get(&self, key: &str) -> String {
         match key {
-            "adapter" => optional(self.adapter.as_ref()),
-            "ready" => optional(self.ready_address),
+            "adapter" => format_optional(self.adapter.as_ref()),
+            "ready" => format_optional(self.ready_address),
             "resend-ms" => self.caller_resend_ms.to_string(),
             "hold-ms" => self.max_lease_ms.to_string(),
             "grace-s" => (self.grace_ms as f64 / 1_000.0).to_string(),
             "link-mbps" => (f64::from(self.link_kbps) / 1_000.0).to_string(),
             "remote-factor" => (f64::from(self.remote_factor_milli) / 1_000.0).to_string(),
             "without" => {
-                let words: Vec<&str> = self.policy.disabled().map(Mechanism::label).collect();
-                words.join(", ")
+                let labels: Vec<&str> = self.policy.disabled().map(Mechanism::label).collect();
+                labels.join(", ")
             }
             _ => (f64::from(self.cpu_milli) / 1_000.0).to_string(),
         }
     }
 }
 
-/// Reads a figure of the platform's, times `factor`. Its templates leave a value
-/// empty that it does not set, and write fractions: neither keeps a host from
-/// starting.
-fn set(
+/// Sets a field to a number times `factor`.
+///
+/// The platform's templates leave unset values empty and write fractions; both are
+/// accepted so that they do not keep a host from starting.
+fn set_scaled(
     field: &mut u64,
     raw: &RawValue,
     range: RangeInclusive<f64>,
@@ -137,26 +141,26 @@
     Ok(())
 }
 
-/// The same for a field of 32 bits.
-fn set_small(
+/// Same as [`set_scaled`] for a field of 32 bits.
+fn set_scaled_u32(
     field: &mut u32,
     raw: &RawValue,
     range: RangeInclusive<f64>,
     factor: f64,
 ) -> Result<(), ConfigError> {
     let mut wide = u64::from(*field);
-    set(&mut wide, raw, range, factor)?;
+    set_scaled(&mut wide, raw, range, factor)?;
     *field = u32::try_from(wide).unwrap_or(u32::MAX);
     Ok(())
 }
 
-/// Reads the policies that a trial leaves out.
-fn policy(raw: &RawValue) -> Result<Policy, ConfigError> {
+/// Parses the list of disabled mechanisms.
+fn parse_policy(raw: &RawValue) -> Result<Policy, ConfigError> {
     let mut policy = Policy::default();
     for item in raw.list()? {
-        let words = Mechanism::ALL.map(Mechanism::label);
+        let labels = Mechanism::ALL.map(Mechanism::label);
         let Some(mechanism) = Mechanism::by_label(&item.text) else {
-            return Err(item.invalid(words.join(", ")));
+            return Err(item.invalid(labels.join(", ")));
         };
         policy = policy.without(mechanism);
     }
--- a/endivestile_config/src/settings/stop.rs
+++ b/endivestile_config/src/settings/stop.rs
@@ -4,11 +4,11 @@
 use crate::keys::{SectionFields, unknown_key};
 use crate::raw::RawValue;
 
-/// How the daemon stops.
+/// Settings of the shutdown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopSettings {
-    /// Longest graceful shutdown, in seconds; keep it over `max-deadline-ms`,
-    /// or a shutdown may cut off a request.
+    /// Maximum duration of a graceful shutdown, in seconds; without a platform
+    /// adapter it must not be below `max-deadline-ms`, or a shutdown would cut off requests.
     pub shutdown_limit_s: u64,
 }
 
--- a/endivestile_config/src/settings/store.rs
+++ b/endivestile_config/src/settings/store.rs
@@ -6,16 +6,16 @@
 use crate::keys::{SectionFields, unknown_key};
 use crate::raw::RawValue;
 
-/// How the platform's store is called.
+/// Settings of calls to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreSettings {
     /// Addresses, tried in turn.
     pub addresses: Vec<SocketAddr>,
-    /// Time for one call, in milliseconds.
+    /// Timeout of one call, in milliseconds.
     pub timeout_ms: u64,
     /// Time to live of the host's lease, in seconds.
     pub lease_s: u64,
-    /// Longest wait between two attempts while the store is down, in milliseconds.
+    /// Maximum backoff between two attempts while the store is unavailable, in milliseconds.
     pub backoff_ms: u64,
 }
 
--- a/endivestile_config/tests/config.rs
+++ b/endivestile_config/tests/config.rs
@@ -1,4 +1,4 @@
-//! Inventory and rules: parse, canonical form, check, difference.
+//! Parsing, canonical form, checks and diff of inventory and rules.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panic")]
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn parse_files_joins() {
+fn parse_files_merged() {
     let config = sample();
     assert_eq!(check(&config), Ok(()));
     assert_eq!(config.servers["east-1"].connections, 64);
@@ -62,13 +62,13 @@
 }
 
 #[test]
-fn canonical_parses_to_itself() {
+fn canonical_round_trip() {
     let mut config = sample();
     config.revision = 7;
     let text = config.canonical();
-    let again = parse(&text, "canonical").unwrap();
-    assert_eq!(again, config);
-    assert_eq!(again.canonical(), text);
+    let parsed = parse(&text, "canonical").unwrap();
+    assert_eq!(parsed, config);
+    assert_eq!(parsed.canonical(), text);
 }
 
 #[test_case("[hosst a]\n", "f:1: [hosst a]: unknown section, the nearest is [host]"; "unknown section")]
@@ -79,10 +79,10 @@
 #[test_case("limit = 3\n", "f:1: the first line must be a [section]"; "no section")]
 #[test_case("[team a\nlimit = 3\n", "f:1: a section must be written [kind] or [kind name]"; "open bracket")]
 #[test_case("[team a]\n[host b]\n[team a]\n", "f:2: [host b] zone: missing"; "missing key")]
-#[test_case("[team a]\n[team  a]\n", "f:2: [team  a]: stands twice, first in line 1"; "section twice")]
-#[test_case("[rules x]\n", "f:1: [rules x]: \"x\" is not accepted, only no name"; "name on rules")]
+#[test_case("[team a]\n[team  a]\n", "f:2: [team  a]: defined twice, first in line 1"; "section twice")]
+#[test_case("[rules x]\n", "f:1: [rules x]: \"x\" is not accepted, only a section without a name"; "name on rules")]
 #[test_case("[rules]\npolicy = erliest\n", "f:2: [rules] policy: \"erliest\" is not accepted, only earliest, random, round-robin, least-outstanding, two-choices"; "unknown policy")]
-#[test_case("[host a]\nzone = z\naddress = 0.0.0.0:1\n", "f:3: [host a] address: \"0.0.0.0:1\" is not accepted, only the IP:port that others dial, not 0.0.0.0 and not port 0"; "undialable")]
+#[test_case("[host a]\nzone = z\naddress = 0.0.0.0:1\n", "f:3: [host a] address: \"0.0.0.0:1\" is not accepted, only the IP:port that others dial, not 0.0.0.0 and not port 0"; "unspecified address")]
 #[test_case("[host a]\nzone = z\naddress = a.example:1\n", "f:3: [host a] address: \"a.example:1\" is not accepted, only IP:port, for example 10.0.1.7:8080"; "domain name")]
 #[test_case("[service s]\npath = /\nbackend-servers = x*\n", "f:3: [service s] backend-servers: there is no \"x*\""; "pattern without match")]
 fn parse_refused(text: &str, message: &str) {
@@ -94,14 +94,14 @@
     let text = "# comment\n".repeat(MAX_BYTES / 10 + 1);
     assert!(matches!(parse(&text, "f"), Err(ConfigError::TooLarge { .. })));
     let half = "# comment\n".repeat(MAX_BYTES / 20 + 1);
-    let both = parse_files(&[("a", &half), ("b", &half)]).unwrap_err();
-    assert!(both.to_string().starts_with("a + b: "), "{both}");
+    let error = parse_files(&[("a", &half), ("b", &half)]).unwrap_err();
+    assert!(error.to_string().starts_with("a + b: "), "{error}");
 }
 
 #[test_case("zone = east", "zone = eats", "inventory.ini:6: [host a] zone: there is no \"eats\", the nearest is \"east\""; "zone")]
-#[test_case("10.0.1.1:9000", "10.0.0.1:8081", "inventory.ini:12: [backend-server east-1] address: 10.0.0.1:8081 belongs to [host a] already"; "address")]
-#[test_case("[worker w1]", "[worker a]", "inventory.ini:20: [worker a]: the name a belongs to [host a] already"; "name of two machines")]
-fn check_located(old: &str, new: &str, message: &str) {
+#[test_case("10.0.1.1:9000", "10.0.0.1:8081", "inventory.ini:12: [backend-server east-1] address: 10.0.0.1:8081 is already used by [host a]"; "address")]
+#[test_case("[worker w1]", "[worker a]", "inventory.ini:20: [worker a]: the name a is already used by [host a]"; "name of two machines")]
+fn check_error_located(old: &str, new: &str, message: &str) {
     let text = INVENTORY.replacen(old, new, 1);
     let files = [("inventory.ini", text.as_str()), ("rules.ini", RULES)];
     let mut errors = check(&parse_files(&files).unwrap()).unwrap_err();
@@ -117,11 +117,10 @@
     assert_eq!(messages, ["[host NAME]: missing", "[team NAME]: missing"]);
 }
 
-/// A region's inventory names a zone wrongly, in thousands of sections. Each
-/// fault costs a search for the nearest name, and a host that is offered the
-/// text would be busy with it.
+/// An inventory with a wrong zone in thousands of sections: each error costs a search for the
+/// most similar name, which would keep a host busy for seconds.
 #[test]
-fn check_many_faults_bounded() {
+fn check_error_count_bounded() {
     let mut config = sample();
     for n in 0..5_000 {
         let server = Server { address: format!("10.1.0.1:{}", n + 1).into(), ..Server::default() };
@@ -131,15 +130,15 @@
 }
 
 #[test]
-fn check_zero() {
+fn check_zero_refused() {
     let mut config = sample();
     config.rules.shards = 0;
     config.teams.values_mut().for_each(|team| team.weight = 0);
     assert_eq!(check(&config).unwrap_err().len(), 2);
 }
 
-/// Two hosts that disagree on the number of shards would send one id to two
-/// homes, and each would start it. The caller's mirror would get two chambers.
+/// Two hosts that disagree on the number of shards would send the same id to two homes, and
+/// each would start the caller's job.
 #[test]
 fn check_change_fixed_keys() {
     let mut old = sample();
--- a/endivestile_config/tests/pages.rs
+++ b/endivestile_config/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The page of the keys and the samples, against the code.
+//! Checks documentation pages and sample files against the code.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panic")]
 
@@ -13,12 +13,12 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap().to_owned()
 }
 
-/// Returns the rows of a section of the page: key and default.
-fn rows(part: &str, section: &str) -> Vec<(String, String)> {
+/// Returns the rows of a section in the configuration page: key and default.
+fn rows(chapter: &str, section: &str) -> Vec<(String, String)> {
     let page = fs::read_to_string(root().join("docs/CONFIGURATION.md")).unwrap();
-    let part = page.split("\n## ").find(|text| text.starts_with(part)).unwrap().to_owned();
+    let chapter = page.split("\n## ").find(|text| text.starts_with(chapter)).unwrap().to_owned();
     let heading = format!("`[{section}");
-    let text = part.split("\n### ").find(|text| text.starts_with(&heading)).unwrap();
+    let text = chapter.split("\n### ").find(|text| text.starts_with(&heading)).unwrap();
     text.lines()
         .filter(|line| line.starts_with("| `"))
         .map(|line| line.split('|').map(|cell| cell.trim().replace('`', "")).collect::<Vec<_>>())
@@ -26,22 +26,22 @@
         .collect()
 }
 
-/// Tells whether a default of the page stands for a value of the canonical form.
-fn stands_for(default: &str, value: &str) -> bool {
+/// Returns whether a default in the page matches a value of the canonical form.
+fn default_matches(default: &str, value: &str) -> bool {
     default == value || default == "-" || default.starts_with("empty") && value.is_empty()
 }
 
-fn assert_documented(canonical: &str, part: impl Fn(&str) -> &'static str) {
+fn assert_documented(canonical: &str, chapter: impl Fn(&str) -> &'static str) {
     for section in canonical.split("\n\n").flat_map(|text| text.split("\n[")) {
-        let (title, keys) = section.trim_start_matches('[').split_once("]\n").unwrap();
+        let (title, body) = section.trim_start_matches('[').split_once("]\n").unwrap();
         let kind = title.split(' ').next().unwrap();
-        let rows = rows(part(kind), kind);
+        let rows = rows(chapter(kind), kind);
         let keys: Vec<(&str, &str)> =
-            keys.lines().map(|line| line.split_once('=').unwrap()).collect();
+            body.lines().map(|line| line.split_once('=').unwrap()).collect();
         assert_eq!(rows.len(), keys.len(), "{kind}");
         for ((key, value), (row, default)) in keys.iter().zip(&rows) {
             assert_eq!(key.trim(), row, "{kind}");
-            assert!(stands_for(default, value.trim()), "{kind} {key}: {default} {value}");
+            assert!(default_matches(default, value.trim()), "{kind} {key}: {default} {value}");
         }
     }
 }
@@ -66,12 +66,12 @@
     });
 }
 
-/// Returns the events that the sources under a directory log.
-fn events(dir: &Path) -> Vec<String> {
+/// Returns the events that the sources in a directory log.
+fn logged_events(dir: &Path) -> Vec<String> {
     let mut found = Vec::new();
     for entry in fs::read_dir(dir).unwrap().map(|entry| entry.unwrap().path()) {
         if entry.is_dir() {
-            found.extend(events(&entry));
+            found.extend(logged_events(&entry));
             continue;
         }
         let text = fs::read_to_string(entry).unwrap();
@@ -86,10 +86,10 @@
 #[test]
 fn events_documented() {
     let page = fs::read_to_string(root().join("docs/OPERATIONS.md")).unwrap();
-    let mut missing = events(&root().join("endivestile/src"));
-    assert!(!missing.is_empty());
-    missing.retain(|event| !page.contains(&format!("`{event}`")));
-    assert_eq!(missing, Vec::<String>::new());
+    let mut undocumented = logged_events(&root().join("endivestile/src"));
+    assert!(!undocumented.is_empty());
+    undocumented.retain(|event| !page.contains(&format!("`{event}`")));
+    assert_eq!(undocumented, Vec::<String>::new());
 }
 
 #[test_case("consortium", 3, 7)]
@@ -109,10 +109,10 @@
     assert_eq!(host.address.as_ref(), settings.host.advertised_address().to_string());
 }
 
-/// The fleet grows to its size in two years, and the configuration no longer
-/// fits into one value of the store: no change could be accepted any more.
+/// If the configuration of the fleet at its size in two years did not fit into one value of
+/// the store, no change could be accepted any more.
 #[test]
-fn canonical_target_size_fits() {
+fn canonical_fits_at_target_size() {
     let mut config = Config::default();
     for n in 0..26 {
         config.zones.insert(format!("region-{}-{n}", n % 8).into(), Zone::default());
--- a/endivestile_config/tests/random.rs
+++ b/endivestile_config/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random texts and configurations.
+//! Property tests with random texts and configurations.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panic")]
 
@@ -27,7 +27,7 @@
     "=",
 ];
 
-fn config() -> ProptestConfig {
+fn proptest_settings() -> ProptestConfig {
     ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..Default::default() }
 }
 
@@ -53,7 +53,7 @@
 }
 
 prop_compose! {
-    fn whole()(zones in btree_map(name(), name(), 0..4),
+    fn any_config()(zones in btree_map(name(), name(), 0..4),
                servers in btree_map(name(), server(), 0..8),
                teams in btree_map(name(), (1u32..1_000, 1u32..1_000), 0..4),
                service in name(), same in any::<bool>(), revision in 0..u64::MAX / 2) -> Config {
@@ -71,10 +71,10 @@
 }
 
 proptest! {
-    #![proptest_config(config())]
+    #![proptest_config(proptest_settings())]
 
     #[test]
-    fn parse_any_text(text in text()) {
+    fn canonical_of_any_text_round_trip(text in text()) {
         let _ = Settings::parse(&text, "any");
         if let Ok(config) = parse(&text, "any") {
             let _ = check(&config);
@@ -83,24 +83,23 @@
     }
 
     #[test]
-    fn canonical_any_config(config in whole()) {
-        let again = parse(&config.canonical(), "canonical").unwrap();
-        prop_assert!(diff(&config, &again).is_empty());
-        prop_assert_eq!(again, config);
+    fn canonical_of_any_config_round_trip(config in any_config()) {
+        let parsed = parse(&config.canonical(), "canonical").unwrap();
+        prop_assert!(diff(&config, &parsed).is_empty());
+        prop_assert_eq!(parsed, config);
     }
 
-    /// A file is cut short while an operator's editor or a copy still writes
-    /// it. A cut within the last line may still be a text; everywhere else the
-    /// operator must see every whole line in force or an error, never a part.
+    /// A file may be truncated while an editor or a copy still writes it. Either all complete
+    /// lines take effect or the text is refused. Only a truncated last line may still be valid.
     #[test]
-    fn parse_cut_text(config in whole(), at in 0.0..1.0f64) {
+    fn parse_truncated_text(config in any_config(), fraction in 0.0..1.0f64) {
         let text = config.canonical();
-        let cut = &text[..(text.len() as f64 * at) as usize];
-        if let Ok(part) = parse(cut, "cut") {
-            let lines = cut.lines().filter(|line| line.starts_with('[')).count();
-            let found = part.zones.len() + part.servers.len() + part.teams.len()
-                + part.services.len();
-            prop_assert!(found <= lines && found + 2 >= lines);
+        let truncated = &text[..(text.len() as f64 * fraction) as usize];
+        if let Ok(partial) = parse(truncated, "cut") {
+            let headers = truncated.lines().filter(|line| line.starts_with('[')).count();
+            let sections = partial.zones.len() + partial.servers.len() + partial.teams.len()
+                + partial.services.len();
+            prop_assert!(sections <= headers && sections + 2 >= headers);
         }
     }
 }
--- a/endivestile_config/tests/settings.rs
+++ b/endivestile_config/tests/settings.rs
@@ -5,12 +5,12 @@
 use endivestile_config::{ConfigError, Mechanism, Policy, Settings};
 use test_case::test_case;
 
-const LEAST: &str = "[host]\nname = a\nzone = east\npeers = 127.0.0.1:0\n\
+const MINIMAL: &str = "[host]\nname = a\nzone = east\npeers = 127.0.0.1:0\n\
                      [store]\naddresses = 127.0.0.1:2379, 127.0.0.2:2379\n";
 
 #[test]
-fn parse_least_has_defaults() {
-    let settings = Settings::parse(LEAST, "a.ini").unwrap();
+fn parse_minimal_has_defaults() {
+    let settings = Settings::parse(MINIMAL, "a.ini").unwrap();
     assert_eq!(settings.host.name.as_ref(), "a");
     assert_eq!(settings.host.advertised_address().to_string(), "127.0.0.1:0");
     assert_eq!(settings.store.addresses.len(), 2);
@@ -19,17 +19,17 @@
 }
 
 #[test]
-fn canonical_parses_to_itself() {
+fn canonical_round_trip() {
     let overrides = ["log.file=/tmp/a b.log".to_owned(), "metrics.statsd=127.0.0.1:8125".into()];
-    let settings = Settings::load(LEAST, "a.ini", &overrides).unwrap();
+    let settings = Settings::load(MINIMAL, "a.ini", &overrides).unwrap();
     assert_eq!(Settings::parse(&settings.canonical(), "canonical").unwrap(), settings);
 }
 
-/// A trial leaves policies out by their words, and the canonical form names them again.
+/// Experiments disable mechanisms by name; the canonical form lists them.
 #[test]
-fn policy_left_out() {
+fn mechanisms_disabled() {
     let overrides = ["platform.without=stalls, least-work".to_owned()];
-    let settings = Settings::load(LEAST, "a.ini", &overrides).unwrap();
+    let settings = Settings::load(MINIMAL, "a.ini", &overrides).unwrap();
     let expected = Policy::default().without(Mechanism::Stalls).without(Mechanism::LeastWork);
     assert_eq!(settings.platform.policy, expected);
     assert_eq!(Settings::parse(&settings.canonical(), "canonical").unwrap(), settings);
@@ -39,33 +39,33 @@
 }
 
 #[test_case("platform.link-mbps=2.0", 2_000; "fraction")]
-#[test_case("platform.link-mbps=", 0; "not_told")]
+#[test_case("platform.link-mbps=", 0; "empty")]
 fn link_bandwidth(setting: &str, expected: u32) {
-    let settings = Settings::load(LEAST, "a.ini", &[setting.to_owned()]).unwrap();
+    let settings = Settings::load(MINIMAL, "a.ini", &[setting.to_owned()]).unwrap();
     assert_eq!(settings.platform.link_kbps, expected);
     assert_eq!(Settings::parse(&settings.canonical(), "canonical").unwrap(), settings);
 }
 
 #[test_case("platform.link-mbps=-1"; "negative")]
-#[test_case("platform.link-mbps=fast"; "no_number")]
+#[test_case("platform.link-mbps=fast"; "not_a_number")]
 fn link_bandwidth_refused(setting: &str) {
-    let error = Settings::load(LEAST, "a.ini", &[setting.to_owned()]).unwrap_err();
+    let error = Settings::load(MINIMAL, "a.ini", &[setting.to_owned()]).unwrap_err();
     assert!(error.to_string().contains("link-mbps"), "{error}");
 }
 
-/// A word that names no policy keeps the host from starting: a trial that left nothing
-/// out would be taken for one that did.
+/// An unknown mechanism keeps the host from starting: otherwise an experiment that disabled
+/// nothing would be taken for one that did.
 #[test]
-fn policy_unknown() {
+fn unknown_mechanism_refused() {
     let overrides = ["platform.without=stals".to_owned()];
-    let error = Settings::load(LEAST, "a.ini", &overrides).unwrap_err();
+    let error = Settings::load(MINIMAL, "a.ini", &overrides).unwrap_err();
     assert!(error.to_string().contains("stalls"), "{error}");
 }
 
 #[test]
 fn load_override_wins() {
     let overrides = ["host.zone = west".to_owned(), "backends.idle-ms=7".to_owned()];
-    let settings = Settings::load(LEAST, "a.ini", &overrides).unwrap();
+    let settings = Settings::load(MINIMAL, "a.ini", &overrides).unwrap();
     assert_eq!(settings.host.zone.as_ref(), "west");
     assert_eq!(settings.backends.idle_timeout_ms, 7);
 }
@@ -81,22 +81,21 @@
 }
 
 #[test_case("[host]\nname = a\n", "a.ini: [host] zone: missing"; "required key")]
-#[test_case("[host]\nname = a\nzone = z\n[store]\naddresses = 127.0.0.1:1\n", "a.ini: [host] advertise: missing"; "nothing to dial")]
-#[test_case("[host]\nname = a\nname = b\n", "a.ini:3: [host] name: stands twice, first in line 2"; "key twice")]
-#[test_case("[log]\n\n[log]\n", "a.ini:3: [log]: stands twice, first in line 1"; "section twice")]
+#[test_case("[host]\nname = a\nzone = z\n[store]\naddresses = 127.0.0.1:1\n", "a.ini: [host] advertise: missing"; "no address to dial")]
+#[test_case("[host]\nname = a\nname = b\n", "a.ini:3: [host] name: defined twice, first in line 2"; "key twice")]
+#[test_case("[log]\n\n[log]\n", "a.ini:3: [log]: defined twice, first in line 1"; "section twice")]
 #[test_case("[host a]\n", "a.ini:1: [host a]: unknown section, the nearest is [host]"; "section with a name")]
 fn parse_refused(text: &str, message: &str) {
     assert_eq!(Settings::parse(text, "a.ini").unwrap_err().to_string(), message);
 }
 
-/// An operator shortens the shutdown below the longest call. Each planned stop
-/// would then cut off the calls that take longer, and their callers would see
-/// a closed connection in place of an answer.
+/// With a shutdown limit below the longest call, each planned stop would cut off the calls
+/// that take longer, and their callers would see a closed connection instead of a response.
 #[test]
-fn parse_stop_before_longest_call() {
-    let text = format!("{LEAST}[stop]\nlimit-s = 599\n");
+fn shutdown_limit_below_longest_call_refused() {
+    let text = format!("{MINIMAL}[stop]\nlimit-s = 599\n");
     let error = Settings::parse(&text, "a.ini").unwrap_err();
     assert!(matches!(error, ConfigError::InvalidValue { .. }), "{error}");
-    let shorter = ["calls.max-deadline-ms=599000".to_owned()];
-    assert!(Settings::load(&text, "a.ini", &shorter).is_ok());
+    let lower_deadline = ["calls.max-deadline-ms=599000".to_owned()];
+    assert!(Settings::load(&text, "a.ini", &lower_deadline).is_ok());
 }
--- a/endivestile_wire/src/adapter.rs
+++ b/endivestile_wire/src/adapter.rs
@@ -100,7 +100,7 @@
 /// Why a call to the store failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreCallError {
-    /// The store is overloaded and refused the call; nothing was changed.
+    /// The store is busy and refused the call; nothing was changed.
     Busy,
     /// The revision from which to watch has been compacted.
     Compacted,
