--- a/endivestile_config/src/settings/host.rs
+++ b/endivestile_config/src/settings/host.rs
@@ -18,9 +18,9 @@
     pub name: Name,
     /// Availability zone.
     pub zone: Name,
-    /// Address that listens for callers.
+    /// Listen address for callers.
     pub http_address: SocketAddr,
-    /// Address that listens for links from peers.
+    /// Listen address for links from peers.
     pub peer_address: SocketAddr,
     /// Address that peers dial; `None` for `peer_address`.
     pub advertise_address: Option<SocketAddr>,
