--- a/endivestile_lab/examples/policies/main.rs
+++ b/endivestile_lab/examples/policies/main.rs
@@ -7,37 +7,37 @@
 
 use clap::Parser;
 use endivestile_config::{Mechanism, Policy};
-use endivestile_testkit::{FleetWorld, Kind, Served};
+use endivestile_testkit::{FleetWorld, JobKind, LoadResult};
 
 /// Kinds of jobs: many small ones, some wide ones, a few long ones. One second
 /// of this asks for some 80% of what the workers can do.
-const KINDS: [Kind; 3] = [
-    Kind {
+const KINDS: [JobKind; 3] = [
+    JobKind {
         name: "wide",
         rate: 34.0,
         tasks: 8,
         work_ms: 60,
         priority: 0,
         deadline_ms: 2_000,
-        told: 1.0,
+        estimate_factor: 1.0,
     },
-    Kind {
+    JobKind {
         name: "long",
         rate: 6.0,
         tasks: 4,
         work_ms: 900,
         priority: 2,
         deadline_ms: 5_000,
-        told: 1.0,
+        estimate_factor: 1.0,
     },
-    Kind {
+    JobKind {
         name: "small",
         rate: 100.0,
         tasks: 2,
         work_ms: 200,
         priority: 1,
         deadline_ms: 2_500,
-        told: 1.0,
+        estimate_factor: 1.0,
     },
 ];
 /// Speeds of the workers, in turn.
@@ -88,45 +88,45 @@
 }
 
 fn row(name: &str, pattern: &Pattern, policy: Policy, seeds: u64) {
-    let mut sums: BTreeMap<&'static str, Served> = BTreeMap::new();
+    let mut sums: BTreeMap<&'static str, LoadResult> = BTreeMap::new();
     for seed in 1..=seeds {
         for (kind, served) in play(pattern, policy, seed) {
             sums.entry(kind).or_default().add(&served);
         }
     }
-    let mut all = Served::default();
+    let mut all = LoadResult::default();
     sums.values().for_each(|served| all.add(served));
     let part = |count: u32, of: u32| 100.0 * f64::from(count) / f64::from(of.max(1));
     let kinds: Vec<String> = sums
         .iter()
-        .map(|(kind, served)| format!("{kind} {:.1}", part(served.well, served.asked)))
+        .map(|(kind, served)| format!("{kind} {:.1}", part(served.in_time, served.submitted)))
         .collect();
     println!(
         "  {name:<14} {:5.1} {:5.1} {:5.1} {:5.1}   {}; refused after {} ms; large {:.1} of {:.1}",
-        part(all.well, all.asked),
-        part(all.late, all.asked),
-        part(all.refused, all.asked),
-        part(all.lost, all.asked),
+        part(all.in_time, all.submitted),
+        part(all.late, all.submitted),
+        part(all.refused, all.submitted),
+        part(all.lost, all.submitted),
         kinds.join(", "),
-        all.held_ms / u64::from(all.refused.max(1)),
+        all.refusal_wait_ms / u64::from(all.refused.max(1)),
         part(all.large_done, all.large),
-        part(all.well + all.late, all.asked),
+        part(all.in_time + all.late, all.submitted),
     );
 }
 
-fn play(pattern: &Pattern, policy: Policy, seed: u64) -> BTreeMap<&'static str, Served> {
+fn play(pattern: &Pattern, policy: Policy, seed: u64) -> BTreeMap<&'static str, LoadResult> {
     let hosts = [250, 250];
-    let mut world = FleetWorld::trial(policy, &["a", "b", "c"], &hosts, 16, 32_000, seed);
-    world.speeds(&SPEEDS);
+    let mut world = FleetWorld::with_policy(policy, &["a", "b", "c"], &hosts, 16, 32_000, seed);
+    world.set_speeds(&SPEEDS);
     world.run(2_000);
     // The fleet learns durations and speeds from a calm start.
-    world.load(&kinds(0.5), 3_000, seed + 100);
+    world.run_load(&kinds(0.5), 3_000, seed + 100);
     if pattern.trouble {
-        world.trouble(10, 10, 6.0);
+        world.degrade_workers(10, 10, 6.0);
     }
-    world.load(&kinds(pattern.rate), LOAD_MS, seed)
+    world.run_load(&kinds(pattern.rate), LOAD_MS, seed)
 }
 
-fn kinds(times: f64) -> Vec<Kind> {
-    KINDS.iter().map(|kind| Kind { rate: kind.rate * times, ..*kind }).collect()
+fn kinds(times: f64) -> Vec<JobKind> {
+    KINDS.iter().map(|kind| JobKind { rate: kind.rate * times, ..*kind }).collect()
 }
--- a/endivestile_testkit/src/fleet/check.rs
+++ b/endivestile_testkit/src/fleet/check.rs
@@ -9,29 +9,29 @@
 
 /// What was seen so far.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct Observed {
     /// Ids of which a task was started.
-    pub(crate) ids: BTreeSet<Name>,
+    pub(crate) started_ids: BTreeSet<Name>,
     /// Starts by worker.
     pub(crate) starts: BTreeMap<Name, u64>,
     /// Holds sent since they were last told.
-    pub(crate) holds: u64,
+    pub(crate) renewals: u64,
     /// Breaches, in the order in which they were seen.
     pub(crate) breaches: Vec<String>,
 }
 
-impl Seen {
+impl Observed {
     /// Notes a start.
-    pub(crate) fn started(&mut self, order: &StartRequest) {
+    pub(crate) fn record_start(&mut self, order: &StartRequest) {
         let id = order.task.split('.').next().unwrap_or_default();
-        self.ids.insert(Name::from(id));
+        self.started_ids.insert(Name::from(id));
         *self.starts.entry(order.worker.clone()).or_default() += 1;
     }
 }
 
 /// Time for an order that was sent before its host was told of an evacuation, in
 /// microseconds.
-const ORDER_US: u64 = 250_000;
+const ORDER_GRACE_US: u64 = 250_000;
 
 impl FleetWorld {
     /// Looks at an order to start: a host that the store has told of an evacuation sends
@@ -41,11 +41,12 @@
         let zone = &worker.entry.zone;
         let Some(&(revision, true)) = self.store.evacuations.get(zone) else { return };
         let told = self.hosts.get(host).and_then(|host| host.evacuations.get(zone));
-        let late = told.is_some_and(|told| told.0 == revision && told.1 + ORDER_US < self.now);
+        let late =
+            told.is_some_and(|told| told.0 == revision && told.1 + ORDER_GRACE_US < self.now);
         if late {
             let now = self.now / 1_000;
             let breach = format!("{now} ms: {host} starts {} in evacuated {zone}", order.task);
-            self.seen.breaches.push(breach);
+            self.observed.breaches.push(breach);
         }
     }
 
@@ -72,19 +73,19 @@
                 }
             }
         }
-        self.seen.breaches.extend(breaches);
+        self.observed.breaches.extend(breaches);
     }
 
     /// Returns everything that was broken so far.
     pub fn breaches(&self) -> Vec<String> {
-        let mut breaches = self.seen.breaches.clone();
+        let mut breaches = self.observed.breaches.clone();
         let mut ends: BTreeMap<&Name, Vec<bool>> = BTreeMap::new();
         for call in self.calls.values() {
             let refused = matches!(call.ended, Some((_, Some(JobEnd::NotRun { .. }))));
             ends.entry(&call.id).or_default().push(refused);
         }
         for (id, refused) in ends {
-            if refused.iter().all(|refused| *refused) && self.seen.ids.contains(id) {
+            if refused.iter().all(|refused| *refused) && self.observed.started_ids.contains(id) {
                 breaches.push(format!("{id} was refused as not run, and a task of it ran"));
             }
         }
--- a/endivestile_testkit/src/fleet/host.rs
+++ b/endivestile_testkit/src/fleet/host.rs
@@ -9,14 +9,14 @@
 };
 use endivestile_kernel::{Peer, Time};
 
-use super::world::{FleetWorld, Happening};
+use super::world::{FleetWorld, ScheduledEvent};
 
 /// Lease of workers in the worlds, in milliseconds.
 const WORKER_LEASE_MS: u64 = 650;
 /// Lease of other hosts' tasks, in milliseconds.
 const HOST_LEASE_MS: u64 = 520;
 /// Wait before frames are sent, in microseconds: what comes together shares them.
-const FLUSH_US: u64 = 50;
+const FLUSH_DELAY_US: u64 = 50;
 
 /// A host.
 #[derive(Debug)]
@@ -30,32 +30,32 @@
     /// Its fleet, none while it is dead.
     pub(crate) fleet: Option<Fleet>,
     /// Incarnation.
-    pub(crate) birth: u64,
+    pub(crate) incarnation: u64,
     /// When this incarnation's clock read zero.
-    pub(crate) zero: u64,
+    pub(crate) clock_zero: u64,
     /// Events that came while it was paused.
     pub(crate) paused: Option<Vec<FleetEvent>>,
     /// Time for which its clock stood still while paused.
-    pub(crate) flushing: bool,
+    pub(crate) flush_scheduled: bool,
     /// When it next wakes.
-    pub(crate) wake: u64,
+    pub(crate) wake_at: u64,
     /// Processor time that each event takes, in microseconds.
-    pub(crate) cost_us: u64,
+    pub(crate) event_cost_us: u64,
     /// Until when its processor is busy with events that have come.
-    pub(crate) free_at: u64,
+    pub(crate) busy_until: u64,
     /// Zones that the store has told it to evacuate or to take back: the revision of that,
     /// and when it was told.
     pub(crate) evacuations: BTreeMap<Name, (u64, u64)>,
     /// Whether it has read the store, and nothing has kept it from watching since.
-    pub(crate) reads: bool,
+    pub(crate) synced: bool,
     /// Whether it owned workers when it was last looked at.
-    pub(crate) owns: bool,
+    pub(crate) owned_workers: bool,
 }
 
 impl Host {
     /// Returns its registration.
     fn entry(&self, name: &Name, leaving: bool) -> HostEntry {
-        let peer = Peer::new(name.clone(), self.birth);
+        let peer = Peer::new(name.clone(), self.incarnation);
         let (zone, address) = (self.zone.clone(), name.clone());
         HostEntry {
             peer,
@@ -69,21 +69,21 @@
 
     /// Returns the host's clock.
     pub(crate) fn time(&self, now: u64) -> Time {
-        Time::from_micros(now - self.zero)
+        Time::from_micros(now - self.clock_zero)
     }
 }
 
 impl FleetWorld {
     /// Starts a host's process.
     pub fn start(&mut self, name: &Name) {
-        let (now, birth) = (self.now, self.births + 1);
+        let (now, incarnation) = (self.now, self.incarnations + 1);
         let Some(host) = self.hosts.get_mut(name) else { return };
         if host.fleet.is_some() {
             return;
         }
-        self.births = birth;
+        self.incarnations = incarnation;
         let setup = FleetSetup {
-            me: Peer::new(name.clone(), birth),
+            me: Peer::new(name.clone(), incarnation),
             zone: host.zone.clone(),
             cpu_milli: host.cpu_milli,
             link_kbps: host.link_kbps,
@@ -94,18 +94,21 @@
             policy: self.policy,
         };
         host.fleet = Some(Fleet::new(setup));
-        host.birth = birth;
-        host.zero = now;
+        host.incarnation = incarnation;
+        host.clock_zero = now;
         host.paused = None;
-        host.flushing = false;
+        host.flush_scheduled = false;
         host.evacuations.clear();
-        host.owns = false;
-        host.reads = false;
-        host.wake = now;
+        host.owned_workers = false;
+        host.synced = false;
+        host.wake_at = now;
         let entry = host.entry(name, false);
-        self.at(now, Happening::Wake { host: name.clone(), birth });
-        self.at(now + 5_000, Happening::Register { entry });
-        self.at(now + 8_000, Happening::Read { host: name.clone(), birth });
+        self.schedule_at(now, ScheduledEvent::Wake { host: name.clone(), incarnation });
+        self.schedule_at(now + 5_000, ScheduledEvent::Register { entry });
+        self.schedule_at(
+            now + 8_000,
+            ScheduledEvent::ReadStore { host: name.clone(), incarnation },
+        );
     }
 
     /// Kills a host's process; callers lose their connections.
@@ -113,8 +116,8 @@
         let Some(host) = self.hosts.get_mut(name) else { return };
         host.fleet = None;
         host.paused = None;
-        let birth = host.birth;
-        self.connections_end(name, birth);
+        let incarnation = host.incarnation;
+        self.end_connections(name, incarnation);
     }
 
     /// Freezes a host's process.
@@ -127,34 +130,38 @@
     /// Lets a frozen process go on; what came meanwhile comes first.
     pub fn resume(&mut self, name: &Name) {
         let Some(host) = self.hosts.get_mut(name) else { return };
-        let birth = host.birth;
+        let incarnation = host.incarnation;
         for event in host.paused.take().unwrap_or_default() {
-            self.at(self.now, Happening::Event { host: name.clone(), birth, event });
+            self.schedule_at(
+                self.now,
+                ScheduledEvent::Event { host: name.clone(), incarnation, event },
+            );
         }
-        self.at(self.now, Happening::Wake { host: name.clone(), birth });
+        self.schedule_at(self.now, ScheduledEvent::Wake { host: name.clone(), incarnation });
     }
 
     /// Tells a host to stop gracefully.
     pub fn stop(&mut self, name: &Name) {
-        let birth = self.hosts.get(name).map_or(0, |host| host.birth);
-        self.deliver(name, birth, FleetEvent::Shutdown);
+        let incarnation = self.hosts.get(name).map_or(0, |host| host.incarnation);
+        self.deliver(name, incarnation, FleetEvent::Shutdown);
     }
 
     /// Hands an event to a host, in its turn if the host is short of processor time.
-    pub(crate) fn deliver(&mut self, name: &Name, birth: u64, event: FleetEvent) {
+    pub(crate) fn deliver(&mut self, name: &Name, incarnation: u64, event: FleetEvent) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(name) else { return };
-        if host.cost_us == 0 && host.free_at <= now {
-            return self.take(name, birth, event);
+        if host.event_cost_us == 0 && host.busy_until <= now {
+            return self.handle_event(name, incarnation, event);
         }
-        host.free_at = host.free_at.max(now) + host.cost_us;
-        let (at, host) = (host.free_at, name.clone());
-        self.at(at, Happening::Taken { host, birth, event });
+        host.busy_until = host.busy_until.max(now) + host.event_cost_us;
+        let (at, host) = (host.busy_until, name.clone());
+        self.schedule_at(at, ScheduledEvent::Handle { host, incarnation, event });
     }
 
-    pub(crate) fn take(&mut self, name: &Name, birth: u64, event: FleetEvent) {
+    pub(crate) fn handle_event(&mut self, name: &Name, incarnation: u64, event: FleetEvent) {
         let now = self.now;
-        let Some(host) = self.hosts.get_mut(name).filter(|host| host.birth == birth) else {
+        let Some(host) = self.hosts.get_mut(name).filter(|host| host.incarnation == incarnation)
+        else {
             return;
         };
         if let Some(paused) = &mut host.paused {
@@ -170,86 +177,104 @@
             }
         }
         fleet.handle(time, event);
-        if !host.flushing {
-            host.flushing = true;
-            self.at(now + FLUSH_US, Happening::Flush { host: name.clone(), birth });
+        if !host.flush_scheduled {
+            host.flush_scheduled = true;
+            self.schedule_at(
+                now + FLUSH_DELAY_US,
+                ScheduledEvent::Flush { host: name.clone(), incarnation },
+            );
         }
     }
 
-    pub(crate) fn flush(&mut self, name: &Name, birth: u64) {
+    pub(crate) fn flush(&mut self, name: &Name, incarnation: u64) {
         let now = self.now;
-        let Some(host) = self.hosts.get_mut(name).filter(|host| host.birth == birth) else {
+        let Some(host) = self.hosts.get_mut(name).filter(|host| host.incarnation == incarnation)
+        else {
             return;
         };
-        host.flushing = false;
+        host.flush_scheduled = false;
         if host.paused.is_some() {
             return;
         }
         let time = host.time(now);
-        let zero = host.zero;
+        let clock_zero = host.clock_zero;
         let Some(fleet) = &mut host.fleet else { return };
         let mut effects = Vec::new();
         fleet.flush(time, &mut effects);
-        let owned = std::mem::replace(&mut host.owns, fleet.owns_workers());
-        let listed = host.owns && !owned;
-        let wake = zero + fleet.deadline().as_micros();
-        if wake != host.wake {
-            host.wake = wake;
-            self.at(wake, Happening::Wake { host: name.clone(), birth });
+        let owned = std::mem::replace(&mut host.owned_workers, fleet.owns_workers());
+        let listed = host.owned_workers && !owned;
+        let wake = clock_zero + fleet.deadline().as_micros();
+        if wake != host.wake_at {
+            host.wake_at = wake;
+            self.schedule_at(wake, ScheduledEvent::Wake { host: name.clone(), incarnation });
         }
         for effect in effects {
-            self.carry(name, birth, effect);
+            self.apply_effect(name, incarnation, effect);
         }
         if listed {
             let host = name.clone();
-            self.at(now + self.store.delay_us / 2, Happening::List { host, birth });
+            self.schedule_at(
+                now + self.store.delay_us / 2,
+                ScheduledEvent::ReadWorkerList { host, incarnation },
+            );
         }
     }
 
-    pub(crate) fn wake(&mut self, name: &Name, birth: u64) {
-        let Some(host) = self.hosts.get(name).filter(|host| host.birth == birth) else { return };
-        if host.free_at > self.now {
-            let at = host.free_at;
-            return self.at(at, Happening::Wake { host: name.clone(), birth });
+    pub(crate) fn wake(&mut self, name: &Name, incarnation: u64) {
+        let Some(host) = self.hosts.get(name).filter(|host| host.incarnation == incarnation) else {
+            return;
+        };
+        if host.busy_until > self.now {
+            let at = host.busy_until;
+            return self.schedule_at(at, ScheduledEvent::Wake { host: name.clone(), incarnation });
         }
         if host.paused.is_none() {
-            self.flush(name, birth);
+            self.flush(name, incarnation);
         }
     }
 
-    fn carry(&mut self, name: &Name, birth: u64, effect: FleetEffect) {
+    fn apply_effect(&mut self, name: &Name, incarnation: u64, effect: FleetEffect) {
         match effect {
-            FleetEffect::Answer { call, end } => self.answered(call.0, end),
+            FleetEffect::Answer { call, end } => self.handle_answer(call.0, end),
             FleetEffect::Send { address, frame } => {
-                if self.net.reaches(name, &address) && !self.net.loses(&mut self.rng) {
+                if self.net.reaches(name, &address) && !self.net.drops_frame(&mut self.rng) {
                     let delay = self.net.delay_us(name, &address, &mut self.rng);
                     let to = frame.to.birth;
                     let event = FleetEvent::Frame(Box::new(frame));
-                    self.at(self.now + delay, Happening::Event { host: address, birth: to, event });
+                    self.schedule_at(
+                        self.now + delay,
+                        ScheduledEvent::Event { host: address, incarnation: to, event },
+                    );
                 } else if let Some(host) = self.hosts.get(&address) {
-                    let peer = Peer::new(address.clone(), host.birth);
+                    let peer = Peer::new(address.clone(), host.incarnation);
                     let event = FleetEvent::LinkDown(peer);
                     let host = name.clone();
-                    self.at(self.now + 1_000, Happening::Event { host, birth, event });
+                    self.schedule_at(
+                        self.now + 1_000,
+                        ScheduledEvent::Event { host, incarnation, event },
+                    );
                 }
             }
-            FleetEffect::WorkerCall(call) => self.call(name, birth, call),
+            FleetEffect::WorkerCall(call) => self.call_worker(name, incarnation, call),
             FleetEffect::StoreCall { op_id: token, op } => {
-                self.at(
+                self.schedule_at(
                     self.now + self.store.delay_us / 2,
-                    Happening::Store { host: name.clone(), birth, token, op },
+                    ScheduledEvent::Swap { host: name.clone(), incarnation, token, op },
                 );
             }
             FleetEffect::RegisterLeaving => {
                 let Some(host) = self.hosts.get(name) else { return };
                 let entry = host.entry(name, true);
-                self.at(self.now + 1_000, Happening::Register { entry });
+                self.schedule_at(self.now + 1_000, ScheduledEvent::Register { entry });
             }
             FleetEffect::Drained => {
-                self.at(self.now, Happening::Drained { host: name.clone(), birth });
+                self.schedule_at(
+                    self.now,
+                    ScheduledEvent::Drained { host: name.clone(), incarnation },
+                );
             }
             FleetEffect::Log(note) => {
-                if self.traced {
+                if self.trace_enabled {
                     self.trace.push(format!(
                         "{:>9} {name} {} {:?} {:?}",
                         self.now / 1_000,
@@ -267,36 +292,36 @@
     }
 
     /// Sends a call to a worker.
-    fn call(&mut self, name: &Name, birth: u64, call: WorkerCall) {
+    fn call_worker(&mut self, name: &Name, incarnation: u64, call: WorkerCall) {
         let worker = match &call {
             WorkerCall::Start(order) => order.worker.clone(),
             WorkerCall::Stop(order) => order.worker.clone(),
             WorkerCall::Renew(_, order) => {
-                self.seen.holds += 1;
+                self.observed.renewals += 1;
                 order.worker.clone()
             }
         };
         let due = worker_call_deadline(&call, Time::from_micros(self.now)).as_micros();
-        self.visits += 1;
-        let visit = self.visits;
-        self.open_visits.insert(visit, (name.clone(), birth, call));
-        self.at(due, Happening::Expire { visit });
+        self.last_call_id += 1;
+        let call_id = self.last_call_id;
+        self.open_worker_calls.insert(call_id, (name.clone(), incarnation, call));
+        self.schedule_at(due, ScheduledEvent::CallTimeout { call_id });
         if self.net.reaches(name, &worker) {
             let delay = self.net.delay_us(name, &worker, &mut self.rng);
-            self.at(self.now + delay, Happening::Arrive { visit, worker });
+            self.schedule_at(self.now + delay, ScheduledEvent::Arrive { call_id, worker });
         }
     }
 
     /// Tells every host that can hear the store of a key.
     pub(crate) fn publish(&mut self, key: &Name) {
         let hosts: Vec<(Name, u64)> =
-            self.hosts.iter().map(|(name, host)| (name.clone(), host.birth)).collect();
-        for (host, birth) in hosts {
-            self.tell_key(&host, birth, key);
+            self.hosts.iter().map(|(name, host)| (name.clone(), host.incarnation)).collect();
+        for (host, incarnation) in hosts {
+            self.send_key(&host, incarnation, key);
         }
     }
 
-    fn tell_key(&mut self, host: &Name, birth: u64, key: &Name) {
+    fn send_key(&mut self, host: &Name, incarnation: u64, key: &Name) {
         let Some((revision, value)) = self.store.keys.get(key).cloned() else { return };
         if self.store.down || !self.net.reaches(host, crate::world::net::STORE) {
             return;
@@ -310,21 +335,21 @@
             return;
         };
         let at = self.now + self.store.delay_us;
-        self.at(at, Happening::Event { host: host.clone(), birth, event });
+        self.schedule_at(at, ScheduledEvent::Event { host: host.clone(), incarnation, event });
     }
 
     /// Has a zone evacuated, or takes it back, and tells every host that can hear the store.
     pub fn evacuate(&mut self, zone: &Name, evacuated: bool) {
-        self.store.evacuate(zone, evacuated);
+        self.store.set_evacuated(zone, evacuated);
         let hosts: Vec<(Name, u64)> =
-            self.hosts.iter().map(|(name, host)| (name.clone(), host.birth)).collect();
-        for (host, birth) in hosts {
-            self.tell_evacuation(&host, birth, zone);
+            self.hosts.iter().map(|(name, host)| (name.clone(), host.incarnation)).collect();
+        for (host, incarnation) in hosts {
+            self.send_evacuation(&host, incarnation, zone);
         }
     }
 
     /// Tells a host of a zone's state, as a watch does.
-    fn tell_evacuation(&mut self, host: &Name, birth: u64, zone: &Name) {
+    fn send_evacuation(&mut self, host: &Name, incarnation: u64, zone: &Name) {
         if self.store.down || !self.net.reaches(host, crate::world::net::STORE) {
             return;
         }
@@ -332,65 +357,74 @@
         let event =
             FleetEvent::Evacuation(EvacuationState { zone: zone.clone(), revision, evacuated });
         let at = self.now + self.store.delay_us;
-        self.at(at, Happening::Event { host: host.clone(), birth, event });
+        self.schedule_at(at, ScheduledEvent::Event { host: host.clone(), incarnation, event });
     }
 
     /// Tells a host what operators have written: all that stands at the first reading, also
     /// after the store was away, and later what it was told of before, as watches do.
-    fn tell_evacuations(&mut self, host: &Name, birth: u64) {
+    fn send_evacuations(&mut self, host: &Name, incarnation: u64) {
         let told = self.hosts.get(host).map(|host| host.evacuations.clone()).unwrap_or_default();
         let zones: Vec<Name> = self.store.evacuations.keys().cloned().collect();
         for zone in zones {
             let stands = self.store.evacuations.get(&zone).is_some_and(|(_, evacuated)| *evacuated);
             if stands || told.contains_key(&zone) {
-                self.tell_evacuation(host, birth, &zone);
+                self.send_evacuation(host, incarnation, &zone);
             }
         }
         let Some(state) = self.hosts.get_mut(host) else { return };
-        if std::mem::replace(&mut state.reads, true) {
+        if std::mem::replace(&mut state.synced, true) {
             return;
         }
         let event = FleetEvent::EvacuationsRead(self.store.revision);
         let at = self.now + self.store.delay_us;
-        self.at(at, Happening::Event { host: host.clone(), birth, event });
+        self.schedule_at(at, ScheduledEvent::Event { host: host.clone(), incarnation, event });
     }
 
     /// Reads the whole store for a host, as after each break of its watch.
-    pub(crate) fn read_all(&mut self, name: &Name, birth: u64) {
-        if !self.hosts.get(name).is_some_and(|host| host.birth == birth && host.fleet.is_some()) {
+    pub(crate) fn read_store(&mut self, name: &Name, incarnation: u64) {
+        if !self
+            .hosts
+            .get(name)
+            .is_some_and(|host| host.incarnation == incarnation && host.fleet.is_some())
+        {
             return;
         }
-        let again = Happening::Read { host: name.clone(), birth };
-        self.at(self.now + 500_000, again);
+        let retry = ScheduledEvent::ReadStore { host: name.clone(), incarnation };
+        self.schedule_at(self.now + 500_000, retry);
         if self.store.down || !self.net.reaches(name, crate::world::net::STORE) {
             if let Some(host) = self.hosts.get_mut(name) {
-                host.reads = false;
+                host.synced = false;
             }
-            return self.deliver(name, birth, FleetEvent::StoreAvailable(false));
+            return self.deliver(name, incarnation, FleetEvent::StoreAvailable(false));
         }
-        self.tell_evacuations(name, birth);
+        self.send_evacuations(name, incarnation);
         let keys: Vec<Name> = self.store.keys.keys().cloned().collect();
         for key in keys {
-            self.tell_key(name, birth, &key);
+            self.send_key(name, incarnation, &key);
         }
         let at = self.now + self.store.delay_us;
         let table = self.table.clone();
-        for event in [FleetEvent::StoreAvailable(true), FleetEvent::Routes(table), self.list()] {
-            self.at(at, Happening::Event { host: name.clone(), birth, event });
+        for event in
+            [FleetEvent::StoreAvailable(true), FleetEvent::Routes(table), self.worker_list_event()]
+        {
+            self.schedule_at(at, ScheduledEvent::Event { host: name.clone(), incarnation, event });
         }
     }
 
     /// Reads the list of workers for a host.
-    pub(crate) fn read_list(&mut self, name: &Name, birth: u64) {
+    pub(crate) fn read_worker_list(&mut self, name: &Name, incarnation: u64) {
         if self.store.down || !self.net.reaches(name, crate::world::net::STORE) {
             return;
         }
-        let (host, event) = (name.clone(), self.list());
-        self.at(self.now + self.store.delay_us / 2, Happening::Event { host, birth, event });
+        let (host, event) = (name.clone(), self.worker_list_event());
+        self.schedule_at(
+            self.now + self.store.delay_us / 2,
+            ScheduledEvent::Event { host, incarnation, event },
+        );
     }
 
-    fn list(&self) -> FleetEvent {
-        let workers = self.workers.values().filter(|worker| worker.listed(self.now));
+    fn worker_list_event(&self) -> FleetEvent {
+        let workers = self.workers.values().filter(|worker| worker.is_listed(self.now));
         FleetEvent::Workers(workers.map(|worker| worker.entry.clone()).collect())
     }
 }
--- a/endivestile_testkit/src/fleet/mod.rs
+++ b/endivestile_testkit/src/fleet/mod.rs
@@ -7,11 +7,11 @@
 mod load;
 mod store;
 mod story;
-mod visits;
 mod worker;
+mod worker_calls;
 mod world;
 
-pub use load::{Kind, Served};
-pub use story::tell_fleet;
+pub use load::{JobKind, LoadResult};
+pub use story::run_fleet_story;
 pub(crate) use worker::{Behaviour, Worker};
 pub use world::FleetWorld;
--- a/endivestile_testkit/src/fleet/store.rs
+++ b/endivestile_testkit/src/fleet/store.rs
@@ -17,7 +17,7 @@
     /// Time for an answer, in microseconds.
     pub(crate) delay_us: u64,
     /// Answers that will be lost after the change took effect.
-    pub(crate) losing: u32,
+    pub(crate) answers_to_lose: u32,
     /// Zones that operators have evacuated or taken back, with the revision of that.
     pub(crate) evacuations: BTreeMap<Name, (u64, bool)>,
     pub(crate) revision: u64,
@@ -38,7 +38,7 @@
     }
 
     /// Has a zone evacuated, or takes it back.
-    pub(crate) fn evacuate(&mut self, zone: &Name, evacuated: bool) {
+    pub(crate) fn set_evacuated(&mut self, zone: &Name, evacuated: bool) {
         self.revision += 1;
         self.evacuations.insert(zone.clone(), (self.revision, evacuated));
     }
--- a/endivestile_testkit/src/fleet/story.rs
+++ b/endivestile_testkit/src/fleet/story.rs
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// Names the first line that is no step.
-pub fn tell_fleet(text: &str) -> Result<String, String> {
+pub fn run_fleet_story(text: &str) -> Result<String, String> {
     let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     let first = Step::read(lines.next().unwrap_or_default());
     if first.words.first() != Some(&"world") {
@@ -38,17 +38,17 @@
     let (hosts, workers) = (first.number("hosts", 2)?, first.number("workers", 2)?);
     let seed = first.number("seed", 1)?;
     let mut world = match first.pairs.get("cpus") {
-        Some(cpus) => FleetWorld::of_hosts(&zones, &numbers(cpus)?, workers, cpu, seed),
+        Some(cpus) => FleetWorld::with_hosts(&zones, &numbers(cpus)?, workers, cpu, seed),
         None => FleetWorld::new(&zones, hosts, workers, cpu, seed),
     };
-    world.traced = first.pairs.contains_key("trace");
+    world.trace_enabled = first.pairs.contains_key("trace");
     if first.pairs.contains_key("link") {
-        world.links(first.number("link", 0)? as u32);
+        world.set_link_bandwidth(first.number("link", 0)? as u32);
     }
     if first.pairs.contains_key("remote") {
-        world.remote(first.number("remote", 2)? as u32 * 1_000);
+        world.set_remote_factor(first.number("remote", 2)? as u32 * 1_000);
     }
-    world.register_over(first.span("register", 0)?);
+    world.stagger_registration(first.span("register", 0)?);
     world.run(SETTLE_MS);
     let mut story = Story { world, out: String::new() };
     for line in lines {
@@ -63,19 +63,20 @@
         match step.words[0] {
             "run" => self.world.run(span_ms(step.word(1)?)?),
             "submit" => self.submit(step)?,
-            "leave" => self.world.leave(step.word(1)?),
+            "leave" => self.world.disconnect_caller(step.word(1)?),
             "answers" => self.answers(),
             "counts" => self.counts(),
             "owners" => self.owners(),
             "hosts" => self.hosts(),
             "starts" => self.starts(),
             "holds" => {
-                let holds = std::mem::take(&mut self.world.seen.holds);
+                let holds = std::mem::take(&mut self.world.observed.renewals);
                 let _ = writeln!(self.out, "holds: {holds}");
             }
             "later" => self.later(span_ms(step.word(1)?)?),
             "runs" => {
-                let runs: u32 = self.world.seen.starts.values().map(|count| *count as u32).sum();
+                let runs: u32 =
+                    self.world.observed.starts.values().map(|count| *count as u32).sum();
                 let _ = writeln!(self.out, "runs: {runs}");
             }
             "check" => self.check(),
@@ -101,13 +102,13 @@
             "stop" => self.world.stop(&name(1)?),
             "cut" => self.world.net.cut(step.word(1)?, step.word(2)?),
             "cost" => {
-                let cost_us = span_ms(step.word(2)?)? * 1_000;
+                let event_cost_us = span_ms(step.word(2)?)? * 1_000;
                 let host = self.world.hosts.get_mut(&name(1)?).ok_or("no such host")?;
-                host.cost_us = cost_us;
+                host.event_cost_us = event_cost_us;
             }
-            "mute" => self.world.net.mute(step.word(1)?, step.word(2)?),
+            "mute" => self.world.net.block(step.word(1)?, step.word(2)?),
             "heal" => self.world.net.heal(),
-            "lose" => self.world.net.loss = step.parse(1)?,
+            "lose" => self.world.net.loss_percent = step.parse(1)?,
             "jitter" => self.world.net.jitter_us = span_ms(step.word(1)?)? * 1_000,
             "store" => self.store(step)?,
             "worker" => self.worker(step)?,
@@ -127,7 +128,7 @@
             "down" => store.down = true,
             "up" => store.down = false,
             "slow" => store.delay_us = span_ms(step.word(2)?)? * 1_000,
-            "loses" => store.losing = step.parse(2)?,
+            "loses" => store.answers_to_lose = step.parse(2)?,
             word => return Err(format!("down, up, slow or loses, not `{word}`")),
         }
         Ok(())
@@ -140,20 +141,20 @@
         match step.word(2)? {
             "good" => {
                 worker.behaviour = Behaviour::Good;
-                worker.dark = false;
+                worker.unresponsive = false;
             }
-            "dark" => worker.dark = true,
+            "dark" => worker.unresponsive = true,
             "errors" => worker.behaviour = Behaviour::Errors,
             "hangs" => worker.behaviour = Behaviour::Hangs,
             "slow" => worker.behaviour = Behaviour::Slow(step.parse(3)?),
             "late" => worker.behaviour = Behaviour::Late(span_ms(step.word(3)?)?),
             "speed" => worker.speed = step.parse(3)?,
-            "crash" => worker.reborn(now),
+            "crash" => worker.restart(now),
             "drains" => worker.entry.leaving = true,
             "gone" => worker.entry.address = Name::from(""),
             word => return Err(format!("no behaviour `{word}`")),
         }
-        self.world.schedule(&name);
+        self.world.schedule_worker(&name);
         Ok(())
     }
 
@@ -214,7 +215,7 @@
                 None => String::from("waits"),
                 Some((_, None)) => String::from("connection ended"),
                 Some((at, Some(end))) => {
-                    let ms = (at - call.made) / 1_000;
+                    let ms = (at - call.made_at) / 1_000;
                     format!("{} {ms} ms", told(end))
                 }
             };
@@ -242,7 +243,7 @@
     fn later(&mut self, ms: u64) {
         let took = |call: &&super::calls::CallLog| {
             let end = call.ended.as_ref().map_or(self.world.now, |(at, _)| *at);
-            end - call.made > ms * 1_000
+            end - call.made_at > ms * 1_000
         };
         let count = self.world.calls.values().filter(took).count();
         let _ = writeln!(self.out, "later than {ms} ms: {count}");
@@ -275,7 +276,7 @@
     }
 
     fn starts(&mut self) {
-        for (worker, count) in &self.world.seen.starts {
+        for (worker, count) in &self.world.observed.starts {
             let _ = writeln!(self.out, "{worker} {count}");
         }
     }
--- a/endivestile_testkit/src/fleet/worker.rs
+++ b/endivestile_testkit/src/fleet/worker.rs
@@ -39,7 +39,7 @@
     /// Work left, in microseconds at speed 1.
     left_us: f64,
     /// Work in all.
-    whole_us: f64,
+    total_us: f64,
     /// When the work was last brought up to date.
     at: u64,
     /// When it fails, if it does.
@@ -56,7 +56,7 @@
     /// How it behaves.
     pub(crate) behaviour: Behaviour,
     /// Whether it answers at all.
-    pub(crate) dark: bool,
+    pub(crate) unresponsive: bool,
     /// Virtual time from which on the store lists it.
     pub(crate) listed_from: u64,
     /// Its speed.
@@ -64,10 +64,10 @@
     /// What runs.
     pub(crate) runs: BTreeMap<(Name, u32), Run>,
     /// Virtual time at which its clock read zero.
-    zero: u64,
+    clock_zero: u64,
     token: u64,
-    until_ms: u64,
-    highest: BTreeMap<Name, u32>,
+    lease_until_ms: u64,
+    highest_run: BTreeMap<Name, u32>,
     ends: Vec<EndRecord>,
     number: u64,
 }
@@ -78,28 +78,28 @@
         Self {
             entry,
             behaviour: Behaviour::Good,
-            dark: false,
+            unresponsive: false,
             listed_from: now,
             speed,
             runs: BTreeMap::new(),
-            zero: now,
+            clock_zero: now,
             token: 0,
-            until_ms: 0,
-            highest: BTreeMap::new(),
+            lease_until_ms: 0,
+            highest_run: BTreeMap::new(),
             ends: Vec::new(),
             number: 0,
         }
     }
 
     /// Crashes and starts again, knowing nothing.
-    pub(crate) fn reborn(&mut self, now: u64) {
+    pub(crate) fn restart(&mut self, now: u64) {
         let mut entry = self.entry.clone();
         entry.incarnation += 1;
         *self = Self::new(now, entry, self.speed);
     }
 
     fn clock_ms(&self, now: u64) -> u64 {
-        (now - self.zero) / 1_000
+        (now - self.clock_zero) / 1_000
     }
 
     fn rate(&self) -> f64 {
@@ -111,20 +111,20 @@
     }
 
     /// Returns when something happens here by itself.
-    pub(crate) fn next(&self) -> Option<u64> {
+    pub(crate) fn next_change(&self) -> Option<u64> {
         let rate = self.rate();
         let ends = self.runs.values().flat_map(|run| {
             let done = (rate > 0.0).then(|| run.at + (run.left_us / rate).ceil() as u64);
             done.into_iter().chain(run.fails_at).chain(run.stops_at)
         });
-        let lapse = (!self.runs.is_empty()).then(|| self.zero + self.until_ms * 1_000);
-        ends.chain(lapse).min()
+        let expiry = (!self.runs.is_empty()).then(|| self.clock_zero + self.lease_until_ms * 1_000);
+        ends.chain(expiry).min()
     }
 
     /// Brings runs up to date: some end, or lapse with the lease.
     pub(crate) fn advance(&mut self, now: u64) -> Vec<(Name, u32, RunEnd)> {
         let rate = self.rate();
-        let lapsed = self.zero + self.until_ms * 1_000 <= now;
+        let expired = self.clock_zero + self.lease_until_ms * 1_000 <= now;
         let mut over = Vec::new();
         for ((task, number), run) in &mut self.runs {
             run.left_us -= (now - run.at) as f64 * rate;
@@ -135,7 +135,7 @@
                 over.push((task.clone(), *number, RunEnd::Stopped));
             } else if run.fails_at.is_some_and(|at| at <= now) {
                 over.push((task.clone(), *number, RunEnd::Failed));
-            } else if lapsed {
+            } else if expired {
                 over.push((task.clone(), *number, RunEnd::Expired));
             }
         }
@@ -147,25 +147,25 @@
 
     fn end(&mut self, task: &Name, run: u32, end: RunEnd) {
         self.runs.remove(&(task.clone(), run));
-        self.raise(task, run);
+        self.raise_run(task, run);
         self.number += 1;
         self.ends.push(EndRecord { number: self.number, task: task.clone(), run, end });
     }
 
-    fn raise(&mut self, task: &Name, run: u32) {
-        let highest = self.highest.entry(task.clone()).or_default();
-        *highest = (*highest).max(run);
+    fn raise_run(&mut self, task: &Name, run: u32) {
+        let highest_run = self.highest_run.entry(task.clone()).or_default();
+        *highest_run = (*highest_run).max(run);
     }
 
-    fn fenced(&mut self, token: u64) -> bool {
+    fn check_fence(&mut self, token: u64) -> bool {
         let fenced = token < self.token;
         self.token = self.token.max(token);
         fenced
     }
 
-    fn lease(&mut self, now: u64, until_ms: u64) {
+    fn extend_lease(&mut self, now: u64, lease_until_ms: u64) {
         let longest = self.clock_ms(now) + MAX_LEASE_MS;
-        self.until_ms = self.until_ms.max(until_ms.min(longest));
+        self.lease_until_ms = self.lease_until_ms.max(lease_until_ms.min(longest));
     }
 
     /// Carries out an order to start a task of this work.
@@ -177,56 +177,56 @@
         work_us: f64,
     ) -> StartResult {
         let id = (order.task.clone(), order.run);
-        if self.fenced(order.token) {
+        if self.check_fence(order.token) {
             return StartResult::Failed(CallError::Fenced);
         }
         if self.runs.contains_key(&id) {
             return StartResult::Started(self.clock_ms(now));
         }
-        if self.highest.get(&order.task).is_some_and(|highest| *highest >= order.run) {
+        if self.highest_run.get(&order.task).is_some_and(|highest_run| *highest_run >= order.run) {
             return StartResult::Superseded;
         }
         if order.lease_until <= self.clock_ms(now) {
             return StartResult::Expired;
         }
-        self.lease(now, order.lease_until);
+        self.extend_lease(now, order.lease_until);
         let fails_at = (self.behaviour == Behaviour::Errors).then_some(now + 5_000);
         let run =
-            Run { need, left_us: work_us, whole_us: work_us, at: now, fails_at, stops_at: None };
+            Run { need, left_us: work_us, total_us: work_us, at: now, fails_at, stops_at: None };
         self.runs.insert(id, run);
         StartResult::Started(self.clock_ms(now))
     }
 
     /// Carries out an order to stop.
     pub(crate) fn stop(&mut self, now: u64, order: &StopRequest) -> Result<u64, CallError> {
-        if self.fenced(order.token) {
+        if self.check_fence(order.token) {
             return Err(CallError::Fenced);
         }
         if let Some(run) = self.runs.get_mut(&(order.task.clone(), order.run)) {
             run.stops_at.get_or_insert(now + STOP_US);
         }
-        self.raise(&order.task.clone(), order.run);
+        self.raise_run(&order.task.clone(), order.run);
         Ok(self.clock_ms(now))
     }
 
     /// Takes a hold; returns whether there is something to tell at once.
-    pub(crate) fn hold(&mut self, now: u64, order: &RenewRequest) -> Result<bool, CallError> {
-        if self.fenced(order.token) {
+    pub(crate) fn renew(&mut self, now: u64, order: &RenewRequest) -> Result<bool, CallError> {
+        if self.check_fence(order.token) {
             return Err(CallError::Fenced);
         }
         if let Some(until) = order.lease_until {
-            self.lease(now, until);
+            self.extend_lease(now, until);
         }
         self.ends.retain(|end| end.number > order.observed);
         Ok(!self.ends.is_empty() || order.wait_ms == 0)
     }
 
     /// Returns what a hold is answered.
-    pub(crate) fn held(&self, now: u64) -> RenewReply {
+    pub(crate) fn renew_reply(&self, now: u64) -> RenewReply {
         let running = self.runs.iter().map(|((task, run), state)| RunStatus {
             task: task.clone(),
             run: *run,
-            percent: (100.0 * (1.0 - state.left_us / state.whole_us)) as u8,
+            percent: (100.0 * (1.0 - state.left_us / state.total_us)) as u8,
         });
         RenewReply {
             clock: self.clock_ms(now),
@@ -243,7 +243,7 @@
 }
 
 /// Nothing taken.
-pub(crate) fn none() -> Need {
+pub(crate) fn no_need() -> Need {
     Need { cpu_milli: 0, memory_mb: 0, accelerators: 0 }
 }
 
--- a/endivestile_testkit/src/fleet/visits.rs
+++ b/endivestile_testkit/src/fleet/worker_calls.rs
@@ -3,64 +3,70 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{CallError, FleetEvent, StartResult, WorkerCall};
 
-use super::worker::{Behaviour, Worker, none};
-use super::world::{FleetWorld, Happening, Work};
+use super::worker::{Behaviour, Worker, no_need};
+use super::world::{FleetWorld, ScheduledEvent, Work};
 
 impl FleetWorld {
-    pub(crate) fn arrive(&mut self, visit: u64, worker: &Name) {
-        let Some((host, _, call)) = self.open_visits.get(&visit).cloned() else { return };
+    pub(crate) fn handle_worker_call(&mut self, call_id: u64, worker: &Name) {
+        let Some((host, _, call)) = self.open_worker_calls.get(&call_id).cloned() else { return };
         if let WorkerCall::Start(order) = &call {
             self.check_evacuated(&host, order);
         }
         let Some(state) = self.workers.get_mut(worker) else { return };
-        if state.dark {
+        if state.unresponsive {
             return;
         }
         if let (Behaviour::Late(ms), WorkerCall::Start(_) | WorkerCall::Stop(_)) =
             (state.behaviour, &call)
         {
-            let (worker, born) = (worker.clone(), state.entry.incarnation);
-            self.at(self.now + ms * 1_000, Happening::Belated { call, worker, born });
+            let (worker, worker_incarnation) = (worker.clone(), state.entry.incarnation);
+            self.schedule_at(
+                self.now + ms * 1_000,
+                ScheduledEvent::LateCall { call, worker, worker_incarnation },
+            );
             return;
         }
         if let WorkerCall::Renew(_, order) = &call {
-            self.advance(worker);
+            self.advance_worker(worker);
             let Some(state) = self.workers.get_mut(worker) else { return };
-            if let Ok(false) = state.hold(self.now, order) {
+            if let Ok(false) = state.renew(self.now, order) {
                 let wait = u64::from(order.wait_ms) * 1_000;
-                self.waiting.insert(visit, worker.clone());
-                self.at(self.now + wait, Happening::Look { visit, worker: worker.clone() });
-                self.schedule(worker);
+                self.open_renewals.insert(call_id, worker.clone());
+                self.schedule_at(
+                    self.now + wait,
+                    ScheduledEvent::AnswerRenewal { call_id, worker: worker.clone() },
+                );
+                self.schedule_worker(worker);
                 return;
             }
         }
-        if let Some(event) = self.carry_out(&call) {
-            self.reply(visit, &host, worker, event);
+        if let Some(event) = self.execute_call(&call) {
+            self.send_reply(call_id, &host, worker, event);
         }
     }
 
     /// Carries an order out; returns what the worker answers.
-    pub(crate) fn carry_out(&mut self, call: &WorkerCall) -> Option<FleetEvent> {
+    pub(crate) fn execute_call(&mut self, call: &WorkerCall) -> Option<FleetEvent> {
         let now = self.now;
         let worker = match call {
             WorkerCall::Start(order) => &order.worker,
             WorkerCall::Stop(order) => &order.worker,
             WorkerCall::Renew(_, order) => &order.worker,
         };
-        self.advance(worker);
+        self.advance_worker(worker);
         let state = self.workers.get_mut(worker)?;
         let event = match call {
             WorkerCall::Start(order) => {
                 let id = order.task.split('.').next().unwrap_or_default();
-                let work = self.works.get(id).cloned();
-                let work = work.unwrap_or(Work { us: 1.0, need: none(), near: None });
+                let work = self.job_work.get(id).cloned();
+                let work = work.unwrap_or(Work { us: 1.0, need: no_need(), near: None });
                 let far = work.near.is_some_and(|near| !state.entry.labels.contains(&near));
                 let times = if far { f64::from(self.remote_milli) / 1_000.0 } else { 1.0 };
                 let (work_us, need) = (work.us * times, work.need);
                 let new = !state.runs.contains_key(&(order.task.clone(), order.run));
                 let end = state.start(now, order, need, work_us);
                 if new && matches!(end, StartResult::Started(_)) {
-                    self.seen.started(order);
+                    self.observed.record_start(order);
                 }
                 FleetEvent::StartEnded {
                     worker: order.worker.clone(),
@@ -76,8 +82,8 @@
                 end: state.stop(now, order),
             },
             WorkerCall::Renew(number, order) => {
-                let end = match state.hold(now, order) {
-                    Ok(_) => Ok(state.held(now)),
+                let end = match state.renew(now, order) {
+                    Ok(_) => Ok(state.renew_reply(now)),
                     Err(fault) => Err(fault),
                 };
                 FleetEvent::RenewalEnded { worker: order.worker.clone(), number: *number, end }
@@ -85,42 +91,62 @@
         };
         let worker = worker.clone();
         self.check_worker(&worker);
-        self.schedule(&worker);
-        self.tell_ends(&worker);
+        self.schedule_worker(&worker);
+        self.report_ends(&worker);
         Some(event)
     }
 
-    pub(crate) fn belated(&mut self, call: &WorkerCall, worker: &Name, born: u64) {
-        if self.workers.get(worker).is_some_and(|state| state.entry.incarnation == born) {
-            self.carry_out(call);
+    pub(crate) fn execute_late_call(
+        &mut self,
+        call: &WorkerCall,
+        worker: &Name,
+        worker_incarnation: u64,
+    ) {
+        if self
+            .workers
+            .get(worker)
+            .is_some_and(|state| state.entry.incarnation == worker_incarnation)
+        {
+            self.execute_call(call);
         }
     }
 
-    pub(crate) fn reply(&mut self, visit: u64, host: &Name, worker: &Name, event: FleetEvent) {
+    pub(crate) fn send_reply(
+        &mut self,
+        call_id: u64,
+        host: &Name,
+        worker: &Name,
+        event: FleetEvent,
+    ) {
         if self.net.reaches(worker, host) {
             let delay = self.net.delay_us(worker, host, &mut self.rng);
-            self.at(self.now + delay, Happening::Return { visit, event });
+            self.schedule_at(self.now + delay, ScheduledEvent::Reply { call_id, event });
         }
     }
 
-    pub(crate) fn look(&mut self, visit: u64, worker: &Name) {
-        if self.waiting.remove(&visit).is_none() {
+    pub(crate) fn answer_renewal(&mut self, call_id: u64, worker: &Name) {
+        if self.open_renewals.remove(&call_id).is_none() {
             return;
         }
-        let Some((host, _, WorkerCall::Renew(number, _))) = self.open_visits.get(&visit).cloned()
+        let Some((host, _, WorkerCall::Renew(number, _))) =
+            self.open_worker_calls.get(&call_id).cloned()
         else {
             return;
         };
-        self.advance(worker);
-        let Some(state) = self.workers.get(worker).filter(|state| !state.dark) else { return };
-        let end = Ok(state.held(self.now));
+        self.advance_worker(worker);
+        let Some(state) = self.workers.get(worker).filter(|state| !state.unresponsive) else {
+            return;
+        };
+        let end = Ok(state.renew_reply(self.now));
         let event = FleetEvent::RenewalEnded { worker: worker.clone(), number, end };
-        self.reply(visit, &host, worker, event);
+        self.send_reply(call_id, &host, worker, event);
     }
 
-    pub(crate) fn expire(&mut self, visit: u64) {
-        let Some((host, birth, call)) = self.open_visits.remove(&visit) else { return };
-        self.waiting.remove(&visit);
+    pub(crate) fn time_out_call(&mut self, call_id: u64) {
+        let Some((host, host_incarnation, call)) = self.open_worker_calls.remove(&call_id) else {
+            return;
+        };
+        self.open_renewals.remove(&call_id);
         let event = match call {
             WorkerCall::Start(order) => FleetEvent::StartEnded {
                 worker: order.worker,
@@ -138,38 +164,45 @@
                 FleetEvent::RenewalEnded { worker: order.worker, number, end: Err(CallError::Lost) }
             }
         };
-        self.deliver(&host, birth, event);
+        self.deliver(&host, host_incarnation, event);
     }
 
     /// Brings a worker up to date, and tells those who wait of ends.
-    pub(crate) fn advance(&mut self, worker: &Name) {
+    pub(crate) fn advance_worker(&mut self, worker: &Name) {
         let now = self.now;
         if let Some(state) = self.workers.get_mut(worker) {
             state.advance(now);
         }
     }
 
-    pub(crate) fn work(&mut self, worker: &Name) {
-        self.advance(worker);
-        self.tell_ends(worker);
-        self.schedule(worker);
+    pub(crate) fn handle_worker_wake(&mut self, worker: &Name) {
+        self.advance_worker(worker);
+        self.report_ends(worker);
+        self.schedule_worker(worker);
     }
 
-    pub(crate) fn tell_ends(&mut self, worker: &Name) {
+    pub(crate) fn report_ends(&mut self, worker: &Name) {
         if !self.workers.get(worker).is_some_and(Worker::has_ends) {
             return;
         }
-        let visits: Vec<u64> =
-            self.waiting.iter().filter(|(_, at)| *at == worker).map(|(visit, _)| *visit).collect();
-        for visit in visits {
-            self.look(visit, worker);
+        let call_ids: Vec<u64> = self
+            .open_renewals
+            .iter()
+            .filter(|(_, at)| *at == worker)
+            .map(|(call_id, _)| *call_id)
+            .collect();
+        for call_id in call_ids {
+            self.answer_renewal(call_id, worker);
         }
     }
 
-    pub(crate) fn schedule(&mut self, worker: &Name) {
-        let next = self.workers.get(worker).and_then(Worker::next);
+    pub(crate) fn schedule_worker(&mut self, worker: &Name) {
+        let next = self.workers.get(worker).and_then(Worker::next_change);
         if let Some(at) = next {
-            self.at(at.max(self.now + 1), Happening::Work { worker: worker.clone() });
+            self.schedule_at(
+                at.max(self.now + 1),
+                ScheduledEvent::WorkerWake { worker: worker.clone() },
+            );
         }
     }
 }
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -12,58 +12,58 @@
 use rand::rngs::SmallRng;
 
 use super::calls::CallLog;
-use super::check::Seen;
+use super::check::Observed;
 use super::host::Host;
 use super::store::Store;
 use super::worker::{Worker, worker_entry};
 use crate::timeline::Timeline;
-use crate::world::net::{Net, STORE};
+use crate::world::net::{Network, STORE};
 
 /// Time for an answer of the store, in microseconds.
-const STORE_US: u64 = 4_000;
+const STORE_DELAY_US: u64 = 4_000;
 /// Processor time of a host that says nothing of it, in thousandths of a core.
 const HOST_CPU_MILLI: u32 = 250;
 /// Distance between zones, in microseconds.
-const FAR_US: u64 = 1_400;
+const CROSS_ZONE_US: u64 = 1_400;
 
 /// Something that is going to happen.
 #[derive(Debug)]
-pub(crate) enum Happening {
+pub(crate) enum ScheduledEvent {
     /// An event reaches one incarnation of a host.
-    Event { host: Name, birth: u64, event: FleetEvent },
+    Event { host: Name, incarnation: u64, event: FleetEvent },
     /// An event has had its turn at a host that is short of processor time.
-    Taken { host: Name, birth: u64, event: FleetEvent },
+    Handle { host: Name, incarnation: u64, event: FleetEvent },
     /// A host wakes.
-    Wake { host: Name, birth: u64 },
+    Wake { host: Name, incarnation: u64 },
     /// A host has taken in what came together.
-    Flush { host: Name, birth: u64 },
+    Flush { host: Name, incarnation: u64 },
     /// A call reaches a worker.
-    Arrive { visit: u64, worker: Name },
+    Arrive { call_id: u64, worker: Name },
     /// A hold has waited long enough.
-    Look { visit: u64, worker: Name },
+    AnswerRenewal { call_id: u64, worker: Name },
     /// A call's answer reaches its host.
-    Return { visit: u64, event: FleetEvent },
+    Reply { call_id: u64, event: FleetEvent },
     /// A call has got no answer in time.
-    Expire { visit: u64 },
+    CallTimeout { call_id: u64 },
     /// Something ends at a worker.
-    Work { worker: Name },
+    WorkerWake { worker: Name },
     /// An order left unanswered is carried out, unless the worker that held it
     /// back has started anew since.
-    Belated { call: WorkerCall, worker: Name, born: u64 },
+    LateCall { call: WorkerCall, worker: Name, worker_incarnation: u64 },
     /// A change reaches the store.
-    Store { host: Name, birth: u64, token: u64, op: StoreOp },
+    Swap { host: Name, incarnation: u64, token: u64, op: StoreOp },
     /// A host registers.
     Register { entry: HostEntry },
     /// A host reads the whole store.
-    Read { host: Name, birth: u64 },
+    ReadStore { host: Name, incarnation: u64 },
     /// A host that has come to own workers reads their list.
-    List { host: Name, birth: u64 },
+    ReadWorkerList { host: Name, incarnation: u64 },
     /// A caller's patience ends.
-    Deadline { call: u64 },
+    CallerDeadline { call: u64 },
     /// A caller that got no answer sends its job again.
-    Resend { call: u64 },
+    Resubmit { call: u64 },
     /// A host has drained and ends.
-    Drained { host: Name, birth: u64 },
+    Drained { host: Name, incarnation: u64 },
 }
 
 /// What a task of a job takes.
@@ -84,37 +84,37 @@
     pub(crate) hosts: BTreeMap<Name, Host>,
     pub(crate) workers: BTreeMap<Name, Worker>,
     pub(crate) store: Store,
-    pub(crate) net: Net,
+    pub(crate) net: Network,
     pub(crate) table: Arc<RouteTable>,
     pub(crate) calls: BTreeMap<u64, CallLog>,
-    pub(crate) works: BTreeMap<Name, Work>,
-    pub(crate) visits: u64,
-    pub(crate) open_visits: BTreeMap<u64, (Name, u64, WorkerCall)>,
-    pub(crate) births: u64,
+    pub(crate) job_work: BTreeMap<Name, Work>,
+    pub(crate) last_call_id: u64,
+    pub(crate) open_worker_calls: BTreeMap<u64, (Name, u64, WorkerCall)>,
+    pub(crate) incarnations: u64,
     pub(crate) policy: Policy,
     /// How many times longer a task takes away from its data, in thousandths.
     pub(crate) remote_milli: u32,
-    pub(crate) seen: Seen,
-    pub(crate) traced: bool,
+    pub(crate) observed: Observed,
+    pub(crate) trace_enabled: bool,
     pub(crate) trace: Vec<String>,
     pub(crate) rng: SmallRng,
-    pub(crate) waiting: BTreeMap<u64, Name>,
-    timeline: Timeline<Happening>,
+    pub(crate) open_renewals: BTreeMap<u64, Name>,
+    timeline: Timeline<ScheduledEvent>,
 }
 
 impl FleetWorld {
     /// Makes a world with so many hosts and workers in each zone, all running.
     pub fn new(zones: &[&str], hosts: u64, workers: u64, cpu: u32, seed: u64) -> Self {
-        Self::of_hosts(zones, &vec![HOST_CPU_MILLI; hosts as usize], workers, cpu, seed)
+        Self::with_hosts(zones, &vec![HOST_CPU_MILLI; hosts as usize], workers, cpu, seed)
     }
 
     /// Makes a world whose zones have a host of each of these thousandths of a core.
-    pub fn of_hosts(zones: &[&str], hosts: &[u32], workers: u64, cpu: u32, seed: u64) -> Self {
-        Self::trial(Policy::default(), zones, hosts, workers, cpu, seed)
+    pub fn with_hosts(zones: &[&str], hosts: &[u32], workers: u64, cpu: u32, seed: u64) -> Self {
+        Self::with_policy(Policy::default(), zones, hosts, workers, cpu, seed)
     }
 
     /// Makes such a world under other policies.
-    pub fn trial(
+    pub fn with_policy(
         policy: Policy,
         zones: &[&str],
         hosts: &[u32],
@@ -127,21 +127,21 @@
             now: 0,
             hosts: BTreeMap::new(),
             workers: BTreeMap::new(),
-            store: Store { delay_us: STORE_US, ..Store::default() },
-            net: Net::zoned(BTreeMap::new(), FAR_US),
+            store: Store { delay_us: STORE_DELAY_US, ..Store::default() },
+            net: Network::from_zones(BTreeMap::new(), CROSS_ZONE_US),
             table: Arc::new(RouteTable { version: 1, ..RouteTable::default() }),
             calls: BTreeMap::new(),
-            works: BTreeMap::new(),
-            visits: 0,
-            open_visits: BTreeMap::new(),
-            births: 0,
+            job_work: BTreeMap::new(),
+            last_call_id: 0,
+            open_worker_calls: BTreeMap::new(),
+            incarnations: 0,
             policy,
             remote_milli: 2_000,
-            seen: Seen::default(),
-            traced: false,
+            observed: Observed::default(),
+            trace_enabled: false,
             trace: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
-            waiting: BTreeMap::new(),
+            open_renewals: BTreeMap::new(),
             timeline: Timeline::new(),
         };
         for zone in zones {
@@ -156,7 +156,7 @@
                 world.workers.insert(entry.id.clone(), Worker::new(0, entry, 1.0));
             }
         }
-        world.net = Net::zoned(places, FAR_US);
+        world.net = Network::from_zones(places, CROSS_ZONE_US);
         let names: Vec<Name> = world.hosts.keys().cloned().collect();
         for name in names {
             world.start(&name);
@@ -167,21 +167,21 @@
     /// Lets `millis` milliseconds pass.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        while let Some((at, happening)) = self.timeline.next(end) {
+        while let Some((at, scheduled)) = self.timeline.next(end) {
             self.now = at;
-            self.happen(happening);
+            self.dispatch(scheduled);
         }
         self.now = end;
     }
 
     /// Gives every host a link of this bandwidth and starts them anew.
-    pub(crate) fn links(&mut self, link_kbps: u32) {
+    pub(crate) fn set_link_bandwidth(&mut self, link_kbps: u32) {
         self.restart_all(|host| host.link_kbps = link_kbps);
     }
 
     /// Lets tasks away from their data take so many thousandths of the time, and starts the
     /// hosts anew with that setting.
-    pub(crate) fn remote(&mut self, remote_milli: u32) {
+    pub(crate) fn set_remote_factor(&mut self, remote_milli: u32) {
         self.remote_milli = remote_milli;
         self.restart_all(|_| {});
     }
@@ -198,7 +198,7 @@
     }
 
     /// Lets the workers register one after the other, over `millis` milliseconds.
-    pub(crate) fn register_over(&mut self, millis: u64) {
+    pub(crate) fn stagger_registration(&mut self, millis: u64) {
         let count = self.workers.len().max(1) as u64;
         for (at, worker) in (0..).zip(self.workers.values_mut()) {
             worker.listed_from = self.now + millis * 1_000 * at / count;
@@ -210,41 +210,53 @@
         self.net.cut(a, b);
     }
 
-    pub(crate) fn at(&mut self, at: u64, happening: Happening) {
-        self.timeline.plan(at.max(self.now), happening);
+    pub(crate) fn schedule_at(&mut self, at: u64, scheduled: ScheduledEvent) {
+        self.timeline.plan(at.max(self.now), scheduled);
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Event { host, birth, event } => self.deliver(&host, birth, event),
-            Happening::Taken { host, birth, event } => self.take(&host, birth, event),
-            Happening::Wake { host, birth } => self.wake(&host, birth),
-            Happening::Flush { host, birth } => self.flush(&host, birth),
-            Happening::Arrive { visit, worker } => self.arrive(visit, &worker),
-            Happening::Look { visit, worker } => self.look(visit, &worker),
-            Happening::Return { visit, event } => {
-                if let Some((host, birth, _)) = self.open_visits.remove(&visit) {
-                    self.deliver(&host, birth, event);
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Event { host, incarnation, event } => {
+                self.deliver(&host, incarnation, event)
+            }
+            ScheduledEvent::Handle { host, incarnation, event } => {
+                self.handle_event(&host, incarnation, event)
+            }
+            ScheduledEvent::Wake { host, incarnation } => self.wake(&host, incarnation),
+            ScheduledEvent::Flush { host, incarnation } => self.flush(&host, incarnation),
+            ScheduledEvent::Arrive { call_id, worker } => self.handle_worker_call(call_id, &worker),
+            ScheduledEvent::AnswerRenewal { call_id, worker } => {
+                self.answer_renewal(call_id, &worker)
+            }
+            ScheduledEvent::Reply { call_id, event } => {
+                if let Some((host, incarnation, _)) = self.open_worker_calls.remove(&call_id) {
+                    self.deliver(&host, incarnation, event);
                 }
             }
-            Happening::Expire { visit } => self.expire(visit),
-            Happening::Work { worker } => self.work(&worker),
-            Happening::Belated { call, worker, born } => self.belated(&call, &worker, born),
-            Happening::Store { host, birth, token, op } => self.swap(host, birth, token, &op),
-            Happening::Register { entry } => self.register(&entry),
-            Happening::Read { host, birth } => self.read_all(&host, birth),
-            Happening::List { host, birth } => self.read_list(&host, birth),
-            Happening::Deadline { call } => self.hang_up(call),
-            Happening::Resend { call } => self.resend(call),
-            Happening::Drained { host, birth } => {
-                if self.hosts.get(&host).is_some_and(|it| it.birth == birth) {
+            ScheduledEvent::CallTimeout { call_id } => self.time_out_call(call_id),
+            ScheduledEvent::WorkerWake { worker } => self.handle_worker_wake(&worker),
+            ScheduledEvent::LateCall { call, worker, worker_incarnation } => {
+                self.execute_late_call(&call, &worker, worker_incarnation)
+            }
+            ScheduledEvent::Swap { host, incarnation, token, op } => {
+                self.swap(host, incarnation, token, &op)
+            }
+            ScheduledEvent::Register { entry } => self.register(&entry),
+            ScheduledEvent::ReadStore { host, incarnation } => self.read_store(&host, incarnation),
+            ScheduledEvent::ReadWorkerList { host, incarnation } => {
+                self.read_worker_list(&host, incarnation)
+            }
+            ScheduledEvent::CallerDeadline { call } => self.disconnect(call),
+            ScheduledEvent::Resubmit { call } => self.resubmit_call(call),
+            ScheduledEvent::Drained { host, incarnation } => {
+                if self.hosts.get(&host).is_some_and(|it| it.incarnation == incarnation) {
                     self.kill(&host);
                 }
             }
         }
     }
 
-    fn swap(&mut self, host: Name, birth: u64, token: u64, op: &StoreOp) {
+    fn swap(&mut self, host: Name, incarnation: u64, token: u64, op: &StoreOp) {
         let at = self.now + self.store.delay_us / 2;
         let mut stored = StoreResult::Lost;
         if !self.store.down && self.net.reaches(&host, STORE) {
@@ -253,17 +265,17 @@
             if let Some(key) = key {
                 self.publish(&key);
             }
-            if self.store.losing > 0 {
-                self.store.losing -= 1;
+            if self.store.answers_to_lose > 0 {
+                self.store.answers_to_lose -= 1;
                 stored = StoreResult::Lost;
             }
         }
         let at = if stored == StoreResult::Lost { at + 700_000 } else { at };
-        self.at(
+        self.schedule_at(
             at,
-            Happening::Event {
+            ScheduledEvent::Event {
                 host,
-                birth,
+                incarnation,
                 event: FleetEvent::StoreCallEnded { op_id: token, result: stored },
             },
         );
@@ -272,8 +284,8 @@
     fn register(&mut self, entry: &HostEntry) {
         let host = &entry.peer.host;
         if self.store.down || !self.net.reaches(host, STORE) {
-            let again = Happening::Register { entry: entry.clone() };
-            self.at(self.now + 300_000, again);
+            let retry = ScheduledEvent::Register { entry: entry.clone() };
+            self.schedule_at(self.now + 300_000, retry);
             return;
         }
         let key = Name::from(format!("{HOST_KEY_PREFIX}{host}"));
@@ -290,23 +302,23 @@
             cpu_milli,
             link_kbps: 0,
             fleet: None,
-            birth: 0,
-            zero: 0,
+            incarnation: 0,
+            clock_zero: 0,
             paused: None,
-            flushing: false,
-            wake: 0,
-            cost_us: 0,
-            free_at: 0,
+            flush_scheduled: false,
+            wake_at: 0,
+            event_cost_us: 0,
+            busy_until: 0,
             evacuations: BTreeMap::new(),
-            owns: false,
-            reads: false,
+            owned_workers: false,
+            synced: false,
         }
     }
 }
 
 impl Worker {
     /// Returns whether the store lists it at `now`.
-    pub(crate) fn listed(&self, now: u64) -> bool {
+    pub(crate) fn is_listed(&self, now: u64) -> bool {
         !self.entry.address.is_empty() && self.listed_from <= now
     }
 }
--- a/endivestile_testkit/src/lib.rs
+++ b/endivestile_testkit/src/lib.rs
@@ -19,9 +19,9 @@
 
 pub use caller::{Caller, Reply};
 pub use deploy::{Daemon, Deployment, HostProcess, Plan, wait_for};
-pub use fleet::{FleetWorld, Kind, Served, tell_fleet};
+pub use fleet::{FleetWorld, JobKind, LoadResult, run_fleet_story};
 pub use machine::{BackendStandIn, Fault, Spec, Start, WorkerStandIn, echo};
 pub use platform::{PlatformHost, PlatformSignal, PlatformStandIn, WorkerFault};
 pub use soak::{Soak, SoakReport};
 pub use store::{Counts, StoreStandIn};
-pub use world::{CallLog, Mode, Started, Submit, WALL_S, World, tell};
+pub use world::{BackendMode, CallLog, SubmitCall, TaskStart, WALL_S, World, run_story};
--- a/endivestile_testkit/src/platform/workers.rs
+++ b/endivestile_testkit/src/platform/workers.rs
@@ -86,7 +86,7 @@
         let now = self.now();
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.advance(now);
-        worker.dark = fault == WorkerFault::Silent;
+        worker.unresponsive = fault == WorkerFault::Silent;
         worker.behaviour = match fault {
             WorkerFault::Errors => Behaviour::Errors,
             WorkerFault::Hangs => Behaviour::Hangs,
@@ -172,7 +172,7 @@
         let now = self.now();
         let worker = self.workers.get_mut(id)?;
         worker.advance(now);
-        Some(worker.hold(now, order))
+        Some(worker.renew(now, order))
     }
 
     /// Returns what a hold is answered, none while it waits.
@@ -180,7 +180,7 @@
         let now = self.now();
         let worker = self.workers.get_mut(id)?;
         worker.advance(now);
-        let held = (!waits || worker.has_ends()).then(|| worker.held(now))?;
+        let held = (!waits || worker.has_ends()).then(|| worker.renew_reply(now))?;
         for row in held.ended.iter().filter(|row| row.end == RunEnd::Done) {
             self.jobs.entry(job_of(&row.task)).or_default().1.insert(row.task.clone());
         }
@@ -188,7 +188,7 @@
     }
 
     fn dark(&self, id: &str) -> bool {
-        self.workers.get(id).is_none_or(|worker| worker.dark)
+        self.workers.get(id).is_none_or(|worker| worker.unresponsive)
     }
 }
 
--- a/endivestile_testkit/src/world.rs
+++ b/endivestile_testkit/src/world.rs
@@ -21,13 +21,13 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-pub use self::backend::Mode;
-pub use self::call::{CallLog, Submit};
-pub use self::story::tell;
+pub use self::backend::BackendMode;
+pub use self::call::{CallLog, SubmitCall};
+pub use self::story::run_story;
 
 use self::backend::Backend;
-use self::host::Machine;
-use self::net::Net;
+use self::host::SimHost;
+use self::net::Network;
 use self::platform::Platform;
 use crate::timeline::Timeline;
 
@@ -36,28 +36,28 @@
 
 /// Something that is going to happen.
 #[derive(Debug)]
-enum Happening {
+enum ScheduledEvent {
     /// An event reaches one incarnation of a host.
-    Event { host: Name, birth: u64, event: Event },
+    Event { host: Name, incarnation: u64, event: Event },
     /// A host's kernel asked to be woken.
-    Wake { host: Name, birth: u64 },
+    Wake { host: Name, incarnation: u64 },
     /// A host has taken in what came at about the same time.
-    Flush { host: Name, birth: u64 },
+    Flush { host: Name, incarnation: u64 },
     /// A call reaches a back end.
-    Arrive(backend::Visit),
+    Arrive(backend::AttemptCall),
     /// A back end is done with a call.
-    Depart(backend::Visit),
+    Finish(backend::AttemptCall),
     /// A call to a back end has outlived its deadline.
-    Expire(backend::Visit),
+    Expire(backend::AttemptCall),
     /// A call reaches the store.
-    Store { host: Name, birth: u64, op_id: u64, op: endivestile_kernel::StoreOp },
+    Store { host: Name, incarnation: u64, op_id: u64, op: endivestile_kernel::StoreOp },
     /// The store looks at its leases.
-    Leases,
+    CheckLeases,
 }
 
 /// A start of a task as a back end saw it.
 #[derive(Debug, Clone)]
-pub struct Started {
+pub struct TaskStart {
     /// The work, `<id>/<index>`.
     pub work: String,
     /// Back end.
@@ -70,19 +70,19 @@
 #[derive(Debug)]
 pub struct World {
     now: u64,
-    timeline: Timeline<Happening>,
+    timeline: Timeline<ScheduledEvent>,
     configs: BTreeMap<u64, Arc<Config>>,
-    machines: BTreeMap<Name, Machine>,
+    sim_hosts: BTreeMap<Name, SimHost>,
     backends: BTreeMap<Name, Backend>,
-    visits: BTreeSet<(Name, u64, u64)>,
+    open_attempts: BTreeSet<(Name, u64, u64)>,
     platform: Platform,
-    net: Net,
+    net: Network,
     calls: BTreeMap<u64, CallLog>,
-    starts: Vec<Started>,
+    starts: Vec<TaskStart>,
     breaches: Vec<String>,
     faulty: bool,
     seeded: bool,
-    births: u64,
+    incarnations: u64,
     rng: SmallRng,
 }
 
@@ -91,28 +91,28 @@
     /// says whether their settings name each other.
     pub fn new(config: Config, seed: u64, seeded: bool) -> Self {
         let config = Arc::new(config);
-        let backends = Backend::all(&config);
+        let backends = Backend::from_config(&config);
         let mut world = Self {
             now: 0,
             timeline: Timeline::new(),
             configs: BTreeMap::from([(config.revision, config.clone())]),
-            machines: BTreeMap::new(),
+            sim_hosts: BTreeMap::new(),
             backends,
-            visits: BTreeSet::new(),
+            open_attempts: BTreeSet::new(),
             platform: Platform::new(config.revision),
-            net: Net::new(&config),
+            net: Network::new(&config),
             calls: BTreeMap::new(),
             starts: Vec::new(),
             breaches: Vec::new(),
             faulty: false,
             seeded,
-            births: 0,
+            incarnations: 0,
             rng: SmallRng::seed_from_u64(seed),
         };
         for name in config.hosts.keys() {
             world.start(name);
         }
-        world.at(0, Happening::Leases);
+        world.schedule_at(0, ScheduledEvent::CheckLeases);
         world
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Returns every start of a task so far.
-    pub fn starts(&self) -> &[Started] {
+    pub fn starts(&self) -> &[TaskStart] {
         &self.starts
     }
 
@@ -134,33 +134,37 @@
     /// Lets `millis` milliseconds pass.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        while let Some((at, happening)) = self.timeline.next(end) {
+        while let Some((at, scheduled)) = self.timeline.next(end) {
             self.now = at;
-            self.happen(happening);
+            self.dispatch(scheduled);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Event { host, birth, event } => self.deliver(&host, birth, event),
-            Happening::Wake { host, birth } => self.wake(&host, birth),
-            Happening::Flush { host, birth } => self.flush(&host, birth),
-            Happening::Arrive(visit) => self.arrive(visit),
-            Happening::Depart(visit) => self.depart(visit),
-            Happening::Expire(visit) => self.expire(visit),
-            Happening::Store { host, birth, op_id, op } => self.store(host, birth, op_id, op),
-            Happening::Leases => self.leases(),
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Event { host, incarnation, event } => {
+                self.deliver(&host, incarnation, event)
+            }
+            ScheduledEvent::Wake { host, incarnation } => self.wake(&host, incarnation),
+            ScheduledEvent::Flush { host, incarnation } => self.flush(&host, incarnation),
+            ScheduledEvent::Arrive(attempt_call) => self.handle_attempt(attempt_call),
+            ScheduledEvent::Finish(attempt_call) => self.finish_attempt(attempt_call),
+            ScheduledEvent::Expire(attempt_call) => self.expire_attempt(attempt_call),
+            ScheduledEvent::Store { host, incarnation, op_id, op } => {
+                self.store(host, incarnation, op_id, op)
+            }
+            ScheduledEvent::CheckLeases => self.check_leases(),
         }
     }
 
-    fn at(&mut self, at: u64, happening: Happening) {
-        self.timeline.plan(at.max(self.now), happening);
+    fn schedule_at(&mut self, at: u64, scheduled: ScheduledEvent) {
+        self.timeline.plan(at.max(self.now), scheduled);
     }
 
-    fn event_in(&mut self, micros: u64, host: &Name, birth: u64, event: Event) {
-        let happening = Happening::Event { host: host.clone(), birth, event };
-        self.at(self.now + micros, happening);
+    fn deliver_in(&mut self, micros: u64, host: &Name, incarnation: u64, event: Event) {
+        let scheduled = ScheduledEvent::Event { host: host.clone(), incarnation, event };
+        self.schedule_at(self.now + micros, scheduled);
     }
 
     fn config(&self) -> Arc<Config> {
--- a/endivestile_testkit/src/world/backend.rs
+++ b/endivestile_testkit/src/world/backend.rs
@@ -7,11 +7,11 @@
 use endivestile_kernel::{AttemptEnd, AttemptId, Event, PlaceRequest};
 use rand::Rng;
 
-use super::{Happening, Started, World};
+use super::{ScheduledEvent, TaskStart, World};
 
 /// How a back end behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
+pub enum BackendMode {
     /// Answers after its run time.
     Good,
     /// Refuses connections.
@@ -33,18 +33,18 @@
     slots: u32,
     running: u32,
     /// Run time of a task, in milliseconds.
-    pub(super) service_ms: u64,
+    pub(super) task_ms: u64,
     /// Behaviour.
-    pub(super) mode: Mode,
+    pub(super) mode: BackendMode,
     /// Since when it is leaving, in microseconds.
     pub(super) leaving: Option<u64>,
 }
 
 /// A call to a back end.
 #[derive(Debug, Clone)]
-pub(super) struct Visit {
+pub(super) struct AttemptCall {
     host: Name,
-    birth: u64,
+    incarnation: u64,
     attempt: AttemptId,
     server: Name,
     work: Bytes,
@@ -52,13 +52,13 @@
 
 impl Backend {
     /// Makes every back end of the configuration, all good.
-    pub(super) fn all(config: &Config) -> BTreeMap<Name, Self> {
+    pub(super) fn from_config(config: &Config) -> BTreeMap<Name, Self> {
         let make = |address: &Name, slots: u32| Self {
             address: address.clone(),
             slots,
             running: 0,
-            service_ms: 100,
-            mode: Mode::Good,
+            task_ms: 100,
+            mode: BackendMode::Good,
             leaving: None,
         };
         let servers = config.servers.iter();
@@ -70,10 +70,10 @@
 }
 
 impl World {
-    pub(super) fn visit(
+    pub(super) fn start_attempt(
         &mut self,
         host: &Name,
-        birth: u64,
+        incarnation: u64,
         attempt: AttemptId,
         address: &Name,
         request: PlaceRequest,
@@ -82,75 +82,84 @@
         let Some((server, backend)) = found else { return };
         let server = server.clone();
         let delay = self.net.delay_us(host, &server, &mut self.rng);
-        let refused = backend.mode == Mode::Refuse || !self.net.reaches(host, &server);
+        let refused = backend.mode == BackendMode::Refuse || !self.net.reaches(host, &server);
         if refused {
             let event = Event::AttemptEnded { attempt, end: AttemptEnd::Unreachable };
-            self.event_in(2 * delay, host, birth, event);
+            self.deliver_in(2 * delay, host, incarnation, event);
             return;
         }
         let work = request.task.work.clone();
-        let visit = Visit { host: host.clone(), birth, attempt, server, work };
-        self.visits.insert(visit.key());
-        self.at(self.now + delay, Happening::Arrive(visit.clone()));
-        let Some(machine) = self.machines.get(host) else { return };
-        let left = request.deadline.since(machine.clock(self.now));
-        self.at(self.now + left.as_micros() as u64, Happening::Expire(visit));
+        let attempt_call = AttemptCall { host: host.clone(), incarnation, attempt, server, work };
+        self.open_attempts.insert(attempt_call.key());
+        self.schedule_at(self.now + delay, ScheduledEvent::Arrive(attempt_call.clone()));
+        let Some(sim_host) = self.sim_hosts.get(host) else { return };
+        let left = request.deadline.since(sim_host.clock(self.now));
+        self.schedule_at(self.now + left.as_micros() as u64, ScheduledEvent::Expire(attempt_call));
     }
 
-    pub(super) fn arrive(&mut self, visit: Visit) {
-        let Some(backend) = self.backends.get_mut(&visit.server) else { return };
+    pub(super) fn handle_attempt(&mut self, attempt_call: AttemptCall) {
+        let Some(backend) = self.backends.get_mut(&attempt_call.server) else { return };
         match backend.mode {
-            Mode::Leaving => return self.end(&visit, AttemptEnd::Leaving),
-            _ if backend.running >= backend.slots => return self.end(&visit, AttemptEnd::Busy),
+            BackendMode::Leaving => return self.end_attempt(&attempt_call, AttemptEnd::Leaving),
+            _ if backend.running >= backend.slots => {
+                return self.end_attempt(&attempt_call, AttemptEnd::Busy);
+            }
             _ => {}
         }
-        let work = String::from_utf8_lossy(&visit.work).into_owned();
-        self.starts.push(Started { work, server: visit.server.clone(), at: self.now });
+        let work = String::from_utf8_lossy(&attempt_call.work).into_owned();
+        self.starts.push(TaskStart { work, server: attempt_call.server.clone(), at: self.now });
         match backend.mode {
-            Mode::Close => self.end(&visit, AttemptEnd::Lost),
-            Mode::Fail => self.end(&visit, AttemptEnd::Rejected(500)),
-            Mode::Hang => {}
+            BackendMode::Close => self.end_attempt(&attempt_call, AttemptEnd::Lost),
+            BackendMode::Fail => self.end_attempt(&attempt_call, AttemptEnd::Rejected(500)),
+            BackendMode::Hang => {}
             _ => {
                 backend.running += 1;
                 // A tenth either way, so that ends do not fall together.
-                let base = backend.service_ms * 1_000;
+                let base = backend.task_ms * 1_000;
                 let spread = self.rng.random_range(0..=base / 5);
                 let at = self.now + base - base / 10 + spread;
-                self.at(at, Happening::Depart(visit));
+                self.schedule_at(at, ScheduledEvent::Finish(attempt_call));
             }
         }
     }
 
-    pub(super) fn depart(&mut self, visit: Visit) {
-        let Some(backend) = self.backends.get_mut(&visit.server) else { return };
+    pub(super) fn finish_attempt(&mut self, attempt_call: AttemptCall) {
+        let Some(backend) = self.backends.get_mut(&attempt_call.server) else { return };
         backend.running -= 1;
-        let whole = backend.mode == Mode::Good && self.net.reaches(&visit.host, &visit.server);
-        let end = if whole { AttemptEnd::Answered(echo(&visit.work)) } else { AttemptEnd::Lost };
-        self.end(&visit, end);
+        let whole = backend.mode == BackendMode::Good
+            && self.net.reaches(&attempt_call.host, &attempt_call.server);
+        let end =
+            if whole { AttemptEnd::Answered(echo(&attempt_call.work)) } else { AttemptEnd::Lost };
+        self.end_attempt(&attempt_call, end);
     }
 
-    pub(super) fn expire(&mut self, visit: Visit) {
-        self.end(&visit, AttemptEnd::Lost);
+    pub(super) fn expire_attempt(&mut self, attempt_call: AttemptCall) {
+        self.end_attempt(&attempt_call, AttemptEnd::Lost);
     }
 
-    pub(super) fn abort(&mut self, host: &Name, birth: u64, attempt: AttemptId) {
-        self.visits.remove(&(host.clone(), birth, attempt.0));
-        self.event_in(0, host, birth, Event::AttemptEnded { attempt, end: AttemptEnd::Lost });
+    pub(super) fn abort_attempt(&mut self, host: &Name, incarnation: u64, attempt: AttemptId) {
+        self.open_attempts.remove(&(host.clone(), incarnation, attempt.0));
+        self.deliver_in(
+            0,
+            host,
+            incarnation,
+            Event::AttemptEnded { attempt, end: AttemptEnd::Lost },
+        );
     }
 
-    fn end(&mut self, visit: &Visit, end: AttemptEnd) {
-        if !self.visits.remove(&visit.key()) {
+    fn end_attempt(&mut self, attempt_call: &AttemptCall, end: AttemptEnd) {
+        if !self.open_attempts.remove(&attempt_call.key()) {
             return;
         }
-        let delay = self.net.delay_us(&visit.host, &visit.server, &mut self.rng);
-        let event = Event::AttemptEnded { attempt: visit.attempt, end };
-        self.event_in(delay, &visit.host, visit.birth, event);
+        let delay = self.net.delay_us(&attempt_call.host, &attempt_call.server, &mut self.rng);
+        let event = Event::AttemptEnded { attempt: attempt_call.attempt, end };
+        self.deliver_in(delay, &attempt_call.host, attempt_call.incarnation, event);
     }
 }
 
-impl Visit {
+impl AttemptCall {
     fn key(&self) -> (Name, u64, u64) {
-        (self.host.clone(), self.birth, self.attempt.0)
+        (self.host.clone(), self.incarnation, self.attempt.0)
     }
 }
 
--- a/endivestile_testkit/src/world/call.rs
+++ b/endivestile_testkit/src/world/call.rs
@@ -12,13 +12,13 @@
 
 /// What a caller submits.
 #[derive(Debug, Clone)]
-pub struct Submit {
+pub struct SubmitCall {
     /// Host that takes the call.
     pub host: Name,
     /// Id; none for an idempotent request.
     pub id: Option<SubmissionId>,
     /// Word that makes the work of this submission its own.
-    pub word: String,
+    pub work_name: String,
     /// Team.
     pub team: Name,
     /// Tasks.
@@ -39,11 +39,11 @@
     /// Id.
     pub id: Option<SubmissionId>,
     /// Word of the work.
-    pub word: String,
+    pub work_name: String,
     /// Tasks.
     pub tasks: usize,
     /// When it was made, in microseconds.
-    pub made: u64,
+    pub made_at: u64,
     /// When it was answered.
     pub ended: Option<u64>,
     /// The answer.
@@ -59,7 +59,7 @@
     pub fn label(&self) -> String {
         match &self.answer {
             Some(Answer::Refused(refusal)) => {
-                let tenths = self.ended.map_or(0, |ended| (ended - self.made) / 100_000);
+                let tenths = self.ended.map_or(0, |ended| (ended - self.made_at) / 100_000);
                 let after = format!("{}.{} s", tenths / 10, tenths % 10);
                 format!("{} {:?} after {after}", self.status(), refusal.cause)
             }
@@ -80,10 +80,10 @@
 
 impl World {
     /// Makes a call; returns its number.
-    pub fn submit(&mut self, submit: Submit) -> u64 {
+    pub fn submit(&mut self, submit: SubmitCall) -> u64 {
         let call = self.log_call(&submit);
-        let Some(machine) = self.machines.get(&submit.host) else { return call };
-        let clock = machine.clock(self.now);
+        let Some(sim_host) = self.sim_hosts.get(&submit.host) else { return call };
+        let clock = sim_host.clock(self.now);
         let submission = Submission {
             id: submit.id.clone(),
             team: submit.team.clone(),
@@ -91,18 +91,18 @@
             idempotent: submit.id.is_none(),
             tasks: (0..submit.tasks).map(|index| Arc::new(task(&submit, index))).collect(),
         };
-        let birth = machine.birth;
+        let incarnation = sim_host.incarnation;
         let event = Event::Submitted { call: CallId(call), submission };
-        self.event_in(0, &submit.host, birth, event);
+        self.deliver_in(0, &submit.host, incarnation, event);
         call
     }
 
     /// Asks a host for the answer to an id, or cancels it; returns the call's number.
     pub fn ask(&mut self, host: &str, id: &SubmissionId, ask: Ask) -> u64 {
-        let submit = Submit {
+        let submit = SubmitCall {
             host: Name::from(host),
             id: Some(id.clone()),
-            word: String::from("?"),
+            work_name: String::from("?"),
             team: Name::from("m"),
             tasks: 0,
             deadline_ms: 0,
@@ -110,31 +110,31 @@
             need: None,
         };
         let call = self.log_call(&submit);
-        let Some(machine) = self.machines.get(host) else { return call };
-        let birth = machine.birth;
+        let Some(sim_host) = self.sim_hosts.get(host) else { return call };
+        let incarnation = sim_host.incarnation;
         let event = Event::Ask { call: CallId(call), id: id.clone(), ask };
-        self.event_in(0, &submit.host, birth, event);
+        self.deliver_in(0, &submit.host, incarnation, event);
         call
     }
 
     /// Has a host mint an id, if it runs.
     pub fn mint(&mut self, host: &str) -> Option<SubmissionId> {
         let now = self.now;
-        let machine = self.machines.get_mut(host)?;
-        let clock = machine.clock(now);
-        machine.kernel.as_mut()?.mint(clock, 1).pop()
+        let sim_host = self.sim_hosts.get_mut(host)?;
+        let clock = sim_host.clock(now);
+        sim_host.kernel.as_mut()?.mint(clock, 1).pop()
     }
 
-    fn log_call(&mut self, submit: &Submit) -> u64 {
+    fn log_call(&mut self, submit: &SubmitCall) -> u64 {
         let call = self.calls.len() as u64 + 1;
-        let machine = self.machines.get(&submit.host);
-        let broken = machine.is_none_or(|machine| machine.kernel.is_none());
+        let sim_host = self.sim_hosts.get(&submit.host);
+        let broken = sim_host.is_none_or(|sim_host| sim_host.kernel.is_none());
         let log = CallLog {
             host: submit.host.clone(),
             id: submit.id.clone(),
-            word: submit.word.clone(),
+            work_name: submit.work_name.clone(),
             tasks: submit.tasks,
-            made: self.now,
+            made_at: self.now,
             ended: None,
             answer: None,
             broken,
@@ -144,9 +144,9 @@
         call
     }
 
-    pub(super) fn answered(&mut self, call: CallId, answer: &Answer) {
+    pub(super) fn handle_answer(&mut self, call: CallId, answer: &Answer) {
         let Some(log) = self.calls.get(&call.0) else { return };
-        let starts = self.starts_of(&log.word);
+        let starts = self.count_starts(&log.work_name);
         let Some(log) = self.calls.get_mut(&call.0) else { return };
         if log.answer.is_some() {
             self.breaches.push(format!("promise 3: call {} answered twice", call.0));
@@ -158,22 +158,26 @@
         self.check_answer(call.0);
     }
 
-    pub(super) fn starts_of(&self, word: &str) -> usize {
+    pub(super) fn count_starts(&self, word: &str) -> usize {
         let mine = |work: &str| work.rsplit_once('/').is_some_and(|(its, _)| its == word);
         self.starts.iter().filter(|start| mine(&start.work)).count()
     }
 }
 
-fn task(submit: &Submit, index: usize) -> Task {
+fn task(submit: &SubmitCall, index: usize) -> Task {
     let target = match submit.need {
         Some(need) => Target::Need(need),
         None => Target::Service(Name::from("service")),
     };
-    Task { target, work: Bytes::from(work(&submit.word, index)), declared_ms: submit.declared_ms }
+    Task {
+        target,
+        work: Bytes::from(work_text(&submit.work_name, index)),
+        declared_ms: submit.declared_ms,
+    }
 }
 
 /// Returns the work of a task.
-pub(super) fn work(word: &str, index: usize) -> String {
+pub(super) fn work_text(word: &str, index: usize) -> String {
     format!("{word}/{index}")
 }
 
--- a/endivestile_testkit/src/world/check.rs
+++ b/endivestile_testkit/src/world/check.rs
@@ -6,7 +6,7 @@
 
 use super::World;
 use super::backend::echo;
-use super::call::work;
+use super::call::work_text;
 
 /// Time after which a leaving back end gets no new work, in microseconds.
 const LEAVING_US: u64 = 5_000_000;
@@ -19,7 +19,7 @@
         let mut breaches = self.breaches.clone();
         breaches.extend(self.double_starts());
         breaches.extend(self.false_refusals());
-        breaches.extend(self.work_for_leaving());
+        breaches.extend(self.starts_on_leaving());
         breaches.extend(self.late_configs());
         breaches
     }
@@ -30,7 +30,8 @@
         let Some(answer) = &log.answer else { return };
         let breach = match answer {
             Answer::Complete(results) if log.tasks > 0 => {
-                let whole = (0..log.tasks).map(|index| echo(work(&log.word, index).as_bytes()));
+                let whole =
+                    (0..log.tasks).map(|index| echo(work_text(&log.work_name, index).as_bytes()));
                 if results.len() != log.tasks {
                     Some(format!("promise 2: call {call} got a part of its answer"))
                 } else if !whole.eq(results.iter().cloned()) {
@@ -40,7 +41,7 @@
                 }
             }
             Answer::Refused(_) if answer.is_not_run() && log.starts > 0 => {
-                Some(format!("promise 4: call {call} was told not run, {} started", log.word))
+                Some(format!("promise 4: call {call} was told not run, {} started", log.work_name))
             }
             _ => None,
         };
@@ -55,7 +56,7 @@
         // An idempotent request without an id may be tried again.
         let once = |word: &str| {
             let mut calls = self.calls.values();
-            calls.any(|call| call.id.is_some() && call.word == word)
+            calls.any(|call| call.id.is_some() && call.work_name == word)
         };
         let doubled = counts.into_iter().filter(|(work, count)| {
             let word = work.rsplit_once('/').map_or(*work, |(word, _)| word);
@@ -69,14 +70,14 @@
         let mut refused: BTreeMap<&str, bool> = BTreeMap::new();
         for call in self.calls.values().filter(|call| call.tasks > 0) {
             let not_run = call.answer.as_ref().is_some_and(Answer::is_not_run);
-            *refused.entry(&call.word).or_insert(true) &= not_run;
+            *refused.entry(&call.work_name).or_insert(true) &= not_run;
         }
         let words = refused.into_iter().filter(|(_, refused)| *refused);
-        let started = words.filter(|(word, _)| self.starts_of(word) > 0);
+        let started = words.filter(|(word, _)| self.count_starts(word) > 0);
         started.map(|(word, _)| format!("promise 4: {word} was refused and started")).collect()
     }
 
-    fn work_for_leaving(&self) -> Vec<String> {
+    fn starts_on_leaving(&self) -> Vec<String> {
         let late = self.starts.iter().filter(|start| {
             let leaving = self.backends.get(&start.server).and_then(|backend| backend.leaving);
             leaving.is_some_and(|since| start.at > since + LEAVING_US)
@@ -93,7 +94,7 @@
             return Vec::new();
         }
         let newest = self.platform.revision;
-        let running = self.machines.iter().filter(|(_, machine)| machine.awake());
+        let running = self.sim_hosts.iter().filter(|(_, sim_host)| sim_host.is_running());
         let late = running.filter(|(name, _)| self.revision(name) < newest);
         late.map(|(name, _)| format!("promise 8: {name} has an old configuration")).collect()
     }
--- a/endivestile_testkit/src/world/faults.rs
+++ b/endivestile_testkit/src/world/faults.rs
@@ -6,7 +6,7 @@
 use endivestile_kernel::{Event, PlatformState};
 
 use super::World;
-use super::backend::Mode;
+use super::backend::BackendMode;
 
 impl World {
     /// Cuts two hosts, zones, back ends, or one of them and the store from each other.
@@ -19,38 +19,38 @@
     /// Mends every cut, loss and delay.
     pub fn heal(&mut self) {
         self.net.heal();
-        self.net.loss = 0;
+        self.net.loss_percent = 0;
         self.net.jitter_us = 0;
         self.faulty = self.platform.down;
         self.reconnect();
     }
 
     /// Loses this many percent of the frames between hosts.
-    pub fn lose_frames(&mut self, percent: u32) {
-        self.net.loss = percent;
+    pub fn set_frame_loss(&mut self, percent: u32) {
+        self.net.loss_percent = percent;
         self.faulty = true;
     }
 
     /// Delays messages by up to this much more.
-    pub fn jitter(&mut self, millis: u64) {
+    pub fn set_jitter(&mut self, millis: u64) {
         self.net.jitter_us = millis * 1_000;
     }
 
     /// Takes the store down or brings it up.
-    pub fn store_down(&mut self, down: bool) {
+    pub fn set_store_down(&mut self, down: bool) {
         self.platform.down = down;
         self.faulty |= down;
         self.reconnect();
     }
 
     /// Makes every call to the store take this long.
-    pub fn store_slow(&mut self, millis: u64) {
+    pub fn set_store_delay(&mut self, millis: u64) {
         self.platform.delay_us = millis * 1_000;
     }
 
     /// Loses the answers to the next calls to the store; the writes take effect.
-    pub fn store_loses(&mut self, calls: u32) {
-        self.platform.lose = calls;
+    pub fn lose_store_answers(&mut self, calls: u32) {
+        self.platform.answers_to_lose = calls;
     }
 
     /// Returns the calls that the hosts made to the store.
@@ -59,41 +59,41 @@
     }
 
     /// Changes how a back end behaves.
-    pub fn behave(&mut self, server: &str, mode: Mode) {
+    pub fn set_mode(&mut self, server: &str, mode: BackendMode) {
         let Some(backend) = self.backends.get_mut(server) else { return };
         backend.mode = mode;
-        backend.leaving = (mode == Mode::Leaving).then_some(self.now);
+        backend.leaving = (mode == BackendMode::Leaving).then_some(self.now);
     }
 
     /// Sets the run time of a back end's tasks.
-    pub fn speed(&mut self, server: &str, millis: u64) {
+    pub fn set_task_duration(&mut self, server: &str, millis: u64) {
         if let Some(backend) = self.backends.get_mut(server) {
-            backend.service_ms = millis;
+            backend.task_ms = millis;
         }
     }
 
     /// Has the platform's list say this of a host or back end, to those who reach it.
-    pub fn list(&mut self, name: &str, state: PlatformState) {
+    pub fn set_listed_state(&mut self, name: &str, state: PlatformState) {
         let name = Name::from(name);
-        self.platform.list.insert(name.clone(), state);
+        self.platform.listed_states.insert(name.clone(), state);
         if let Some(backend) = self.backends.get_mut(&name) {
             backend.leaving = (state != PlatformState::Live).then_some(self.now);
         }
-        self.tell_all(Event::PlatformChange { name, state: Some(state) });
+        self.broadcast(Event::PlatformChange { name, state: Some(state) });
     }
 
     /// Has an operator plan a stop of a host or back end, or take it back.
-    pub fn plan_stop(&mut self, name: &str, stop: bool) {
+    pub fn set_planned_stop(&mut self, name: &str, stop: bool) {
         let name = Name::from(name);
-        self.platform.stops.insert(name.clone(), stop);
+        self.platform.planned_stops.insert(name.clone(), stop);
         if let Some(backend) = self.backends.get_mut(&name) {
             backend.leaving = stop.then_some(self.now);
         }
-        self.tell_all(Event::PlannedStop { name, stop });
+        self.broadcast(Event::PlannedStop { name, stop });
     }
 
     /// Has the operators accept another configuration.
-    pub fn accept(&mut self, change: impl FnOnce(&mut Config)) {
+    pub fn accept_config(&mut self, change: impl FnOnce(&mut Config)) {
         let mut config = Config::clone(&self.config());
         config.revision += 1;
         change(&mut config);
@@ -101,15 +101,18 @@
         self.configs.insert(revision, Arc::new(config));
         self.platform.revision = revision;
         self.platform.accepted = Some(self.now);
-        self.tell_all(self.config_event(revision));
+        self.broadcast(self.config_event(revision));
     }
 
     /// Offers an older configuration to a host, as a slow peer would.
-    pub fn offer_old(&mut self, host: &str) {
+    pub fn offer_oldest_config(&mut self, host: &str) {
         let Some(oldest) = self.configs.keys().next().copied() else { return };
-        let Some(birth) = self.machines.get(host).map(|machine| machine.birth) else { return };
+        let Some(incarnation) = self.sim_hosts.get(host).map(|sim_host| sim_host.incarnation)
+        else {
+            return;
+        };
         let event = self.config_event(oldest);
-        self.event_in(0, &Name::from(host), birth, event);
+        self.deliver_in(0, &Name::from(host), incarnation, event);
     }
 
     /// Returns the home of an id, as the first host that knows it has it.
--- a/endivestile_testkit/src/world/platform.rs
+++ b/endivestile_testkit/src/world/platform.rs
@@ -7,14 +7,14 @@
 use endivestile_kernel::{Event, PlatformState, Registration, ShardRecord, StoreOp, StoreResult};
 
 use super::net::STORE;
-use super::{Happening, World};
+use super::{ScheduledEvent, World};
 
 /// Time between two looks at the leases, in microseconds.
-const LEASES_US: u64 = 500_000;
+const LEASE_CHECK_US: u64 = 500_000;
 /// Time that the check of a configuration takes, in microseconds.
-const CHECK_US: u64 = 50_000;
+const CONFIG_CHECK_US: u64 = 50_000;
 /// Time after which a lease that is not renewed ends, in microseconds.
-const LEASE_US: u64 = 5_000_000;
+const LEASE_TTL_US: u64 = 5_000_000;
 
 /// A host's registration and when its lease was last renewed.
 #[derive(Debug)]
@@ -28,14 +28,14 @@
 pub(super) struct Platform {
     pub(super) down: bool,
     pub(super) delay_us: u64,
-    pub(super) lose: u32,
+    pub(super) answers_to_lose: u32,
     pub(super) calls: u64,
     pub(super) revision: u64,
     pub(super) accepted: Option<u64>,
     pub(super) registered: BTreeMap<Name, Lease>,
-    pub(super) list: BTreeMap<Name, PlatformState>,
-    pub(super) stops: BTreeMap<Name, bool>,
-    changes: u64,
+    pub(super) listed_states: BTreeMap<Name, PlatformState>,
+    pub(super) planned_stops: BTreeMap<Name, bool>,
+    last_revision: u64,
     values: BTreeMap<Name, (u64, Bytes)>,
 }
 
@@ -45,14 +45,14 @@
         Self {
             down: false,
             delay_us: 2_000,
-            lose: 0,
+            answers_to_lose: 0,
             calls: 0,
             revision,
             accepted: None,
             registered: BTreeMap::new(),
-            list: BTreeMap::new(),
-            stops: BTreeMap::new(),
-            changes: 0,
+            listed_states: BTreeMap::new(),
+            planned_stops: BTreeMap::new(),
+            last_revision: 0,
             values: BTreeMap::new(),
         }
     }
@@ -74,96 +74,96 @@
                 if current != *revision {
                     return (StoreResult::Raced, None);
                 }
-                self.changes += 1;
-                self.values.insert(key.clone(), (self.changes, value.clone()));
-                (StoreResult::Swapped(self.changes), Some(key.clone()))
+                self.last_revision += 1;
+                self.values.insert(key.clone(), (self.last_revision, value.clone()));
+                (StoreResult::Swapped(self.last_revision), Some(key.clone()))
             }
         }
     }
 }
 
 impl World {
-    pub(super) fn store(&mut self, host: Name, birth: u64, op_id: u64, op: StoreOp) {
+    pub(super) fn store(&mut self, host: Name, incarnation: u64, op_id: u64, op: StoreOp) {
         if self.platform.down {
-            self.event_in(
+            self.deliver_in(
                 0,
                 &host,
-                birth,
+                incarnation,
                 Event::StoreCallEnded { op_id, result: StoreResult::Lost },
             );
             return;
         }
         let (mut result, changed) = self.platform.apply(&op);
-        if self.platform.lose > 0 {
-            self.platform.lose -= 1;
+        if self.platform.answers_to_lose > 0 {
+            self.platform.answers_to_lose -= 1;
             result = StoreResult::Lost;
         }
         let delay = self.platform.delay_us;
-        self.event_in(delay, &host, birth, Event::StoreCallEnded { op_id, result });
-        if let Some(event) = changed.and_then(|key| self.record(&key)) {
-            self.tell_all(event);
+        self.deliver_in(delay, &host, incarnation, Event::StoreCallEnded { op_id, result });
+        if let Some(event) = changed.and_then(|key| self.record_event(&key)) {
+            self.broadcast(event);
         }
     }
 
-    fn record(&self, key: &Name) -> Option<Event> {
+    fn record_event(&self, key: &Name) -> Option<Event> {
         let shard = key.rsplit('/').next()?.parse().ok()?;
         let (revision, value) = self.platform.values.get(key)?.clone();
         Some(Event::ShardRecordChange { shard, revision, value })
     }
 
     /// Tells every host that watches the store.
-    pub(super) fn tell_all(&mut self, event: Event) {
-        let watching = self.machines.iter().filter(|(_, machine)| machine.connected);
+    pub(super) fn broadcast(&mut self, event: Event) {
+        let watching = self.sim_hosts.iter().filter(|(_, sim_host)| sim_host.connected);
         let watching: Vec<(Name, u64)> =
-            watching.map(|(name, machine)| (name.clone(), machine.birth)).collect();
+            watching.map(|(name, sim_host)| (name.clone(), sim_host.incarnation)).collect();
         let delay = self.platform.delay_us;
-        for (name, birth) in watching {
-            self.event_in(delay, &name, birth, event.clone());
+        for (name, incarnation) in watching {
+            self.deliver_in(delay, &name, incarnation, event.clone());
         }
     }
 
     /// Connects a host's watch, if the store can be reached.
     pub(super) fn connect(&mut self, name: &Name) {
         let reachable = !self.platform.down && self.net.reaches(name, STORE);
-        let Some(machine) = self.machines.get_mut(name) else { return };
-        if machine.kernel.is_none() || machine.connected == reachable {
+        let Some(sim_host) = self.sim_hosts.get_mut(name) else { return };
+        if sim_host.kernel.is_none() || sim_host.connected == reachable {
             return;
         }
-        machine.connected = reachable;
-        let birth = machine.birth;
-        self.event_in(0, name, birth, Event::StoreAvailable(reachable));
+        sim_host.connected = reachable;
+        let incarnation = sim_host.incarnation;
+        self.deliver_in(0, name, incarnation, Event::StoreAvailable(reachable));
         if reachable {
-            for event in self.state() {
-                self.event_in(self.platform.delay_us, name, birth, event);
+            for event in self.snapshot_events() {
+                self.deliver_in(self.platform.delay_us, name, incarnation, event);
             }
             // The daemon checks a configuration on a thread of its own, so that it
             // comes after what was read with it.
             let config = self.config_event(self.platform.revision);
-            self.event_in(self.platform.delay_us + CHECK_US, name, birth, config);
+            self.deliver_in(self.platform.delay_us + CONFIG_CHECK_US, name, incarnation, config);
         }
     }
 
     /// Connects or disconnects every watch as the faults have it.
     pub(super) fn reconnect(&mut self) {
-        let names: Vec<Name> = self.machines.keys().cloned().collect();
+        let names: Vec<Name> = self.sim_hosts.keys().cloned().collect();
         for name in names {
             self.connect(&name);
         }
     }
 
-    fn state(&self) -> Vec<Event> {
+    fn snapshot_events(&self) -> Vec<Event> {
         let platform = &self.platform;
-        let records = platform.values.keys().filter_map(|key| self.record(key));
+        let records = platform.values.keys().filter_map(|key| self.record_event(key));
         let mut events: Vec<Event> = records.collect();
-        for host in self.machines.keys() {
+        for host in self.sim_hosts.keys() {
             let lease = platform.registered.get(host);
             let registration = lease.map(|lease| lease.registration.clone());
             events.push(Event::HostRegistration { host: host.clone(), registration });
         }
-        for (name, state) in &platform.list {
+        for (name, state) in &platform.listed_states {
             events.push(Event::PlatformChange { name: name.clone(), state: Some(*state) });
         }
-        for (name, stop) in &platform.stops {
+        for (name, stop) in &platform.planned_stops {
             events.push(Event::PlannedStop { name: name.clone(), stop: *stop });
         }
         events
@@ -174,29 +174,31 @@
         Event::Config { config, text: Bytes::from(revision.to_string()) }
     }
 
-    pub(super) fn leases(&mut self) {
-        let names: Vec<Name> = self.machines.keys().cloned().collect();
+    pub(super) fn check_leases(&mut self) {
+        let names: Vec<Name> = self.sim_hosts.keys().cloned().collect();
         for name in names {
             self.renew(&name);
         }
-        self.at(self.now + LEASES_US, Happening::Leases);
+        self.schedule_at(self.now + LEASE_CHECK_US, ScheduledEvent::CheckLeases);
     }
 
     fn renew(&mut self, name: &Name) {
         let now = self.now;
-        let Some(machine) = self.machines.get(name) else { return };
-        let birth = machine.birth;
-        let renews = machine.awake() && machine.connected;
+        let Some(sim_host) = self.sim_hosts.get(name) else { return };
+        let incarnation = sim_host.incarnation;
+        let renews = sim_host.is_running() && sim_host.connected;
         let held = self.platform.registered.get_mut(name);
         match held {
-            Some(lease) if renews && lease.registration.peer.birth == birth => lease.renewed = now,
+            Some(lease) if renews && lease.registration.peer.birth == incarnation => {
+                lease.renewed = now
+            }
             _ if renews => {
-                let leaving = machine.leaving(now);
+                let leaving = sim_host.leaving(now);
                 self.register(name, leaving);
             }
-            Some(lease) if lease.renewed + LEASE_US < now && !self.platform.down => {
+            Some(lease) if lease.renewed + LEASE_TTL_US < now && !self.platform.down => {
                 self.platform.registered.remove(name);
-                self.tell_all(Event::HostRegistration { host: name.clone(), registration: None });
+                self.broadcast(Event::HostRegistration { host: name.clone(), registration: None });
             }
             _ => {}
         }
@@ -204,21 +206,22 @@
 
     pub(super) fn register(&mut self, name: &Name, leaving: bool) {
         let config = self.config();
-        let (Some(machine), Some(host)) = (self.machines.get(name), config.hosts.get(name)) else {
+        let (Some(sim_host), Some(host)) = (self.sim_hosts.get(name), config.hosts.get(name))
+        else {
             return;
         };
-        if !machine.connected {
+        if !sim_host.connected {
             return;
         }
         let registration = Registration {
-            peer: endivestile_kernel::Peer::new(name.clone(), machine.birth),
+            peer: endivestile_kernel::Peer::new(name.clone(), sim_host.incarnation),
             zone: host.zone.clone(),
             address: host.address.clone(),
             leaving,
         };
         let lease = Lease { registration: registration.clone(), renewed: self.now };
         self.platform.registered.insert(name.clone(), lease);
-        self.tell_all(Event::HostRegistration {
+        self.broadcast(Event::HostRegistration {
             host: name.clone(),
             registration: Some(registration),
         });
--- a/endivestile_testkit/src/world/story.rs
+++ b/endivestile_testkit/src/world/story.rs
@@ -10,7 +10,7 @@
 use endivestile_kernel::{Ask, Need, PlatformState, SubmissionId};
 
 use super::call::millis;
-use super::{Mode, Submit, WALL_S, World};
+use super::{BackendMode, SubmitCall, WALL_S, World};
 use crate::step::{Step, span_ms};
 
 /// Milliseconds until a submission's deadline, unless the story says otherwise.
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// Names the first line that is no step.
-pub fn tell(text: &str) -> Result<String, String> {
+pub fn run_story(text: &str) -> Result<String, String> {
     let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     let first = Step::read(lines.next().unwrap_or_default());
     if first.words.first() != Some(&"world") {
@@ -40,7 +40,7 @@
     let mut world =
         World::new(first.config()?, first.number("seed", 1)?, first.number("seeds", 1)? == 1);
     for server in world.server_names() {
-        world.speed(&server, first.number("ms", 100)?);
+        world.set_task_duration(&server, first.number("ms", 100)?);
     }
     world.run(SETTLE_MS);
     let mut story = Story {
@@ -99,15 +99,15 @@
             }
             "cut" => self.world.cut(step.word(1)?, step.word(2)?),
             "heal" => self.world.heal(),
-            "lose" => self.world.lose_frames(step.parse(1)?),
-            "jitter" => self.world.jitter(span_ms(step.word(1)?)?),
+            "lose" => self.world.set_frame_loss(step.parse(1)?),
+            "jitter" => self.world.set_jitter(span_ms(step.word(1)?)?),
             "store" => self.store(step)?,
             "server" => self.server(step)?,
-            "list" => self.world.list(step.word(1)?, platform_state(step.word(2)?)?),
-            "stop" => self.world.plan_stop(step.word(1)?, true),
-            "unstop" => self.world.plan_stop(step.word(1)?, false),
+            "list" => self.world.set_listed_state(step.word(1)?, platform_state(step.word(2)?)?),
+            "stop" => self.world.set_planned_stop(step.word(1)?, true),
+            "unstop" => self.world.set_planned_stop(step.word(1)?, false),
             "accept" => self.accept(step)?,
-            "offer-old" => self.world.offer_old(step.word(1)?),
+            "offer-old" => self.world.offer_oldest_config(step.word(1)?),
             verb => return Err(format!("no step `{verb}`")),
         }
         Ok(())
@@ -142,10 +142,10 @@
         let every = step.span("every", 0)?;
         for suffix in step.suffixes()? {
             let id = key.map(|key| self.id(&format!("{key}{suffix}"))).transpose()?;
-            let submit = Submit {
+            let submit = SubmitCall {
                 host: Name::from(*step.pairs.get("at").ok_or("at=HOST is missing")?),
                 id,
-                word: format!("{word}{suffix}"),
+                work_name: format!("{word}{suffix}"),
                 team: Name::from(*step.pairs.get("team").unwrap_or(&"m")),
                 tasks: step.number("tasks", 1)? as usize,
                 deadline_ms: step.span("deadline", DEADLINE_MS)?,
@@ -242,7 +242,7 @@
     /// Prints how many calls took longer than a span.
     fn slower(&mut self, step: &Step<'_>) -> Result<(), String> {
         let span = span_ms(step.word(1)?)?;
-        let took = self.names.values().filter_map(|call| self.world.took_ms(*call));
+        let took = self.names.values().filter_map(|call| self.world.duration_ms(*call));
         let count = took.filter(|took| *took > span).count();
         let _ = writeln!(self.out, "{count} calls took longer than {span} ms");
         Ok(())
@@ -277,10 +277,10 @@
 
     fn store(&mut self, step: &Step<'_>) -> Result<(), String> {
         match step.word(1)? {
-            "down" => self.world.store_down(true),
-            "up" => self.world.store_down(false),
-            "slow" => self.world.store_slow(span_ms(step.word(2)?)?),
-            "loses" => self.world.store_loses(step.parse(2)?),
+            "down" => self.world.set_store_down(true),
+            "up" => self.world.set_store_down(false),
+            "slow" => self.world.set_store_delay(span_ms(step.word(2)?)?),
+            "loses" => self.world.lose_store_answers(step.parse(2)?),
             word => return Err(format!("store down, up, slow or loses, not `{word}`")),
         }
         Ok(())
@@ -289,13 +289,13 @@
     fn server(&mut self, step: &Step<'_>) -> Result<(), String> {
         let name = step.word(1)?;
         match step.word(2)? {
-            "good" => self.world.behave(name, Mode::Good),
-            "refuses" => self.world.behave(name, Mode::Refuse),
-            "closes" => self.world.behave(name, Mode::Close),
-            "fails" => self.world.behave(name, Mode::Fail),
-            "hangs" => self.world.behave(name, Mode::Hang),
-            "leaves" => self.world.behave(name, Mode::Leaving),
-            "takes" => self.world.speed(name, span_ms(step.word(3)?)?),
+            "good" => self.world.set_mode(name, BackendMode::Good),
+            "refuses" => self.world.set_mode(name, BackendMode::Refuse),
+            "closes" => self.world.set_mode(name, BackendMode::Close),
+            "fails" => self.world.set_mode(name, BackendMode::Fail),
+            "hangs" => self.world.set_mode(name, BackendMode::Hang),
+            "leaves" => self.world.set_mode(name, BackendMode::Leaving),
+            "takes" => self.world.set_task_duration(name, span_ms(step.word(3)?)?),
             word => return Err(format!("no behaviour `{word}`")),
         }
         Ok(())
@@ -305,7 +305,7 @@
         let limit: u32 = step.number("limit", 1_000)? as u32;
         let policy = step.pairs.get("policy").copied();
         let without = step.pairs.get("without").copied().unwrap_or_default();
-        self.world.accept(|config| {
+        self.world.accept_config(|config| {
             config.hosts.retain(|name, _| !without.split(',').any(|gone| **name == *gone));
             for team in config.teams.values_mut() {
                 team.limit = limit;
@@ -402,13 +402,13 @@
     }
 
     fn paused_hosts(&self) -> Vec<Name> {
-        let paused = self.machines.iter().filter(|(_, machine)| machine.paused);
+        let paused = self.sim_hosts.iter().filter(|(_, sim_host)| sim_host.paused);
         paused.map(|(name, _)| name.clone()).collect()
     }
 
     fn host_states(&self) -> Vec<(Name, u64, &'static str)> {
-        let states = self.machines.iter().map(|(name, machine)| {
-            let state = match (&machine.kernel, machine.paused) {
+        let states = self.sim_hosts.iter().map(|(name, sim_host)| {
+            let state = match (&sim_host.kernel, sim_host.paused) {
                 (None, _) => "ended",
                 (Some(_), true) => "paused",
                 (Some(_), false) => "running",
@@ -419,8 +419,8 @@
     }
 
     /// Returns how long a call took, in milliseconds.
-    pub fn took_ms(&self, call: u64) -> Option<u64> {
+    pub fn duration_ms(&self, call: u64) -> Option<u64> {
         let log = self.calls.get(&call)?;
-        Some(millis(log.ended? - log.made))
+        Some(millis(log.ended? - log.made_at))
     }
 }
--- a/endivestile_testkit/tests/fleet_load.rs
+++ b/endivestile_testkit/tests/fleet_load.rs
@@ -7,62 +7,62 @@
 use std::collections::BTreeMap;
 
 use endivestile_config::{Mechanism, Policy};
-use endivestile_testkit::{FleetWorld, Kind, Served};
+use endivestile_testkit::{FleetWorld, JobKind, LoadResult};
 use test_case::test_case;
 
 /// Kinds of jobs: many small ones, some wide ones, a few long ones. Together they use about
 /// 70% of the workers' capacity.
-const KINDS: [Kind; 3] = [
-    Kind {
+const KINDS: [JobKind; 3] = [
+    JobKind {
         name: "wide",
         rate: 34.0,
         tasks: 8,
         work_ms: 60,
         priority: 0,
         deadline_ms: 2_000,
-        told: 1.0,
+        estimate_factor: 1.0,
     },
-    Kind {
+    JobKind {
         name: "long",
         rate: 6.0,
         tasks: 4,
         work_ms: 900,
         priority: 2,
         deadline_ms: 5_000,
-        told: 1.0,
+        estimate_factor: 1.0,
     },
-    Kind {
+    JobKind {
         name: "small",
         rate: 100.0,
         tasks: 2,
         work_ms: 200,
         priority: 1,
         deadline_ms: 2_500,
-        told: 1.0,
+        estimate_factor: 1.0,
     },
 ];
 
 /// Returns the kinds with their rates scaled by a factor.
-fn kinds(factor: f64) -> Vec<Kind> {
-    KINDS.iter().map(|kind| Kind { rate: kind.rate * factor, ..*kind }).collect()
+fn kinds(factor: f64) -> Vec<JobKind> {
+    KINDS.iter().map(|kind| JobKind { rate: kind.rate * factor, ..*kind }).collect()
 }
 
 fn world() -> FleetWorld {
     let mut world = FleetWorld::new(&["a", "b", "c"], 2, 16, 32_000, 7);
-    world.speeds(&[0.6, 1.0, 1.6]);
+    world.set_speeds(&[0.6, 1.0, 1.6]);
     world.run(2_000);
     // Under light load the schedulers learn durations and speeds.
-    world.load(&kinds(0.5), 3_000, 1);
+    world.run_load(&kinds(0.5), 3_000, 1);
     world
 }
 
 /// Returns the share of all jobs that `part` counts.
-fn share(served: &BTreeMap<&'static str, Served>, part: impl Fn(&Served) -> u32) -> f64 {
-    let asked: u32 = served.values().map(|kind| kind.asked).sum();
-    f64::from(served.values().map(part).sum::<u32>()) / f64::from(asked)
+fn share(served: &BTreeMap<&'static str, LoadResult>, part: impl Fn(&LoadResult) -> u32) -> f64 {
+    let submitted: u32 = served.values().map(|kind| kind.submitted).sum();
+    f64::from(served.values().map(part).sum::<u32>()) / f64::from(submitted)
 }
 
-fn print(title: &str, served: &BTreeMap<&'static str, Served>) {
+fn print(title: &str, served: &BTreeMap<&'static str, LoadResult>) {
     for (kind, served) in served {
         println!("{title} {kind}: {served:?}");
     }
@@ -72,9 +72,9 @@
 #[test]
 fn load_calm() {
     let mut world = world();
-    let served = world.load(&kinds(0.7), 6_000, 2);
+    let served = world.run_load(&kinds(0.7), 6_000, 2);
     print("calm", &served);
-    assert!(share(&served, |kind| kind.well) > 0.97);
+    assert!(share(&served, |kind| kind.in_time) > 0.97);
     assert_eq!(world.breaches(), Vec::<String>::new());
 }
 
@@ -84,13 +84,13 @@
 #[test]
 fn load_burst() {
     let mut world = world();
-    let served = world.load(&kinds(1.9), 6_000, 3);
+    let served = world.run_load(&kinds(1.9), 6_000, 3);
     print("burst", &served);
-    assert!(share(&served, |kind| kind.well) > 0.55);
+    assert!(share(&served, |kind| kind.in_time) > 0.55);
     assert!(share(&served, |kind| kind.lost) < 0.01);
-    assert!(share(&served, |kind| kind.slow) < 0.03);
+    assert!(share(&served, |kind| kind.refused_late) < 0.03);
     // Wide jobs have the highest priority.
-    assert!(served["wide"].well > 250);
+    assert!(served["wide"].in_time > 250);
     assert_eq!(world.breaches(), Vec::<String>::new());
 }
 
@@ -100,10 +100,10 @@
 #[test]
 fn load_burst_workers_hang() {
     let mut world = world();
-    world.trouble(10, 10, 6.0);
-    let served = world.load(&kinds(1.5), 6_000, 4);
+    world.degrade_workers(10, 10, 6.0);
+    let served = world.run_load(&kinds(1.5), 6_000, 4);
     print("hang", &served);
-    assert!(share(&served, |kind| kind.well) > 0.4);
+    assert!(share(&served, |kind| kind.in_time) > 0.4);
     assert!(share(&served, |kind| kind.lost) < 0.02);
     assert_eq!(world.breaches(), Vec::<String>::new());
 }
@@ -116,9 +116,9 @@
     world.cut("a", "b");
     world.cut("a", "c");
     world.cut("a", "store");
-    let served = world.load(&kinds(0.8), 5_000, 5);
+    let served = world.run_load(&kinds(0.8), 5_000, 5);
     print("cut", &served);
-    assert!(share(&served, |kind| kind.well + kind.late) > 0.9);
+    assert!(share(&served, |kind| kind.in_time + kind.late) > 0.9);
     assert_eq!(world.breaches(), Vec::<String>::new());
 }
 
@@ -129,17 +129,18 @@
 
 /// Sums the results of a load on workers of uneven speed over all seeds. With `trouble` a
 /// tenth of the workers hangs and a tenth is slow.
-fn uneven(policy: Policy, kinds: &[Kind], trouble: bool) -> BTreeMap<&'static str, Served> {
-    let mut total: BTreeMap<&'static str, Served> = BTreeMap::new();
+fn uneven(policy: Policy, kinds: &[JobKind], trouble: bool) -> BTreeMap<&'static str, LoadResult> {
+    let mut total: BTreeMap<&'static str, LoadResult> = BTreeMap::new();
     for seed in 1..=SEEDS {
-        let mut world = FleetWorld::trial(policy, &["a", "b", "c"], &[250, 250], 16, 32_000, seed);
-        world.speeds(&UNEVEN);
+        let mut world =
+            FleetWorld::with_policy(policy, &["a", "b", "c"], &[250, 250], 16, 32_000, seed);
+        world.set_speeds(&UNEVEN);
         world.run(2_000);
-        world.load(&at_half(kinds), 3_000, seed + 100);
+        world.run_load(&at_half(kinds), 3_000, seed + 100);
         if trouble {
-            world.trouble(10, 10, 6.0);
+            world.degrade_workers(10, 10, 6.0);
         }
-        for (kind, served) in world.load(kinds, 6_000, seed) {
+        for (kind, served) in world.run_load(kinds, 6_000, seed) {
             total.entry(kind).or_default().add(&served);
         }
         assert_eq!(world.breaches(), Vec::<String>::new());
@@ -148,18 +149,23 @@
 }
 
 /// Returns the kinds at half their usual rate.
-fn at_half(kinds: &[Kind]) -> Vec<Kind> {
-    KINDS.iter().zip(kinds).map(|(usual, kind)| Kind { rate: usual.rate / 2.0, ..*kind }).collect()
+fn at_half(kinds: &[JobKind]) -> Vec<JobKind> {
+    KINDS
+        .iter()
+        .zip(kinds)
+        .map(|(usual, kind)| JobKind { rate: usual.rate / 2.0, ..*kind })
+        .collect()
 }
 
 /// Callers estimate a third of the real duration. If schedulers relied on that, every job
 /// would seem to meet its objective on any worker and be started too late.
 #[test]
 fn load_estimates_short() {
-    let kinds: Vec<Kind> = kinds(1.2).into_iter().map(|kind| Kind { told: 0.35, ..kind }).collect();
+    let kinds: Vec<JobKind> =
+        kinds(1.2).into_iter().map(|kind| JobKind { estimate_factor: 0.35, ..kind }).collect();
     let without = uneven(Policy::default().without(Mechanism::Durations), &kinds, false);
     let with = uneven(Policy::default(), &kinds, false);
-    let (with, without) = (share(&with, |kind| kind.well), share(&without, |kind| kind.well));
+    let (with, without) = (share(&with, |kind| kind.in_time), share(&without, |kind| kind.in_time));
     println!("durations: well {without:.3} without, {with:.3} with");
     assert!(with >= without + 0.02);
 }
@@ -177,7 +183,7 @@
     let kinds = kinds(factor);
     let with = uneven(Policy::default(), &kinds, trouble);
     let without = uneven(Policy::default().without(mechanism), &kinds, trouble);
-    let (with, without) = (share(&with, |kind| kind.well), share(&without, |kind| kind.well));
+    let (with, without) = (share(&with, |kind| kind.in_time), share(&without, |kind| kind.in_time));
     println!("{}: well {without:.3} without, {with:.3} with", mechanism.label());
     assert!(with >= without + gain);
 }
@@ -189,7 +195,7 @@
     let served = uneven(Policy::default(), &kinds(1.7), false);
     print("largest", &served);
     for (kind, served) in &served {
-        let done = f64::from(served.well + served.late) / f64::from(served.asked);
+        let done = f64::from(served.in_time + served.late) / f64::from(served.submitted);
         let large = f64::from(served.large_done) / f64::from(served.large);
         assert!(large > done / 2.0, "{kind}: {large:.2} of the largest, {done:.2} of all");
     }
--- a/endivestile_testkit/tests/fleet_random.rs
+++ b/endivestile_testkit/tests/fleet_random.rs
@@ -7,7 +7,7 @@
 
 use std::env;
 
-use endivestile_testkit::tell_fleet;
+use endivestile_testkit::run_fleet_story;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -34,7 +34,7 @@
         let numbered = steps.iter().enumerate();
         let body: String = numbered.map(|(at, step)| step.replace('?', &at.to_string())).collect();
         let story = format!("{world}{body}{FINAL_STEPS}");
-        let output = tell_fleet(&story).map_err(TestCaseError::fail)?;
+        let output = run_fleet_story(&story).map_err(TestCaseError::fail)?;
         let passed = |line: &str| line == "every promise kept" || line == "every call answered";
         let breach = output.lines().find(|line| !passed(line));
         prop_assert!(breach.is_none(), "{}\nin story\n{story}", breach.unwrap_or_default());
--- a/endivestile_testkit/tests/fleet_stories.rs
+++ b/endivestile_testkit/tests/fleet_stories.rs
@@ -1,11 +1,13 @@
 //! Runs every story under `fleet/` and `fleet_red/`.
 
-use endivestile_testkit::tell_fleet;
+use endivestile_testkit::run_fleet_story;
 
 fn run_all(folder: &str) {
     datadriven::walk(folder, |file| {
         file.run(|case| match case.directive.as_str() {
-            "story" => tell_fleet(&case.input).unwrap_or_else(|error| format!("error: {error}\n")),
+            "story" => {
+                run_fleet_story(&case.input).unwrap_or_else(|error| format!("error: {error}\n"))
+            }
             other => format!("error: no directive {other}\n"),
         });
     });
--- a/endivestile_testkit/tests/random.rs
+++ b/endivestile_testkit/tests/random.rs
@@ -6,7 +6,7 @@
 
 use std::env;
 
-use endivestile_testkit::tell;
+use endivestile_testkit::run_story;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -27,7 +27,7 @@
     let stories = (world(), prop::collection::vec(step(), 1..STEPS));
     let result = runner.run(&stories, |(world, steps)| {
         let story = format!("{world}{}{ENDING}", steps.concat());
-        let told = tell(&story).map_err(TestCaseError::fail)?;
+        let told = run_story(&story).map_err(TestCaseError::fail)?;
         let kept = |line: &str| line == "every promise kept" || line == "every call answered";
         let breach = told.lines().find(|line| !kept(line));
         prop_assert!(breach.is_none(), "{}\nin story\n{story}", breach.unwrap_or_default());
