--- a/endivestile/src/fleet/http_server.rs
+++ b/endivestile/src/fleet/http_server.rs
@@ -174,7 +174,7 @@
     guard.answered = true;
     Ok(answer.map_or_else(
         |_| empty_response(StatusCode::SERVICE_UNAVAILABLE),
-        |answer| answer.map(Full::new),
+        |response| response.map(Full::new),
     ))
 }
 
