--- a/endivestile/src/backend/calls.rs
+++ b/endivestile/src/backend/calls.rs
@@ -1,4 +1,4 @@
-//! Open calls to back ends.
+//! Open calls to backends.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,44 +15,44 @@
 use crate::inbox::Inbox;
 use crate::thread_pool::Pool;
 
-/// Threads that tell workers to stop tasks.
-const STOPPERS: usize = 8;
-/// Stops that may wait; a wave of cancellations beyond is left to the leases.
-const MAX_STOPS: usize = 4_096;
+/// Most threads that make stop calls to workers.
+const STOP_THREADS: usize = 8;
+/// Most queued stop calls; further tasks run until their leases expire.
+const MAX_QUEUED_STOPS: usize = 4_096;
 
-/// What all calls share.
+/// State shared by all calls.
 #[derive(Debug)]
 pub(crate) struct CallContext {
-    /// The clients.
+    /// HTTP clients of the backends.
     pub(crate) clients: Clients,
     /// The process's clock.
     pub(crate) clock: Clock,
-    /// This incarnation, as the keys of tasks name it.
-    me: String,
-    /// Largest answer, in bytes.
+    /// Prefix of task keys, which identifies this incarnation of the host.
+    key_prefix: String,
+    /// Longest answer, in bytes.
     pub(crate) answer_limit: u64,
-    /// The engine.
+    /// Input channel of the engine.
     inbox: Inbox,
-    /// Counts.
+    /// Counters of the process.
     counters: Counters,
-    /// Open calls with the address of the worker, or none for a backend server.
+    /// Open calls with the worker's address, or `None` for a backend server.
     open: Mutex<HashMap<AttemptId, Option<Name>>>,
 }
 
 impl CallContext {
-    /// Returns the key by which a back end knows the task.
+    /// Returns the key that identifies the task at the backend.
     pub(crate) fn task_key(&self, attempt: AttemptId) -> String {
-        format!("{}.{:x}", self.me, attempt.0)
+        format!("{}.{:x}", self.key_prefix, attempt.0)
     }
 
-    /// Returns whether somebody still wants the call.
+    /// Returns whether the call is still open.
     pub(crate) fn is_open(&self, attempt: AttemptId) -> bool {
-        self.open().contains_key(&attempt)
+        self.lock_open().contains_key(&attempt)
     }
 
-    /// Ends a call; one that was aborted has ended already.
+    /// Ends a call and reports its outcome, unless it has been aborted.
     pub(crate) fn finish(&self, attempt: AttemptId, end: End) {
-        if self.open().remove(&attempt).is_none() {
+        if self.lock_open().remove(&attempt).is_none() {
             return;
         }
         match end {
@@ -63,24 +63,24 @@
         self.inbox.post_event(Event::End { attempt, end });
     }
 
-    fn open(&self) -> MutexGuard<'_, HashMap<AttemptId, Option<Name>>> {
+    fn lock_open(&self) -> MutexGuard<'_, HashMap<AttemptId, Option<Name>>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Starts and aborts calls.
+/// Starts and aborts calls to backends.
 #[derive(Debug)]
 pub(crate) struct Backends {
-    /// Carries the calls.
-    runs: Pool<TaskCall>,
-    /// Tells workers to stop.
-    stops: Pool<StopCall>,
-    /// What all calls share.
+    /// Threads that send tasks.
+    task_calls: Pool<TaskCall>,
+    /// Threads that stop tasks at workers.
+    stop_calls: Pool<StopCall>,
+    /// State shared by all calls.
     context: Arc<CallContext>,
 }
 
 impl Backends {
-    /// Makes the pools.
+    /// Creates the thread pools.
     pub(crate) fn start(
         settings: &BackendSettings,
         clock: Clock,
@@ -91,42 +91,42 @@
         let context = Arc::new(CallContext {
             clients: Clients::new(settings),
             clock,
-            me: format!("{}.{:x}", me.host, me.birth),
+            key_prefix: format!("{}.{:x}", me.host, me.birth),
             answer_limit: settings.answer_limit as u64,
             inbox,
             counters,
             open: Mutex::new(HashMap::new()),
         });
-        let runs = Pool::new("backend", settings.threads, Arc::clone(&context));
-        let stops = Pool::new("stop", STOPPERS, Arc::clone(&context));
-        Self { runs, stops, context }
+        let task_calls = Pool::new("backend", settings.threads, Arc::clone(&context));
+        let stop_calls = Pool::new("stop", STOP_THREADS, Arc::clone(&context));
+        Self { task_calls, stop_calls, context }
     }
 
     /// Starts a call.
-    pub(crate) fn start_call(&self, run: TaskCall) {
-        let worker = run.is_worker().then(|| Name::clone(&run.address));
-        self.context.open().insert(run.attempt, worker);
-        self.runs.push(run);
+    pub(crate) fn start_call(&self, call: TaskCall) {
+        let worker = call.is_worker().then(|| Name::clone(&call.address));
+        self.context.lock_open().insert(call.attempt, worker);
+        self.task_calls.push(call);
     }
 
-    /// Ends a call that nobody wants any more.
+    /// Ends a call whose answer is no longer needed.
     ///
-    /// Its thread waits for the back end and cannot be woken. Were the kernel
-    /// to wait for it, a cancelled task would hold its submission until the
-    /// deadline; so the call ends at once, as lost: it may well run on. What
-    /// comes back later finds the call closed. A worker is told to stop.
+    /// Its thread waits for the backend and cannot be interrupted. If the kernel
+    /// waited for it, a cancelled task would keep its submission open until the
+    /// deadline. The call therefore ends at once as lost, since the task may run
+    /// on, and a later answer is ignored. At a worker the task is also stopped.
     pub(crate) fn abort(&self, attempt: AttemptId) {
-        let worker = self.context.open().get(&attempt).cloned();
+        let worker = self.context.lock_open().get(&attempt).cloned();
         self.context.finish(attempt, End::Lost);
         if let Some(Some(address)) = worker
-            && self.stops.queued() < MAX_STOPS
+            && self.stop_calls.queued() < MAX_QUEUED_STOPS
         {
-            self.stops.push(StopCall { attempt, address });
+            self.stop_calls.push(StopCall { attempt, address });
         }
     }
 
-    /// Returns how many calls are open.
+    /// Returns the number of open calls.
     pub(crate) fn open_calls(&self) -> usize {
-        self.context.open().len()
+        self.context.lock_open().len()
     }
 }
--- a/endivestile/src/backend/clients.rs
+++ b/endivestile/src/backend/clients.rs
@@ -1,4 +1,4 @@
-//! The HTTP client with which back ends are called.
+//! HTTP clients for calls to backends.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -14,50 +14,51 @@
 use ureq::unversioned::transport::{ConnectionDetails, Connector, NextTimeout, TcpConnector};
 use ureq::{Agent, Error};
 
-/// Longest time for a connection, in milliseconds; a back end in a zone that
-/// is cut off answers nothing at all.
-const CONNECT_MS: u64 = 1_000;
+/// Timeout for opening a connection, in milliseconds. A backend in an
+/// unreachable zone does not answer at all.
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// Most clients; a configuration that named more back ends over time starts anew.
-const MAX_AGENTS: usize = 4_096;
+/// Most clients; at this number all are dropped, since many belong to backends
+/// of earlier configurations.
+const MAX_CLIENTS: usize = 4_096;
 
-/// One client for each back end.
+/// One client for each backend.
 ///
 /// The library searches all idle connections of a client one by one under a
-/// lock, so that one client for all back ends costs each call a search through
-/// the connections of the others: a third of the processor time at 64 callers.
+/// lock. With a single client, each call would search the connections to all
+/// backends, which takes a third of the processor time at 64 callers.
 #[derive(Debug)]
 pub(crate) struct Clients {
-    /// Limits.
+    /// Limits and timeouts.
     settings: BackendSettings,
-    /// Clients by address.
-    agents: RwLock<HashMap<Name, Agent>>,
+    /// Clients by address of the backend.
+    by_address: RwLock<HashMap<Name, Agent>>,
 }
 
 impl Clients {
-    /// Starts without clients.
+    /// Starts without any client.
     pub(crate) fn new(settings: &BackendSettings) -> Self {
-        Self { settings: settings.clone(), agents: RwLock::default() }
+        Self { settings: settings.clone(), by_address: RwLock::default() }
     }
 
-    /// Returns the client for an address.
+    /// Returns the client for an address, which is created on first use.
     pub(crate) fn get(&self, address: &Name) -> Agent {
-        let held = self.agents.read().unwrap_or_else(PoisonError::into_inner);
-        if let Some(agent) = held.get(address) {
+        let clients = self.by_address.read().unwrap_or_else(PoisonError::into_inner);
+        if let Some(agent) = clients.get(address) {
             return agent.clone();
         }
-        drop(held);
-        let mut held = self.agents.write().unwrap_or_else(PoisonError::into_inner);
-        if held.len() >= MAX_AGENTS {
-            held.clear();
+        drop(clients);
+        let mut clients = self.by_address.write().unwrap_or_else(PoisonError::into_inner);
+        if clients.len() >= MAX_CLIENTS {
+            clients.clear();
         }
-        held.entry(Name::clone(address)).or_insert_with(|| agent(&self.settings)).clone()
+        clients.entry(Name::clone(address)).or_insert_with(|| new_agent(&self.settings)).clone()
     }
 }
 
-/// Makes a client. It sends nothing twice, follows no redirect and takes
-/// every status as an answer.
-fn agent(settings: &BackendSettings) -> Agent {
+/// Creates a client. It sends no request twice, follows no redirects and
+/// returns a response of any status.
+fn new_agent(settings: &BackendSettings) -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .max_redirects(0)
@@ -67,17 +68,17 @@
         .max_idle_age(Duration::from_millis(settings.idle_timeout_ms))
         .user_agent("endivestile")
         .proxy(None)
-        .timeout_connect(Some(Duration::from_millis(CONNECT_MS)))
+        .timeout_connect(Some(Duration::from_millis(CONNECT_TIMEOUT_MS)))
         .build();
-    Agent::with_parts(config, Dial(TcpConnector::default()), Numbers)
+    Agent::with_parts(config, Dial(TcpConnector::default()), NumericResolver)
 }
 
-/// Marks errors that arose before a connection stood.
+/// Connector that reports every failure to connect as `ConnectionFailed`.
 ///
-/// The errors of the system alone do not tell: a refused connection and an
-/// established one that the network broke can carry the same number. Taken for
-/// refused, a task that runs would be started again. Here only a connector
-/// that returned no connection gives `ConnectionFailed`, and nothing was sent.
+/// The error codes of the operating system are ambiguous: a refused connection
+/// and an established one that the network broke can have the same code. If the
+/// latter were considered refused, a running task would be started again. Since
+/// only this connector returns `ConnectionFailed`, nothing was sent in that case.
 struct Dial(TcpConnector);
 
 impl fmt::Debug for Dial {
@@ -105,12 +106,12 @@
     }
 }
 
-/// Reads addresses as numbers: inventory and settings hold no names, and the
-/// library's own resolver would start a thread for each call.
+/// Resolver for numeric addresses only. Inventory and settings contain no host
+/// names, and the library's own resolver would start a thread for each call.
 #[derive(Debug)]
-struct Numbers;
+struct NumericResolver;
 
-impl Resolver for Numbers {
+impl Resolver for NumericResolver {
     fn resolve(
         &self,
         uri: &Uri,
--- a/endivestile/src/backend/stop_call.rs
+++ b/endivestile/src/backend/stop_call.rs
@@ -1,4 +1,4 @@
-//! Tells a worker to stop a task.
+//! A call that stops a task at a worker.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use super::calls::CallContext;
 use crate::thread_pool::Work;
 
-/// Longest time for the call, in milliseconds; the lease ends the task anyway.
-const STOP_MS: u64 = 2_000;
+/// Timeout of the call, in milliseconds. If it fails, the lease ends the task.
+const STOP_TIMEOUT_MS: u64 = 2_000;
 
-/// A task to stop.
+/// A call that stops a task.
 #[derive(Debug)]
 pub(crate) struct StopCall {
-    /// Its call.
+    /// The attempt that started the task.
     pub(crate) attempt: AttemptId,
-    /// The worker.
+    /// Address of the worker.
     pub(crate) address: Name,
 }
 
@@ -27,7 +27,7 @@
     fn perform(self, context: &Arc<CallContext>) {
         let url = format!("http://{}/v1/tasks/{}", self.address, context.task_key(self.attempt));
         let call = context.clients.get(&self.address).delete(&url).config();
-        let call = call.timeout_global(Some(Duration::from_millis(STOP_MS))).build();
+        let call = call.timeout_global(Some(Duration::from_millis(STOP_TIMEOUT_MS))).build();
         if let Err(e) = call.call() {
             log::debug!(
                 "event=stop_failed step=stop-task peer={} error={:?}",
--- a/endivestile/src/backend/task_call.rs
+++ b/endivestile/src/backend/task_call.rs
@@ -1,4 +1,4 @@
-//! One call to a back end.
+//! A call that sends a task to a backend.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,84 +14,84 @@
 use super::calls::CallContext;
 use crate::thread_pool::Work;
 
-/// Path on which workers take tasks.
+/// Path at which workers accept tasks.
 const WORKER_PATH: &str = "/v1/run";
-/// Header with the processor time that a worker sets aside, in thousandths of a core.
+/// Header with the processor share that a worker reserves, in thousandths of a core.
 const CPU_HEADER: &str = "Cpu-Milli";
-/// Header with the memory that a worker sets aside, in MiB.
+/// Header with the memory that a worker reserves, in MiB.
 const MEMORY_HEADER: &str = "Memory-Mb";
-/// Header with the accelerators that a worker sets aside.
+/// Header with the number of accelerators that a worker reserves.
 const ACCELERATOR_HEADER: &str = "Accelerators";
-/// Longest body of an error status that is read to keep the connection, in bytes.
-const DISCARDED: u64 = 64 << 10;
+/// Longest body of an error response, in bytes, that is read to reuse the connection.
+const MAX_DISCARDED_BYTES: u64 = 64 << 10;
 
-/// A task on its way to a back end.
+/// A call that sends a task to a backend.
 #[derive(Debug)]
 pub(crate) struct TaskCall {
-    /// Number of the call.
+    /// The attempt to run the task.
     pub(crate) attempt: AttemptId,
-    /// Address of the back end.
+    /// Address of the backend.
     pub(crate) address: Name,
     /// Path to call; empty for a worker.
     pub(crate) path: Name,
-    /// The order.
+    /// The task with its deadline.
     pub(crate) order: Order,
 }
 
 impl TaskCall {
-    /// Returns whether a worker runs it.
+    /// Returns whether the backend is a worker.
     pub(crate) fn is_worker(&self) -> bool {
         self.path.is_empty()
     }
 
-    /// Makes the call and says how it ended.
-    fn end(&self, context: &CallContext) -> End {
-        let left = self.order.deadline.since(context.clock.now());
-        if left.is_zero() {
-            // It waited for a thread until its deadline and nothing was sent:
-            // no fault of the back end, which therefore is not called out of reach.
+    /// Makes the call and returns its outcome.
+    fn execute(&self, context: &CallContext) -> End {
+        let remaining = self.order.deadline.since(context.clock.now());
+        if remaining.is_zero() {
+            // The call waited for a thread until its deadline and sent nothing.
+            // The backend is not at fault and not reported as unreachable.
             log::warn!("event=no_thread step=start-task peer={}", self.address);
             return End::Busy;
         }
-        match self.send(context, left) {
+        match self.send(context, remaining) {
             Ok(response) => self.read(context, response),
             Err(Error::ConnectionFailed) => End::Unreachable,
             Err(e) => self.lost(&e.to_string()),
         }
     }
 
-    /// Sends the task; every error but a missing connection leaves open whether it runs.
-    fn send(&self, context: &CallContext, left: Duration) -> Result<Response<Body>, Error> {
+    /// Sends the task. After any error but `ConnectionFailed` the task may be running.
+    fn send(&self, context: &CallContext, remaining: Duration) -> Result<Response<Body>, Error> {
         let path = if self.is_worker() { WORKER_PATH } else { &self.path };
-        let left_ms = left.as_millis().max(1).to_string();
+        let remaining_ms = remaining.as_millis().max(1).to_string();
         let mut call = context
             .clients
             .get(&self.address)
             .post(format!("http://{}{path}", self.address))
             .header(TASK_HEADER, context.task_key(self.attempt))
-            .header(DEADLINE_HEADER, &left_ms);
+            .header(DEADLINE_HEADER, &remaining_ms);
         if let Target::Need(need) = &self.order.task.target {
-            call = call.header(LEASE_HEADER, &left_ms);
-            for (name, value) in amounts(need) {
+            call = call.header(LEASE_HEADER, &remaining_ms);
+            for (name, value) in resource_headers(need) {
                 call = call.header(name, value);
             }
         }
-        let call = call.config().timeout_global(Some(left)).build();
+        let call = call.config().timeout_global(Some(remaining)).build();
         call.send(self.order.task.work.as_ref())
     }
 
-    /// Reads the answer to its end.
+    /// Reads the response to its end.
     fn read(&self, context: &CallContext, mut response: Response<Body>) -> End {
         let status = response.status().as_u16();
         if status != 200 {
-            let end = refusal(status, &response);
-            let _ = response.body_mut().with_config().limit(DISCARDED).read_to_vec();
+            let end = classify_error(status, &response);
+            let _ = response.body_mut().with_config().limit(MAX_DISCARDED_BYTES).read_to_vec();
             return end;
         }
-        if !is_framed(&response) {
-            // Such an answer ends where the connection ends, so half of it
-            // looks whole, and a caller would get a cut answer as complete.
-            return self.lost("neither Content-Length nor chunks");
+        if !is_delimited(&response) {
+            // Such a body ends with the connection, so that a truncated answer
+            // would look complete and be returned to the caller.
+            return self.lost("the response has neither Content-Length nor chunked encoding");
         }
         match response.body_mut().with_config().limit(context.answer_limit).read_to_vec() {
             Ok(body) => End::Answered(Bytes::from(body)),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The task may have run and its answer is gone.
+    /// Logs the reason why the answer was lost; the task may have run.
     fn lost(&self, reason: &str) -> End {
         log::debug!("event=answer_lost step=call peer={} error={reason:?}", self.address);
         End::Lost
@@ -113,36 +113,36 @@
         if !context.is_open(self.attempt) {
             return;
         }
-        let ending = Ending { context, attempt: self.attempt, end: End::Lost };
-        ending.close(self.end(context));
+        let guard = CallGuard { context, attempt: self.attempt, end: End::Lost };
+        guard.complete(self.execute(context));
     }
 }
 
-/// Ends the call as lost if its thread panics; the kernel would wait for ever otherwise.
-struct Ending<'a> {
-    /// What all calls share.
+/// Ends the call as lost if its thread panics; otherwise the kernel would wait for ever.
+struct CallGuard<'a> {
+    /// State shared by all calls.
     context: &'a CallContext,
-    /// Number of the call.
+    /// The attempt to run the task.
     attempt: AttemptId,
-    /// How it ends.
+    /// Outcome of the call.
     end: End,
 }
 
-impl Ending<'_> {
-    /// Ends the call.
-    fn close(mut self, end: End) {
+impl CallGuard<'_> {
+    /// Ends the call with its outcome.
+    fn complete(mut self, end: End) {
         self.end = end;
     }
 }
 
-impl Drop for Ending<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.context.finish(self.attempt, std::mem::replace(&mut self.end, End::Lost));
     }
 }
 
-/// Returns what a worker sets aside.
-fn amounts(need: &Need) -> [(&'static str, String); 3] {
+/// Returns the headers with the resources that a worker reserves.
+fn resource_headers(need: &Need) -> [(&'static str, String); 3] {
     [
         (CPU_HEADER, need.cpu_milli.to_string()),
         (MEMORY_HEADER, need.memory_mb.to_string()),
@@ -150,18 +150,19 @@
     ]
 }
 
-/// Reads an error status; only a status of overload with the header says that nothing ran.
-fn refusal(status: u16, response: &Response<Body>) -> End {
-    let word = response.headers().get(NOT_RUN_HEADER).and_then(|word| word.to_str().ok());
-    match (status, word) {
+/// Classifies an error response. The task did not run only if an overload status
+/// comes with the not-run header.
+fn classify_error(status: u16, response: &Response<Body>) -> End {
+    let not_run = response.headers().get(NOT_RUN_HEADER).and_then(|raw| raw.to_str().ok());
+    match (status, not_run) {
         (429 | 503, Some("busy")) => End::Busy,
         (429 | 503, Some("leaving")) => End::Leaving,
         _ => End::Rejected(status),
     }
 }
 
-/// Returns whether the end of the body can be told from a cut.
-fn is_framed(response: &Response<Body>) -> bool {
+/// Returns whether a truncated body can be detected.
+fn is_delimited(response: &Response<Body>) -> bool {
     let headers = response.headers();
     headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
--- a/endivestile/src/http/body.rs
+++ b/endivestile/src/http/body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a call.
+//! Reads request bodies.
 
 use std::io::Read;
 
@@ -7,17 +7,17 @@
 
 use super::invalid_request::InvalidRequest;
 
-/// Longest body that the library has read before it hands out the request.
-const PREFETCHED: usize = 1_024;
+/// Longest body, in bytes, that the library reads before it hands out the request.
+const MAX_PREFETCHED_BYTES: usize = 1_024;
 
-/// Returns whether reading the body waits for the caller.
+/// Returns whether reading the body may wait for the caller.
 pub(crate) fn may_block(request: &Request) -> bool {
     let chunked = request.headers().iter().any(|h| h.field.equiv("Transfer-Encoding"));
     let expects = request.headers().iter().any(|h| h.field.equiv("Expect"));
-    chunked || request.body_length().is_some_and(|len| len > PREFETCHED || expects)
+    chunked || request.body_length().is_some_and(|len| len > MAX_PREFETCHED_BYTES || expects)
 }
 
-/// Reads a body of at most `limit` bytes.
+/// Reads a body of at most `limit` bytes; a longer or truncated one is rejected.
 pub(crate) fn read(request: &mut Request, limit: usize) -> Result<Bytes, InvalidRequest> {
     let length = request.body_length();
     if length.is_some_and(|len| len > limit) {
@@ -31,7 +31,7 @@
         return Err(InvalidRequest::body_too_long(limit));
     }
     if length.is_some_and(|len| len != body.len()) {
-        // The caller went away in the middle; half a task must not run.
+        // The caller disconnected early. A truncated task must not run.
         return Err(InvalidRequest::field("body", "shorter than its Content-Length"));
     }
     Ok(Bytes::from(body))
--- a/endivestile/src/http/call.rs
+++ b/endivestile/src/http/call.rs
@@ -1,45 +1,45 @@
-//! A caller's call on its way to the engine.
+//! Calls from callers, as the engine receives them.
 
 use endivestile_kernel::{Ask, Submission, SubmissionId};
 use tiny_http::Request;
 
 use super::Reply;
 
-/// An open call; it is answered exactly once.
+/// An open call, which is answered exactly once.
 #[derive(Debug)]
 pub(crate) struct Call {
-    /// The request, which carries the way back.
+    /// The HTTP request, through which the reply is sent.
     pub(crate) request: Request,
-    /// Minted ids that the caller wants with its answer.
+    /// Number of minted ids to return with the reply.
     pub(crate) ids: usize,
-    /// What the caller wants.
+    /// Requested operation.
     pub(crate) operation: Operation,
 }
 
-/// What a caller wants of the engine.
+/// Operation that a caller requests from the engine.
 #[derive(Debug)]
 pub(crate) enum Operation {
     /// Run a request or a job.
     Submit(Submission, ReplyFormat),
-    /// Ask for an answer, or cancel.
+    /// Fetch the answer to a submission, or cancel it.
     Ask(SubmissionId, Ask),
-    /// Mint ids.
+    /// Mint this many ids.
     MintIds(usize),
-    /// Say whether new work is taken.
+    /// Report whether the host accepts new work.
     Ready,
-    /// Show the state of the host.
+    /// Report the state of the host.
     Status,
-    /// Only the ids are missing in this reply.
+    /// Send this reply with minted ids added.
     ReplyWithIds(Reply),
 }
 
-/// How an answer is written.
+/// Format in which an answer is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReplyFormat {
-    /// The result of the only task, as the back end gave it.
+    /// The result of the only task, unchanged from the backend.
     Raw,
     /// A JSON body with the results of all tasks.
     Json,
-    /// As [`Self::Json`], to a caller that cancelled.
+    /// Like [`Self::Json`], for the caller that cancelled the submission.
     Cancel,
 }
--- a/endivestile/src/http/handler.rs
+++ b/endivestile/src/http/handler.rs
@@ -1,4 +1,4 @@
-//! Turns requests of callers into calls for the engine.
+//! Converts HTTP requests into calls for the engine.
 
 use std::sync::Arc;
 
@@ -19,39 +19,39 @@
 use crate::inbox::{Inbox, Input};
 use crate::thread_pool::{Pool, Work};
 
-/// Threads that read long bodies; each waits for one caller.
-const READERS: usize = 64;
+/// Most threads that read long bodies; each waits for one caller.
+const BODY_READER_THREADS: usize = 64;
 
-/// What the threads of the callers' interface share.
+/// State shared by the threads of the HTTP interface.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestHandler {
-    /// The engine.
+    /// Input channel of the engine.
     pub(crate) inbox: Inbox,
     /// The process's clock.
     pub(crate) clock: Clock,
-    /// Limits.
+    /// Limits of bodies and deadlines.
     pub(crate) settings: CallSettings,
     /// The configuration in force.
     pub(crate) current_config: CurrentConfig,
-    /// Writes replies that need no engine.
+    /// Threads that write replies made without the engine.
     pub(crate) reply_pool: ReplyPool,
-    /// Counts.
+    /// Counters of the process.
     pub(crate) counters: Counters,
 }
 
 impl RequestHandler {
-    /// Starts the pool that reads long bodies.
+    /// Creates the pool of threads that read long bodies.
     pub(crate) fn body_readers(&self) -> Pool<PendingSubmission> {
-        Pool::new("read", READERS, self.clone())
+        Pool::new("read", BODY_READER_THREADS, self.clone())
     }
 
-    /// Takes a request; one whose body may come slowly goes to the readers.
+    /// Handles a request. One whose body may arrive slowly is passed to `readers`.
     pub(crate) fn handle_request(&self, request: Request, readers: &Pool<PendingSubmission>) {
         let route = Route::parse(request.method(), request.url());
         let ids = requested_ids(&request);
         let (route, ids) = match (route, ids) {
             (Ok(route), Ok(ids)) => (route, ids),
-            (Err(invalid), _) | (_, Err(invalid)) => return self.refuse(request, 0, &invalid),
+            (Err(invalid), _) | (_, Err(invalid)) => return self.reject(request, 0, &invalid),
         };
         match route {
             Route::Health => self
@@ -62,18 +62,18 @@
             Route::Ids(count) => self.post(request, ids, Operation::MintIds(count)),
             Route::Submission(id, ask) => self.post(request, ids, Operation::Ask(id, ask)),
             Route::Job | Route::Request(_) => {
-                let submit = PendingSubmission { request, route, ids };
-                if body::may_block(&submit.request) {
-                    readers.push(submit);
+                let pending = PendingSubmission { request, route, ids };
+                if body::may_block(&pending.request) {
+                    readers.push(pending);
                 } else {
-                    submit.perform(self);
+                    pending.perform(self);
                 }
             }
         }
     }
 
-    /// Refuses a call; nothing of it is accepted.
-    fn refuse(&self, request: Request, ids: usize, invalid: &InvalidRequest) {
+    /// Rejects a call, no part of which has been accepted.
+    fn reject(&self, request: Request, ids: usize, invalid: &InvalidRequest) {
         self.counters.count_io(IoMetric::Invalid, 1);
         log::debug!("event=invalid field={:?} reason={:?}", invalid.field, invalid.reason);
         let reply = Reply::from_invalid(invalid);
@@ -89,38 +89,38 @@
         self.inbox.post(Input::Call(Box::new(Call { request, ids, operation })));
     }
 
-    /// Reads and checks a submission.
-    fn submission(
+    /// Reads and validates a submission.
+    fn read_submission(
         &self,
         request: &mut Request,
         route: &Route,
     ) -> Result<(Submission, ReplyFormat), InvalidRequest> {
-        let head = SubmissionHeaders::parse(request, &self.settings)?;
-        let deadline = self.clock.now().after_ms(head.remaining_ms);
+        let headers = SubmissionHeaders::parse(request, &self.settings)?;
+        let deadline = self.clock.now().after_ms(headers.remaining_ms);
         let config = self.current_config.get();
-        let checks = Validator(config.as_deref());
-        let team = checks.team(&head.team)?;
-        let (tasks, shape) = match route {
+        let validator = Validator(config.as_deref());
+        let team = validator.team(&headers.team)?;
+        let (tasks, reply_format) = match route {
             Route::Request(service) => {
-                let service = checks.service(service, "service")?;
+                let service = validator.service(service, "service")?;
                 let work = body::read(request, self.settings.body_limit)?;
-                (vec![single(Target::Service(service), work)], ReplyFormat::Raw)
+                (vec![single_task(Target::Service(service), work)], ReplyFormat::Raw)
             }
             _ => {
-                if head.idempotent {
+                if headers.idempotent {
                     let reason = "a job's tasks are never started again";
                     return Err(InvalidRequest::field(IDEMPOTENT_HEADER, reason));
                 }
                 let text = body::read(request, self.settings.body_limit)?;
-                (checks.job(parse(&text)?)?, ReplyFormat::Json)
+                (validator.job(parse(&text)?)?, ReplyFormat::Json)
             }
         };
-        let idempotent = head.idempotent;
-        Ok((Submission { id: head.id, team, deadline, idempotent, tasks }, shape))
+        let idempotent = headers.idempotent;
+        Ok((Submission { id: headers.id, team, deadline, idempotent, tasks }, reply_format))
     }
 }
 
-fn single(target: Target, work: Bytes) -> Arc<Task> {
+fn single_task(target: Target, work: Bytes) -> Arc<Task> {
     Arc::new(Task { target, work, declared: 0 })
 }
 
@@ -128,26 +128,26 @@
     serde_json::from_slice(text).map_err(|e| InvalidRequest::field("body", e.to_string()))
 }
 
-/// A submission whose body is still to be read.
+/// A submission whose body has not been read yet.
 #[derive(Debug)]
 pub(crate) struct PendingSubmission {
     /// The request.
     request: Request,
-    /// Where it was sent.
+    /// Route that it was sent to.
     route: Route,
-    /// Minted ids that the caller wants.
+    /// Number of minted ids to return with the reply.
     ids: usize,
 }
 
 impl Work for PendingSubmission {
     type Env = RequestHandler;
 
-    fn perform(mut self, desk: &RequestHandler) {
-        match desk.submission(&mut self.request, &self.route) {
-            Ok((submission, shape)) => {
-                desk.post(self.request, self.ids, Operation::Submit(submission, shape));
+    fn perform(mut self, handler: &RequestHandler) {
+        match handler.read_submission(&mut self.request, &self.route) {
+            Ok((submission, reply_format)) => {
+                handler.post(self.request, self.ids, Operation::Submit(submission, reply_format));
             }
-            Err(invalid) => desk.refuse(self.request, self.ids, &invalid),
+            Err(invalid) => handler.reject(self.request, self.ids, &invalid),
         }
     }
 }
--- a/endivestile/src/http/headers.rs
+++ b/endivestile/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of a submission.
+//! Parses the headers of a submission.
 
 use endivestile_config::CallSettings;
 use endivestile_kernel::{Form, MAX_CLOCK_SKEW_S, SubmissionId};
@@ -8,62 +8,62 @@
 use super::invalid_request::InvalidRequest;
 use crate::clock::since_epoch;
 
-/// Header that asks for minted ids with the answer.
+/// Header that requests minted ids with the reply.
 pub(crate) const WANT_IDS_HEADER: &str = "Want-Ids";
 /// Header that marks a request as idempotent.
 pub(crate) const IDEMPOTENT_HEADER: &str = "Idempotent";
-/// Most ids that an answer carries.
-const MAX_WANTED: usize = 16;
-/// Headers of a submission, checked as far as they can be alone.
+/// Most minted ids in a reply.
+const MAX_REQUESTED_IDS: usize = 16;
+
+/// Headers of a submission, validated as far as possible without a configuration.
 #[derive(Debug)]
 pub(crate) struct SubmissionHeaders {
-    /// The id, if one was given.
+    /// Id of the submission, if the caller gave one.
     pub(crate) id: Option<SubmissionId>,
-    /// The team.
+    /// Name of the team.
     pub(crate) team: String,
     /// Time left until the deadline, in milliseconds.
     pub(crate) remaining_ms: u64,
-    /// Whether the tasks may be started again.
+    /// Whether the task may be started more than once.
     pub(crate) idempotent: bool,
 }
 
 impl SubmissionHeaders {
-    /// Reads the headers.
+    /// Parses the headers.
     pub(crate) fn parse(
         request: &Request,
         settings: &CallSettings,
     ) -> Result<Self, InvalidRequest> {
         let team = header(request, TEAM_HEADER)?;
         let team = team.ok_or_else(|| InvalidRequest::field(TEAM_HEADER, "missing"))?;
-        let head = Self {
+        let parsed = Self {
             id: id(request)?,
             team: team.to_owned(),
-            remaining_ms: left(request, settings)?,
+            remaining_ms: remaining(request, settings)?,
             idempotent: idempotent(request)?,
         };
-        if head.id.is_none() && !head.idempotent {
-            // Without an id a resubmission could not be told from a new
-            // submission, and a caller that lost its answer would start the
-            // task a second time.
+        if parsed.id.is_none() && !parsed.idempotent {
+            // Without an id a resubmission looks like a new submission, and a
+            // caller that lost its answer would start the task a second time.
             return Err(InvalidRequest::field(
                 ID_HEADER,
                 "missing, and the call is not idempotent",
             ));
         }
-        Ok(head)
+        Ok(parsed)
     }
 }
 
-/// Returns how many minted ids the caller wants with its answer.
+/// Returns how many minted ids the caller requests with its reply.
 pub(crate) fn requested_ids(request: &Request) -> Result<usize, InvalidRequest> {
     let Some(text) = header(request, WANT_IDS_HEADER)? else { return Ok(0) };
-    let count = text.parse().ok().filter(|count| *count <= MAX_WANTED);
+    let count = text.parse().ok().filter(|count| *count <= MAX_REQUESTED_IDS);
     count.ok_or_else(|| {
-        InvalidRequest::field(WANT_IDS_HEADER, format!("accepted: 0 to {MAX_WANTED}"))
+        InvalidRequest::field(WANT_IDS_HEADER, format!("accepted: 0 to {MAX_REQUESTED_IDS}"))
     })
 }
 
-/// Returns a header's value; two of the same name would leave open which one counts.
+/// Returns a header's value. A repeated header is rejected as ambiguous.
 fn header<'a>(request: &'a Request, name: &'static str) -> Result<Option<&'a str>, InvalidRequest> {
     let mut found =
         request.headers().iter().filter(|h| h.field.as_str().as_str().eq_ignore_ascii_case(name));
@@ -79,7 +79,7 @@
     let id =
         SubmissionId::parse(text).map_err(|e| InvalidRequest::field(ID_HEADER, e.to_string()))?;
     if let Form::Dated(secs) = id.form() {
-        // The table would forget an id dated further ahead while it is still valid.
+        // The table of known ids would drop one dated further ahead while it is still valid.
         let latest = since_epoch().as_secs() + MAX_CLOCK_SKEW_S;
         if *secs > latest {
             let reason = format!("dated {} s ahead of this host", secs - latest + MAX_CLOCK_SKEW_S);
@@ -89,14 +89,14 @@
     Ok(Some(id))
 }
 
-fn left(request: &Request, settings: &CallSettings) -> Result<u64, InvalidRequest> {
+fn remaining(request: &Request, settings: &CallSettings) -> Result<u64, InvalidRequest> {
     let Some(text) = header(request, DEADLINE_HEADER)? else {
         return Ok(settings.default_deadline_ms);
     };
-    let latest = settings.max_deadline_ms;
-    let left = text.parse().ok().filter(|left| (1..=latest).contains(left));
-    left.ok_or_else(|| {
-        InvalidRequest::field(DEADLINE_HEADER, format!("accepted: 1 to {latest} ms"))
+    let max_ms = settings.max_deadline_ms;
+    let remaining = text.parse().ok().filter(|remaining| (1..=max_ms).contains(remaining));
+    remaining.ok_or_else(|| {
+        InvalidRequest::field(DEADLINE_HEADER, format!("accepted: 1 to {max_ms} ms"))
     })
 }
 
--- a/endivestile/src/http/invalid_request.rs
+++ b/endivestile/src/http/invalid_request.rs
@@ -1,35 +1,35 @@
-//! Refusals of bad input.
+//! Rejections of invalid input.
 
-/// What is wrong with a call; nothing of it was accepted.
+/// Why a call was rejected, no part of which was accepted.
 #[derive(Debug)]
 pub(crate) struct InvalidRequest {
     /// HTTP status, 400 to 499.
     pub(crate) status: u16,
-    /// The field at fault.
+    /// Name of the invalid field.
     pub(crate) field: String,
-    /// What is wrong with it, and what is accepted.
+    /// What is wrong with the field, and which values are accepted.
     pub(crate) reason: String,
 }
 
 impl InvalidRequest {
-    /// Refuses the value of a field.
+    /// Rejects the value of a field.
     pub(crate) fn field(field: impl Into<String>, reason: impl Into<String>) -> Self {
         Self { status: 400, field: field.into(), reason: reason.into() }
     }
 
-    /// Refuses a body that is longer than `limit` bytes.
+    /// Rejects a body that is longer than `limit` bytes.
     pub(crate) fn body_too_long(limit: usize) -> Self {
         let reason = format!("longer than {limit} bytes");
         Self { status: 413, ..Self::field("body", reason) }
     }
 
-    /// Refuses a path that leads nowhere.
+    /// Rejects an unknown path.
     pub(crate) fn unknown_path(path: &str) -> Self {
         let reason = format!("{path} does not exist");
         Self { status: 404, ..Self::field("path", reason) }
     }
 
-    /// Refuses a method that the path does not have.
+    /// Rejects a method that the path does not support.
     pub(crate) fn unsupported_method(accepted: &str) -> Self {
         Self { status: 405, ..Self::field("method", format!("accepted: {accepted}")) }
     }
--- a/endivestile/src/http/mod.rs
+++ b/endivestile/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' interface.
+//! HTTP interface for callers.
 
 mod body;
 mod call;
--- a/endivestile/src/http/reply.rs
+++ b/endivestile/src/http/reply.rs
@@ -10,86 +10,89 @@
 use super::ReplyFormat;
 use super::invalid_request::InvalidRequest;
 
-/// Milliseconds in a second, for `Retry-After`.
-const SECOND_MS: u64 = 1_000;
+/// Milliseconds per second, to convert delays for `Retry-After`.
+const MS_PER_SECOND: u64 = 1_000;
 
 /// A reply, ready to be written.
 #[derive(Debug)]
 pub(crate) struct Reply {
     /// HTTP status.
     status: u16,
-    /// Type of the body.
-    media: &'static str,
+    /// Media type of the body.
+    content_type: &'static str,
     /// Body.
     body: Bytes,
-    /// When to come back, in milliseconds.
+    /// Delay after which the caller should retry, in milliseconds.
     retry_ms: Option<u64>,
-    /// Fresh ids, separated by commas; empty for none.
+    /// Minted ids, separated by commas; empty for none.
     minted: String,
 }
 
 impl Reply {
-    /// Makes a reply with a JSON body.
+    /// Creates a reply with a JSON body.
     pub(crate) fn json(status: u16, body: impl Into<Bytes>) -> Self {
-        let media = "application/json";
-        Self { status, media, body: body.into(), retry_ms: None, minted: String::new() }
+        let content_type = "application/json";
+        Self { status, content_type, body: body.into(), retry_ms: None, minted: String::new() }
     }
 
-    /// Makes a reply with a result as its back end gave it.
+    /// Creates a reply with a result, unchanged from the backend.
     fn raw(body: Bytes) -> Self {
-        Self { media: "application/octet-stream", ..Self::json(200, body) }
+        Self { content_type: "application/octet-stream", ..Self::json(200, body) }
     }
 
-    /// Makes a short reply to a probe.
+    /// Creates a short reply in plain text.
     pub(crate) fn plain_text(status: u16, text: &'static str) -> Self {
-        Self { media: "text/plain", ..Self::json(status, text) }
+        Self { content_type: "text/plain", ..Self::json(status, text) }
     }
 
-    /// Makes a reply from a body as the callers' page documents it.
-    fn body(status: u16, body: &AnswerBody) -> Self {
+    /// Creates a reply from an answer body, which has the format documented for callers.
+    fn from_body(status: u16, body: &AnswerBody) -> Self {
         let retry_ms = body.retry_ms;
-        // A struct of strings and numbers always has a JSON form.
+        // Serializing a struct of strings and numbers cannot fail.
         let text = serde_json::to_vec(body).unwrap_or_default();
         Self { retry_ms, ..Self::json(status, text) }
     }
 
-    /// Says what is wrong with a call.
+    /// Creates the reply to a rejected call.
     pub(crate) fn from_invalid(invalid: &InvalidRequest) -> Self {
         let body = AnswerBody {
             reason: Some(invalid.reason.clone()),
             field: Some(invalid.field.clone()),
-            ..plain("invalid")
+            ..status_only("invalid")
         };
-        Self::body(invalid.status, &body)
+        Self::from_body(invalid.status, &body)
     }
 
-    /// Says how a submission ended or stands, at the instant `now`.
-    pub(crate) fn from_answer(answer: &Answer, shape: ReplyFormat, now: Time) -> Self {
+    /// Creates the reply that reports the result or state of a submission at the time `now`.
+    pub(crate) fn from_answer(answer: &Answer, reply_format: ReplyFormat, now: Time) -> Self {
         match answer {
-            Answer::Complete(results) => complete(results, shape),
-            Answer::Failed(failure) => failed(failure, shape),
+            Answer::Complete(results) => complete(results, reply_format),
+            Answer::Failed(failure) => failed(failure, reply_format),
             Answer::Refused(refusal) => refused(refusal, now),
-            Answer::Conflict => {
-                Self::body(422, &reason("conflict", "the id belongs to another submission"))
+            Answer::Conflict => Self::from_body(
+                422,
+                &with_reason("conflict", "the id belongs to another submission"),
+            ),
+            Answer::Running => Self::from_body(202, &status_only("running")),
+            Answer::NotFound => {
+                Self::from_body(404, &with_reason("not found", "nothing is known of the id"))
             }
-            Answer::Running => Self::body(202, &plain("running")),
-            Answer::NotFound => Self::body(404, &reason("not found", "nothing is known of the id")),
         }
     }
 
-    /// Adds fresh ids.
+    /// Adds minted ids.
     pub(crate) fn with_ids(mut self, ids: &[SubmissionId]) -> Self {
         let texts: Vec<&str> = ids.iter().map(|id| id.text().as_ref()).collect();
         self.minted = texts.join(",");
         self
     }
 
-    /// Returns the reply as the library writes it, always with its length, so
-    /// that a caller notices a reply that was cut.
-    pub(crate) fn response(self) -> Response<Cursor<Bytes>> {
-        let mut headers = vec![header("Content-Type", self.media)];
+    /// Converts the reply for the library. It always has a `Content-Length`, so
+    /// that a caller can detect a truncated reply.
+    pub(crate) fn into_response(self) -> Response<Cursor<Bytes>> {
+        let mut headers = vec![header("Content-Type", self.content_type)];
         if let Some(retry_ms) = self.retry_ms {
-            let secs = retry_ms.div_ceil(SECOND_MS).max(1);
+            let secs = retry_ms.div_ceil(MS_PER_SECOND).max(1);
             headers.push(header("Retry-After", &secs.to_string()));
         }
         if !self.minted.is_empty() {
@@ -103,12 +106,12 @@
     }
 }
 
-/// Returns a header; names and values here are ASCII, so there always is one.
+/// Creates a header. This always succeeds here, since all names and values are ASCII.
 fn header(name: &str, value: &str) -> Option<Header> {
     Header::from_bytes(name, value).ok()
 }
 
-fn plain(status: &str) -> AnswerBody {
+fn status_only(status: &str) -> AnswerBody {
     AnswerBody {
         status: status.to_owned(),
         results: None,
@@ -118,29 +121,29 @@
     }
 }
 
-fn reason(status: &str, reason: impl Into<String>) -> AnswerBody {
-    AnswerBody { reason: Some(reason.into()), ..plain(status) }
+fn with_reason(status: &str, reason: impl Into<String>) -> AnswerBody {
+    AnswerBody { reason: Some(reason.into()), ..status_only(status) }
 }
 
-fn complete(results: &[Bytes], shape: ReplyFormat) -> Reply {
-    if shape == ReplyFormat::Raw && results.len() == 1 {
+fn complete(results: &[Bytes], reply_format: ReplyFormat) -> Reply {
+    if reply_format == ReplyFormat::Raw && results.len() == 1 {
         return Reply::raw(results[0].clone());
     }
     let mut texts = Vec::with_capacity(results.len());
     for (task, result) in results.iter().enumerate() {
         match std::str::from_utf8(result) {
             Ok(text) => texts.push(text.to_owned()),
-            // JSON carries no bytes; a result with holes would be no whole answer.
+            // JSON cannot carry arbitrary bytes, and replacing them would alter the result.
             Err(_) => {
                 let text = format!("task {task}: its result is not UTF-8 text");
-                return Reply::body(502, &reason("failed", text));
+                return Reply::from_body(502, &with_reason("failed", text));
             }
         }
     }
-    Reply::body(200, &AnswerBody { results: Some(texts), ..plain("complete") })
+    Reply::from_body(200, &AnswerBody { results: Some(texts), ..status_only("complete") })
 }
 
-fn failed(failure: &Failure, shape: ReplyFormat) -> Reply {
+fn failed(failure: &Failure, reply_format: ReplyFormat) -> Reply {
     let (status, text) = match failure {
         Failure::Rejected { task, peer, status } => {
             (502, format!("task {task}: {peer} answered with status {status}"))
@@ -149,19 +152,19 @@
             (502, format!("task {task}: the answer of {peer} was lost"))
         }
         Failure::Deadline => (504, "the deadline passed".to_owned()),
-        Failure::Cancelled => return cancelled(shape),
+        Failure::Cancelled => return cancelled(reply_format),
         Failure::HomeLost => (502, "the entry host that ran it is gone".to_owned()),
         Failure::NotPlaced { task, cause } => {
-            (502, format!("task {task}: not started, {}", words(*cause)))
+            (502, format!("task {task}: not started, {}", describe(*cause)))
         }
     };
-    Reply::body(status, &reason("failed", text))
+    Reply::from_body(status, &with_reason("failed", text))
 }
 
-/// To the canceller this is success, to the caller who waits it is a conflict.
-fn cancelled(shape: ReplyFormat) -> Reply {
-    let status = if shape == ReplyFormat::Cancel { 200 } else { 409 };
-    Reply::body(status, &reason("cancelled", "a caller cancelled it"))
+/// Returns success for the caller that cancelled, and a conflict for the one that waits.
+fn cancelled(reply_format: ReplyFormat) -> Reply {
+    let status = if reply_format == ReplyFormat::Cancel { 200 } else { 409 };
+    Reply::from_body(status, &with_reason("cancelled", "a caller cancelled it"))
 }
 
 fn refused(refusal: &Refusal, now: Time) -> Reply {
@@ -170,11 +173,12 @@
         Class::Unknown => "unknown",
     };
     let retry_ms = refusal.retry.since(now).as_millis() as u64;
-    let body = AnswerBody { retry_ms: Some(retry_ms), ..reason(status, words(refusal.cause)) };
-    Reply::body(503, &body)
+    let body =
+        AnswerBody { retry_ms: Some(retry_ms), ..with_reason(status, describe(refusal.cause)) };
+    Reply::from_body(503, &body)
 }
 
-fn words(cause: Cause) -> &'static str {
+fn describe(cause: Cause) -> &'static str {
     match cause {
         Cause::Deadline => "it could not be finished by its deadline",
         Cause::Full => "the queue is full",
--- a/endivestile/src/http/reply_writer.rs
+++ b/endivestile/src/http/reply_writer.rs
@@ -1,4 +1,4 @@
-//! Writes replies, away from the engine's thread.
+//! Writes replies on threads of their own, so that the engine never blocks on a caller.
 
 use std::mem;
 
@@ -7,27 +7,27 @@
 use super::Reply;
 use crate::thread_pool::{Pool, Work};
 
-/// Longest body that is read to its end after a refusal.
-const DRAINED: usize = 256 << 20;
-/// Threads that write replies; only callers who do not read keep one busy.
-const VOICES: usize = 64;
+/// Longest request body, in bytes, whose unread rest may be drained after the reply.
+const MAX_DRAINED_BYTES: usize = 256 << 20;
+/// Most threads that write replies; only a caller that does not read blocks one.
+const REPLY_THREADS: usize = 64;
 
-/// Writes replies.
+/// Pool of threads that write replies.
 pub(crate) type ReplyPool = Pool<PendingReply>;
 
-/// A reply on its way to the caller.
+/// A reply that has not been written yet.
 #[derive(Debug)]
 pub(crate) struct PendingReply {
-    /// The call.
+    /// The request to reply to.
     pub(crate) request: Request,
-    /// What is said.
+    /// The reply.
     pub(crate) reply: Reply,
 }
 
 impl PendingReply {
-    /// Starts the pool that writes replies.
+    /// Creates the pool of threads that write replies.
     pub(crate) fn pool() -> ReplyPool {
-        Pool::new("reply", VOICES, ())
+        Pool::new("reply", REPLY_THREADS, ())
     }
 }
 
@@ -35,16 +35,16 @@
     type Env = ();
 
     fn perform(self, (): &()) {
-        let response = self.reply.response();
-        if self.request.body_length().is_some_and(|len| len > DRAINED) {
-            // The library allocates what is left of a body in one piece when a
-            // request is dropped. A `Content-Length` of terabytes would abort
-            // the whole process there. So the rest of such a request is leaked
-            // with its connection, which a correct caller never brings about.
+        let response = self.reply.into_response();
+        if self.request.body_length().is_some_and(|len| len > MAX_DRAINED_BYTES) {
+            // When a request is dropped, the library allocates one buffer for the
+            // unread rest of its body. A `Content-Length` of terabytes would
+            // abort the process. The request is leaked with its connection
+            // instead, which a correct caller never causes.
             mem::forget(self.request.upgrade("close", response));
             return;
         }
-        // A caller that went away gets nothing; its answer is kept for its next try.
+        // Writing fails if the caller has disconnected. It can still fetch the answer later.
         let _ = self.request.respond(response);
     }
 }
--- a/endivestile/src/http/route.rs
+++ b/endivestile/src/http/route.rs
@@ -1,14 +1,14 @@
-//! Methods and paths of the callers' interface.
+//! Methods and paths of the HTTP interface.
 
 use endivestile_kernel::{Ask, SubmissionId};
 use tiny_http::Method;
 
 use super::invalid_request::InvalidRequest;
 
-/// Most ids minted by one call.
-const MAX_MINTED: usize = 1_000;
+/// Most ids that one call can mint.
+const MAX_MINTED_IDS: usize = 1_000;
 
-/// What a method and path ask for.
+/// Operation selected by method and path.
 #[derive(Debug)]
 pub(crate) enum Route {
     /// `POST /v1/jobs`.
@@ -28,27 +28,27 @@
 }
 
 impl Route {
-    /// Reads a method and a URL.
+    /// Parses a method and a URL.
     pub(crate) fn parse(method: &Method, url: &str) -> Result<Self, InvalidRequest> {
         let (path, query) = url.split_once('?').unwrap_or((url, ""));
         if let Some(service) = path.strip_prefix("/v1/requests/") {
-            only(method, &Method::Post)?;
-            return Ok(Self::Request(decode(service)));
+            require_method(method, &Method::Post)?;
+            return Ok(Self::Request(percent_decode(service)));
         }
         if let Some(id) = path.strip_prefix("/v1/submissions/") {
-            return Self::submission(method, &decode(id));
+            return Self::submission(method, &percent_decode(id));
         }
         match path {
-            "/v1/jobs" => only(method, &Method::Post).map(|()| Self::Job),
-            "/v1/ids" => only(method, &Method::Post).and_then(|()| Self::ids(query)),
-            "/health" => only(method, &Method::Get).map(|()| Self::Health),
-            "/ready" => only(method, &Method::Get).map(|()| Self::Ready),
-            "/status" => only(method, &Method::Get).map(|()| Self::Status),
+            "/v1/jobs" => require_method(method, &Method::Post).map(|()| Self::Job),
+            "/v1/ids" => require_method(method, &Method::Post).and_then(|()| Self::ids(query)),
+            "/health" => require_method(method, &Method::Get).map(|()| Self::Health),
+            "/ready" => require_method(method, &Method::Get).map(|()| Self::Ready),
+            "/status" => require_method(method, &Method::Get).map(|()| Self::Status),
             _ => Err(InvalidRequest::unknown_path(path)),
         }
     }
 
-    /// Reads a call about a submission.
+    /// Parses a call that concerns an existing submission.
     fn submission(method: &Method, id: &str) -> Result<Self, InvalidRequest> {
         let ask = match method {
             Method::Get => Ask::Fetch,
@@ -59,16 +59,17 @@
         Ok(Self::Submission(id, ask))
     }
 
-    /// Reads the query of a call for ids.
+    /// Parses the query of a call that mints ids.
     fn ids(query: &str) -> Result<Self, InvalidRequest> {
-        let bad = || InvalidRequest::field("count", format!("accepted: count=1 to {MAX_MINTED}"));
-        let count = query.strip_prefix("count=").ok_or_else(bad)?;
-        let count = count.parse().ok().filter(|count| (1..=MAX_MINTED).contains(count));
-        count.map(Self::Ids).ok_or_else(bad)
+        let invalid_count =
+            || InvalidRequest::field("count", format!("accepted: count=1 to {MAX_MINTED_IDS}"));
+        let count = query.strip_prefix("count=").ok_or_else(invalid_count)?;
+        let count = count.parse().ok().filter(|count| (1..=MAX_MINTED_IDS).contains(count));
+        count.map(Self::Ids).ok_or_else(invalid_count)
     }
 }
 
-fn only(method: &Method, accepted: &Method) -> Result<(), InvalidRequest> {
+fn require_method(method: &Method, accepted: &Method) -> Result<(), InvalidRequest> {
     if method == accepted {
         Ok(())
     } else {
@@ -76,19 +77,19 @@
     }
 }
 
-/// Undoes percent encoding; what is not encoded rightly stays as it is.
-fn decode(text: &str) -> String {
+/// Decodes percent encoding; invalid sequences are left unchanged.
+fn percent_decode(text: &str) -> String {
     let mut out = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&byte, tail)) = rest.split_first() {
-        let code = tail.get(..2).filter(|_| byte == b'%').and_then(hex);
-        out.push(code.unwrap_or(byte));
-        rest = if code.is_some() { &tail[2..] } else { tail };
+        let decoded = tail.get(..2).filter(|_| byte == b'%').and_then(parse_hex);
+        out.push(decoded.unwrap_or(byte));
+        rest = if decoded.is_some() { &tail[2..] } else { tail };
     }
     String::from_utf8_lossy(&out).into_owned()
 }
 
-fn hex(digits: &[u8]) -> Option<u8> {
+fn parse_hex(digits: &[u8]) -> Option<u8> {
     let text = std::str::from_utf8(digits).ok()?;
     u8::from_str_radix(text, 16).ok()
 }
--- a/endivestile/src/http/thread_waker.rs
+++ b/endivestile/src/http/thread_waker.rs
@@ -1,4 +1,4 @@
-//! Connections to oneself that release callers stuck in the HTTP library.
+//! Releases callers whose connections are stuck in the queue of the HTTP library.
 
 use std::collections::HashSet;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, TcpStream};
@@ -9,68 +9,70 @@
 
 use crate::error::RunError;
 
-/// Time between two rings when nobody connects, in milliseconds.
-const RING_MS: u64 = 100;
-/// Wait for the connection of a ring, in milliseconds.
-const CONNECT_MS: u64 = 1_000;
-/// Callers' addresses that are remembered; beyond it all are forgotten.
-const SEEN: usize = 4_096;
+/// Interval between two wake-ups when no caller connects, in milliseconds.
+const WAKE_INTERVAL_MS: u64 = 100;
+/// Timeout for the connection of a wake-up, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
+/// Most caller addresses that are kept; at this number all are discarded.
+const MAX_SEEN_CALLERS: usize = 4_096;
 
-/// Rings at the host's own door.
+/// Wakes the library's threads by short connections to the host's own socket.
 ///
 /// The library's accept thread queues a connection for a waiting thread, and
 /// counts that thread as waiting until it has woken up. When callers connect
 /// faster than threads wake, more connections are queued than threads wait.
-/// The rest stay queued until some other caller hangs up: their requests
-/// are never read, and with kept connections that may be for ever. Every new
-/// connection that ends at once sets free one thread, which then takes one of
-/// the queue; so each first request of a connection rings once, and what that
-/// releases rings again. A slow regular ring is for those that were
-/// released and say nothing.
+/// The requests of the others are not read until some other caller
+/// disconnects, which may never happen with persistent connections.
+///
+/// Every new connection that ends at once frees one thread, which then takes a
+/// connection from the queue. The first request of each connection therefore
+/// triggers a wake-up, and the connection that this releases triggers the next
+/// one. Wake-ups at a fixed interval cover released connections that send no
+/// request.
 #[derive(Debug)]
 pub(crate) struct ThreadWaker {
-    /// Callers whose first request was seen.
+    /// Addresses of callers that have sent a request.
     seen: Mutex<HashSet<SocketAddr>>,
-    /// Asks for a ring.
-    rings: Sender<()>,
+    /// Requests a wake-up.
+    wake_requests: Sender<()>,
 }
 
 impl ThreadWaker {
-    /// Starts the thread that rings at `address`.
+    /// Starts the thread that connects to `address`.
     pub(crate) fn start(address: SocketAddr) -> Result<Self, RunError> {
-        let (rings, asked) = channel();
+        let (wake_requests, requests) = channel();
         let thread = thread::Builder::new().name("doorbell".to_owned());
-        let work = move || ring_on(&asked, reachable(address));
+        let work = move || run(&requests, connectable(address));
         thread.spawn(work).map_err(|source| RunError::Thread { step: "serve-http", source })?;
-        Ok(Self { seen: Mutex::default(), rings })
+        Ok(Self { seen: Mutex::default(), wake_requests })
     }
 
-    /// Notes a request, and rings if it is the first one of its caller.
+    /// Records the caller of a request, and requests a wake-up if it is its first one.
     pub(crate) fn record_caller(&self, caller: Option<&SocketAddr>) {
         let Some(caller) = caller else { return };
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        if seen.len() >= SEEN {
+        if seen.len() >= MAX_SEEN_CALLERS {
             seen.clear();
         }
         if seen.insert(*caller) {
-            // Without its thread there is nobody left to ring.
-            let _ = self.rings.send(());
+            // Sending fails only if the thread has ended.
+            let _ = self.wake_requests.send(());
         }
     }
 }
 
-/// Rings whenever asked, and regularly.
-fn ring_on(asked: &Receiver<()>, address: SocketAddr) {
+/// Connects to `address` on request and at a fixed interval.
+fn run(requests: &Receiver<()>, address: SocketAddr) {
     use std::sync::mpsc::RecvTimeoutError::Disconnected;
-    let regular = Duration::from_millis(RING_MS);
-    while asked.recv_timeout(regular) != Err(Disconnected) {
-        // A host out of descriptors, or one that stops, can't be rung at.
-        let _ = TcpStream::connect_timeout(&address, Duration::from_millis(CONNECT_MS));
+    let interval = Duration::from_millis(WAKE_INTERVAL_MS);
+    while requests.recv_timeout(interval) != Err(Disconnected) {
+        // Fails if the host has no file descriptors left or is stopping.
+        let _ = TcpStream::connect_timeout(&address, Duration::from_millis(CONNECT_TIMEOUT_MS));
     }
 }
 
-/// Returns an address by which this process reaches its own socket.
-fn reachable(mut address: SocketAddr) -> SocketAddr {
+/// Returns an address at which this process can connect to its own socket.
+fn connectable(mut address: SocketAddr) -> SocketAddr {
     match address.ip() {
         IpAddr::V4(ip) if ip.is_unspecified() => address.set_ip(Ipv4Addr::LOCALHOST.into()),
         IpAddr::V6(ip) if ip.is_unspecified() => address.set_ip(Ipv6Addr::LOCALHOST.into()),
--- a/endivestile/src/http/validation.rs
+++ b/endivestile/src/http/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of a submission against the adopted configuration.
+//! Validates submissions against the configuration in force.
 
 use std::sync::Arc;
 
@@ -9,27 +9,27 @@
 
 use super::invalid_request::InvalidRequest;
 
-/// Checks names and needs; without a configuration the kernel refuses the
-/// submission itself, so everything passes here.
+/// Validates names and resource needs. Without a configuration everything
+/// passes, since the kernel refuses the submission itself.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Validator<'a>(pub(crate) Option<&'a Config>);
 
 impl Validator<'_> {
-    /// Returns the team's shared name.
+    /// Returns the configuration's shared copy of a team's name.
     pub(crate) fn team(self, name: &str) -> Result<Name, InvalidRequest> {
         let Some(config) = self.0 else { return Ok(Name::from(name)) };
         let found = config.teams.get_key_value(name).map(|(name, _)| Name::clone(name));
         found.ok_or_else(|| InvalidRequest::field(TEAM_HEADER, format!("unknown team {name:?}")))
     }
 
-    /// Returns the service's shared name.
+    /// Returns the configuration's shared copy of a service's name.
     pub(crate) fn service(self, name: &str, field: &str) -> Result<Name, InvalidRequest> {
         let Some(config) = self.0 else { return Ok(Name::from(name)) };
         let found = config.services.get_key_value(name).map(|(name, _)| Name::clone(name));
         found.ok_or_else(|| InvalidRequest::field(field, format!("unknown service {name:?}")))
     }
 
-    /// Returns the tasks of a job.
+    /// Validates and converts the tasks of a job.
     pub(crate) fn job(self, body: JobBody) -> Result<Vec<Arc<Task>>, InvalidRequest> {
         let count = body.tasks.len();
         if count == 0 || count > MAX_TASKS {
@@ -39,7 +39,7 @@
         body.tasks.into_iter().enumerate().map(|(at, task)| self.task(at, task)).collect()
     }
 
-    /// Returns one task of a job.
+    /// Validates and converts the task with index `at`.
     fn task(self, at: usize, body: TaskBody) -> Result<Arc<Task>, InvalidRequest> {
         let target = match (&body.service, body.need) {
             (Some(name), None) => {
@@ -55,7 +55,7 @@
         Ok(Arc::new(Task { target, work, declared: body.declared_ms.unwrap_or(0) }))
     }
 
-    /// Returns a need that at least one worker can meet when it is empty.
+    /// Converts a need, which at least one worker must be able to satisfy when idle.
     fn need(self, body: NeedBody, field: &str) -> Result<Need, InvalidRequest> {
         let need = Need {
             cpu_milli: body.cpu_milli,
@@ -63,18 +63,18 @@
             accelerators: body.accelerators,
         };
         if need.cpu_milli == 0 && need.memory_mb == 0 && need.accelerators == 0 {
-            // A need of nothing would fit a worker any number of times.
+            // A worker would have capacity for any number of empty needs.
             return Err(InvalidRequest::field(field, "nothing is needed"));
         }
         let Some(config) = self.0 else { return Ok(need) };
-        if config.workers.values().any(|worker| meets(worker, &need)) {
+        if config.workers.values().any(|worker| satisfies(worker, &need)) {
             return Ok(need);
         }
         Err(InvalidRequest::field(field, "more than any worker has"))
     }
 }
 
-fn meets(worker: &Worker, need: &Need) -> bool {
+fn satisfies(worker: &Worker, need: &Need) -> bool {
     worker.cpu_milli >= need.cpu_milli
         && worker.memory_mb >= need.memory_mb
         && worker.accelerators >= need.accelerators
--- a/endivestile/src/peers/event_handler.rs
+++ b/endivestile/src/peers/event_handler.rs
@@ -1,15 +1,15 @@
-//! What links tell an engine.
+//! Interface through which links report to an engine.
 
 use endivestile_kernel::{Event, Frame, Peer};
 
 use crate::inbox::Inbox;
 
-/// Where frames of peers and the ends of links go.
+/// Receives the frames of peers and the ends of links.
 pub(crate) trait PeerEventHandler: Clone + Send + Sync + 'static {
-    /// A frame arrived.
+    /// Handles a frame that has arrived.
     fn handle_frame(&self, frame: Frame);
 
-    /// The link to a peer broke or could not be made.
+    /// Handles a link that broke or could not be opened.
     fn handle_link_down(&self, peer: Peer);
 }
 
--- a/endivestile/src/peers/frame_queue.rs
+++ b/endivestile/src/peers/frame_queue.rs
@@ -1,4 +1,4 @@
-//! Bounded queue of the frames of one link.
+//! Bounded queue of frames for one link.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -9,30 +9,30 @@
 use tokio::sync::mpsc::{Receiver, Sender, channel};
 use tokio_stream::Stream;
 
-/// Most frames that wait.
+/// Most frames in a queue.
 const MAX_FRAMES: usize = 1_024;
-/// Most bytes that wait. A peer that accepts the link and never reads stops
-/// the stream; without this bound its frames would fill this host's memory.
+/// Most bytes in a queue. A peer that accepts the link and never reads blocks
+/// the stream; without this limit its frames would fill this host's memory.
 const MAX_BYTES: usize = 32 << 20;
 
-/// Makes a queue.
+/// Creates a queue.
 pub(crate) fn frame_queue() -> (FrameSender, FrameStream) {
     let (sender, receiver) = channel(MAX_FRAMES);
     let bytes = Arc::new(AtomicUsize::new(0));
     (FrameSender { sender, bytes: Arc::clone(&bytes) }, FrameStream { receiver, bytes })
 }
 
-/// Entry of a queue.
+/// Sending end of a queue.
 #[derive(Debug)]
 pub(crate) struct FrameSender {
-    /// The queue.
+    /// Channel of the queue.
     sender: Sender<wire::Frame>,
-    /// Bytes that wait.
+    /// Bytes in the queue.
     bytes: Arc<AtomicUsize>,
 }
 
 impl FrameSender {
-    /// Queues a frame, unless the queue is full or its link has ended.
+    /// Queues a frame. Returns `false` if the queue is full or its link has ended.
     pub(crate) fn push(&self, frame: wire::Frame) -> bool {
         let len = frame.body.len();
         if self.bytes.load(Ordering::Relaxed) + len > MAX_BYTES {
@@ -52,12 +52,12 @@
     }
 }
 
-/// Exit of a queue, as the link reads it.
+/// Receiving end of a queue, which yields the frames to the link.
 #[derive(Debug)]
 pub(crate) struct FrameStream {
-    /// The queue.
+    /// Channel of the queue.
     receiver: Receiver<wire::Frame>,
-    /// Bytes that wait.
+    /// Bytes in the queue.
     bytes: Arc<AtomicUsize>,
 }
 
--- a/endivestile/src/peers/incoming.rs
+++ b/endivestile/src/peers/incoming.rs
@@ -1,4 +1,4 @@
-//! Takes frames from peers.
+//! Receives frames from peers.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
@@ -15,23 +15,25 @@
 use super::{FRAME_VERSION, KEEPALIVE_INTERVAL_MS, KEEPALIVE_TIMEOUT_MS, MAX_FRAME_BYTES};
 use crate::error::RunError;
 
-/// Opens the peers' socket.
+/// Binds the peers' socket.
 pub(crate) fn bind(address: SocketAddr) -> Result<TcpListener, RunError> {
-    TcpListener::bind(address).map_err(|e| failed(address, &e))
+    TcpListener::bind(address).map_err(|e| bind_error(address, &e))
 }
 
-/// Serves peers on the runtime.
+/// Starts serving peers on the runtime.
 pub(crate) fn serve<U: PeerEventHandler>(
     handle: &Handle,
     listener: TcpListener,
     inbox: U,
 ) -> Result<(), RunError> {
     let address = listener.local_addr().unwrap_or_else(|_| SocketAddr::from(([0, 0, 0, 0], 0)));
-    let _context = handle.enter();
-    listener.set_nonblocking(true).map_err(|e| failed(address, &e))?;
-    let listener = tokio::net::TcpListener::from_std(listener).map_err(|e| failed(address, &e))?;
+    let _guard = handle.enter();
+    listener.set_nonblocking(true).map_err(|e| bind_error(address, &e))?;
+    let listener =
+        tokio::net::TcpListener::from_std(listener).map_err(|e| bind_error(address, &e))?;
     let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
-    let service = PeersServer::new(Receiver { inbox }).max_decoding_message_size(MAX_FRAME_BYTES);
+    let service =
+        PeersServer::new(PeerService { inbox }).max_decoding_message_size(MAX_FRAME_BYTES);
     let server = Server::builder()
         .http2_keepalive_interval(Some(Duration::from_millis(KEEPALIVE_INTERVAL_MS)))
         .http2_keepalive_timeout(Some(Duration::from_millis(KEEPALIVE_TIMEOUT_MS)))
@@ -45,19 +47,19 @@
     Ok(())
 }
 
-fn failed(address: SocketAddr, e: &std::io::Error) -> RunError {
+fn bind_error(address: SocketAddr, e: &std::io::Error) -> RunError {
     RunError::Bind { step: "listen-peers", address: address.to_string(), reason: e.to_string() }
 }
 
-/// Hands frames of all peers to the engine.
+/// gRPC service that passes the frames of all peers to the engine.
 #[derive(Debug)]
-struct Receiver<U> {
-    /// The engine.
+struct PeerService<U> {
+    /// Receiver of frames.
     inbox: U,
 }
 
 #[tonic::async_trait]
-impl<U: PeerEventHandler> Peers for Receiver<U> {
+impl<U: PeerEventHandler> Peers for PeerService<U> {
     async fn link(
         &self,
         request: Request<Streaming<wire::Frame>>,
@@ -80,8 +82,8 @@
     }
 }
 
-/// Decodes a frame of a version that is known; another one would be read as
-/// something it is not.
+/// Decodes a frame. One of another version is refused, since its bytes could
+/// decode to different values.
 fn decode(frame: &wire::Frame) -> Result<Frame, Status> {
     if frame.version != FRAME_VERSION {
         let text = format!("version {}, known: {FRAME_VERSION}", frame.version);
--- a/endivestile/src/peers/links.rs
+++ b/endivestile/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! Links to peers, dialled on demand.
+//! Outgoing links to peers, connected on demand.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -15,15 +15,16 @@
 use super::outgoing::run_link;
 use crate::counters::{Counters, IoMetric};
 
-/// Pause before a broken link is dialled again, in milliseconds; frames that
-/// come earlier are dropped, and the kernel sends them again.
-const REDIAL_MS: u64 = 200;
+/// Minimum time between two attempts to connect to an incarnation of a peer, in
+/// milliseconds. Frames sent meanwhile over a broken link are dropped; the kernel
+/// sends them again.
+const RECONNECT_DELAY_MS: u64 = 200;
 
-/// Sends frames.
+/// Sends frames to peers.
 #[derive(Debug)]
 pub(crate) struct Links {
-    /// Frames on their way to the router.
-    frames: UnboundedSender<Command>,
+    /// Commands to the router.
+    commands: UnboundedSender<Command>,
 }
 
 impl Links {
@@ -33,59 +34,59 @@
         inbox: U,
         counters: Counters,
     ) -> Self {
-        let (frames, queue) = unbounded_channel();
+        let (commands, queue) = unbounded_channel();
         let router = Router { links: HashMap::new(), inbox, counters };
         handle.spawn(router.run(queue));
-        Self { frames }
+        Self { commands }
     }
 
-    /// Drops the link to an address; the next frame makes a new one.
+    /// Drops the link to an address; the next frame opens a new one.
     pub(crate) fn reconnect(&self, address: Name) {
-        let _ = self.frames.send(Command::Reconnect(address));
+        let _ = self.commands.send(Command::Reconnect(address));
     }
 
     /// Sends a frame, at most once.
     pub(crate) fn send(&self, address: Name, frame: Frame) {
-        let _ = self.frames.send(Command::Send(address, Box::new(frame)));
+        let _ = self.commands.send(Command::Send(address, Box::new(frame)));
     }
 }
 
-/// What the router is asked to do.
+/// Command to the router.
 #[derive(Debug)]
 enum Command {
     /// Send a frame to an address.
     Send(Name, Box<Frame>),
-    /// Make the link to an address anew.
+    /// Drop the link to an address, so that the next frame opens a new one.
     Reconnect(Name),
 }
 
-/// One link.
+/// Link to a peer.
 #[derive(Debug)]
 struct Link {
-    /// Its queue.
-    entry: FrameSender,
-    /// The incarnation it was dialled for.
+    /// Sending end of its queue.
+    sender: FrameSender,
+    /// Incarnation of the peer that it was opened for.
     peer: Peer,
-    /// When it may be dialled again after it ended.
-    redial: Instant,
+    /// Earliest time to reconnect after it has ended.
+    reconnect_at: Instant,
 }
 
-/// Sorts frames into the links' queues; it never waits for a link.
+/// Distributes frames to the queues of the links, without waiting for any link.
 #[derive(Debug)]
 struct Router<U> {
     /// Links by address.
     links: HashMap<Name, Link>,
-    /// The engine.
+    /// Receiver of link events.
     inbox: U,
-    /// Counts.
+    /// Counters of the process.
     counters: Counters,
 }
 
 impl<U: PeerEventHandler> Router<U> {
-    /// Routes frames until the engine ends.
+    /// Handles commands until the engine ends.
     async fn run(mut self, mut queue: UnboundedReceiver<Command>) {
-        while let Some(errand) = queue.recv().await {
-            match errand {
+        while let Some(command) = queue.recv().await {
+            match command {
                 Command::Send(address, frame) => self.route(address, &frame),
                 Command::Reconnect(address) => {
                     self.links.remove(&address);
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Queues a frame, and dials its peer if there is no link.
+    /// Queues a frame, and opens a link to its peer if there is none.
     fn route(&mut self, address: Name, frame: &Frame) {
         let body = match postcard::to_stdvec(frame) {
             Ok(body) => body,
@@ -104,35 +105,35 @@
             }
         };
         let bytes = body.len() as u64;
-        let frame_out = wire::Frame { version: FRAME_VERSION, body };
-        let sent = self.link(address, &frame.to).is_some_and(|link| link.entry.push(frame_out));
-        if sent {
+        let encoded = wire::Frame { version: FRAME_VERSION, body };
+        let queued = self.link(address, &frame.to).is_some_and(|link| link.sender.push(encoded));
+        if queued {
             self.counters.count_io(IoMetric::FrameBytes, bytes);
         } else {
             self.counters.count_io(IoMetric::FramesDropped, 1);
         }
     }
 
-    /// Returns the link to an address, none while it may not be dialled.
+    /// Returns the link to an address, or `None` if it broke and may not be reopened yet.
     fn link(&mut self, address: Name, peer: &Peer) -> Option<&Link> {
         let now = Instant::now();
-        let held = self.links.get(&address);
-        // A link that was dialled for an earlier incarnation ends with that
-        // process; frames for the next one must not wait until it is noticed.
-        let usable = held.is_some_and(|link| !link.entry.is_closed() && link.peer == *peer);
+        let current = self.links.get(&address);
+        // A link to an earlier incarnation ends with that process. Frames for
+        // the next incarnation must not wait until that end is detected.
+        let usable = current.is_some_and(|link| !link.sender.is_closed() && link.peer == *peer);
         if !usable {
-            if held.is_some_and(|link| link.peer == *peer && now < link.redial) {
+            if current.is_some_and(|link| link.peer == *peer && now < link.reconnect_at) {
                 return None;
             }
-            let link = self.dial(Name::clone(&address), peer, now);
+            let link = self.connect(Name::clone(&address), peer, now);
             self.links.insert(Name::clone(&address), link);
         }
         self.links.get(&address)
     }
 
-    /// Starts a link.
-    fn dial(&self, address: Name, peer: &Peer, now: Instant) -> Link {
-        let (entry, frames) = frame_queue();
+    /// Opens a link.
+    fn connect(&self, address: Name, peer: &Peer, now: Instant) -> Link {
+        let (sender, frames) = frame_queue();
         tokio::spawn(run_link(
             address,
             peer.clone(),
@@ -140,6 +141,10 @@
             self.inbox.clone(),
             self.counters.clone(),
         ));
-        Link { entry, peer: peer.clone(), redial: now + Duration::from_millis(REDIAL_MS) }
+        Link {
+            sender,
+            peer: peer.clone(),
+            reconnect_at: now + Duration::from_millis(RECONNECT_DELAY_MS),
+        }
     }
 }
--- a/endivestile/src/peers/mod.rs
+++ b/endivestile/src/peers/mod.rs
@@ -10,14 +10,15 @@
 pub(crate) use incoming::{bind, serve};
 pub(crate) use links::Links;
 
-/// Version of the encoding of frames.
+/// Version of the frame encoding.
 pub(crate) const FRAME_VERSION: u32 = 4;
-/// Longest frame, in bytes: a configuration of a megabyte with room to spare.
+/// Longest frame, in bytes; a configuration of one megabyte fits several times.
 pub(crate) const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Pause between two probes of a link, in milliseconds.
+/// Interval between two keep-alive pings on a link, in milliseconds.
 ///
-/// A peer whose machine vanished sends no end of the connection; frames would
-/// pile up unnoticed until the system gives up after a quarter of an hour.
+/// A peer whose machine fails does not close its connections. Without pings,
+/// frames would be queued until the operating system gives up the connection
+/// after a quarter of an hour.
 pub(crate) const KEEPALIVE_INTERVAL_MS: u64 = 5_000;
-/// Time for the answer to a probe, in milliseconds.
+/// Timeout for the answer to a keep-alive ping, in milliseconds.
 pub(crate) const KEEPALIVE_TIMEOUT_MS: u64 = 3_000;
--- a/endivestile/src/peers/outgoing.rs
+++ b/endivestile/src/peers/outgoing.rs
@@ -1,4 +1,4 @@
-//! Carries one link from dialling to its end.
+//! Runs one outgoing link from connecting to its end.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use super::{KEEPALIVE_INTERVAL_MS, KEEPALIVE_TIMEOUT_MS, MAX_FRAME_BYTES};
 use crate::counters::{Counters, IoMetric};
 
-/// Longest time for a connection, in milliseconds.
-const DIAL_MS: u64 = 1_000;
+/// Timeout for opening a connection, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// Dials a peer, sends its frames, and tells the engine when the link ends.
+/// Connects to a peer, sends its frames and reports the end of the link.
 pub(crate) async fn run_link<U: PeerEventHandler>(
     address: Name,
     peer: Peer,
@@ -23,26 +23,26 @@
     inbox: U,
     counters: Counters,
 ) {
-    let reason = match dial(&address).await {
+    let reason = match open_channel(&address).await {
         Ok(channel) => send(channel, frames).await,
-        Err(e) => format!("step=dial-peer error={:?}", describe(&e)),
+        Err(e) => format!("step=dial-peer error={:?}", with_causes(&e)),
     };
     log::info!("event=link_down peer={peer} address={address} {reason}");
     counters.count_io(IoMetric::LinksDown, 1);
     inbox.handle_link_down(peer);
 }
 
-async fn dial(address: &str) -> Result<Channel, tonic::transport::Error> {
+async fn open_channel(address: &str) -> Result<Channel, tonic::transport::Error> {
     let endpoint = Endpoint::from_shared(format!("http://{address}"))?
         .tcp_nodelay(true)
-        .connect_timeout(Duration::from_millis(DIAL_MS))
+        .connect_timeout(Duration::from_millis(CONNECT_TIMEOUT_MS))
         .http2_keep_alive_interval(Duration::from_millis(KEEPALIVE_INTERVAL_MS))
         .keep_alive_timeout(Duration::from_millis(KEEPALIVE_TIMEOUT_MS))
         .keep_alive_while_idle(true);
     endpoint.connect().await
 }
 
-/// Sends frames until either side ends the link; returns why it ended.
+/// Sends frames until either side ends the link, and returns the reason.
 async fn send(channel: Channel, frames: FrameStream) -> String {
     let client = PeersClient::new(channel).max_encoding_message_size(MAX_FRAME_BYTES);
     let mut client = client;
@@ -52,8 +52,8 @@
     }
 }
 
-/// Returns an error with its causes, since the library's own text names none.
-fn describe(e: &tonic::transport::Error) -> String {
+/// Formats an error with its causes, which the library's own text omits.
+fn with_causes(e: &tonic::transport::Error) -> String {
     let mut text = e.to_string();
     let mut cause = std::error::Error::source(e);
     while let Some(inner) = cause {
--- a/endivestile/src/store/backoff.rs
+++ b/endivestile/src/store/backoff.rs
@@ -1,38 +1,38 @@
-//! Waits between attempts while the store is down.
+//! Delays between attempts while the store is down.
 
 use tokio::time::{Duration, Instant, sleep_until};
 
-/// First wait, in milliseconds.
-const FIRST_MS: u64 = 50;
+/// First delay, in milliseconds.
+const INITIAL_DELAY_MS: u64 = 50;
 
-/// Waits that double up to a limit.
+/// Exponential backoff with jitter.
 #[derive(Debug)]
 pub(crate) struct Backoff {
-    /// Next wait, in milliseconds.
+    /// Next delay, in milliseconds.
     next_ms: u64,
-    /// Longest wait, in milliseconds.
+    /// Longest delay, in milliseconds.
     limit_ms: u64,
 }
 
 impl Backoff {
-    /// Starts with the shortest wait.
+    /// Starts with the shortest delay.
     pub(crate) fn new(limit_ms: u64) -> Self {
-        Self { next_ms: FIRST_MS.min(limit_ms), limit_ms }
+        Self { next_ms: INITIAL_DELAY_MS.min(limit_ms), limit_ms }
     }
 
-    /// Starts anew after a success.
+    /// Returns to the shortest delay after a success.
     pub(crate) fn reset(&mut self) {
-        self.next_ms = FIRST_MS.min(self.limit_ms);
+        self.next_ms = INITIAL_DELAY_MS.min(self.limit_ms);
     }
 
-    /// Waits. Half of the wait depends on the moment, so that hosts that lost
-    /// the store together do not come back together.
+    /// Waits for the next delay. Up to half of it is jitter from the clock, so
+    /// that hosts that lost the store together do not reconnect together.
     pub(crate) async fn wait(&mut self) {
         let half = self.next_ms / 2;
         let nanos = u64::from(crate::clock::since_epoch().subsec_nanos());
-        let pause = half + nanos % half.max(1);
-        let until = Instant::now() + Duration::from_millis(pause);
+        let delay_ms = half + nanos % half.max(1);
+        let end = Instant::now() + Duration::from_millis(delay_ms);
         self.next_ms = (self.next_ms * 2).min(self.limit_ms);
-        sleep_until(until).await;
+        sleep_until(end).await;
     }
 }
--- a/endivestile/src/store/calls.rs
+++ b/endivestile/src/store/calls.rs
@@ -14,34 +14,34 @@
 use super::error::StoreError;
 use crate::inbox::Inbox;
 
-/// Calls open at once; the store carries several hundred writes a second for all hosts.
-const OPEN: usize = 16;
+/// Most open calls; the store handles several hundred writes a second for all hosts.
+const MAX_OPEN_CALLS: usize = 16;
 
 /// A call of the kernel.
 #[derive(Debug)]
 pub(crate) struct StoreCall {
-    /// Number of the call.
+    /// Token that the kernel gave to the call.
     pub(crate) token: u64,
-    /// The call.
+    /// Operation to execute.
     pub(crate) op: StoreOp,
 }
 
-/// Makes the kernel's calls until the engine ends.
+/// Executes the kernel's calls until the engine ends.
 pub(crate) async fn serve(
     connections: Connections,
     inbox: Inbox,
-    mut asks: UnboundedReceiver<StoreCall>,
+    mut calls: UnboundedReceiver<StoreCall>,
 ) {
-    let open = Arc::new(Semaphore::new(OPEN));
-    while let Some(ask) = asks.recv().await {
-        let Ok(permit) = Arc::clone(&open).acquire_owned().await else { return };
+    let permits = Arc::new(Semaphore::new(MAX_OPEN_CALLS));
+    while let Some(store_call) = calls.recv().await {
+        let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
         let (connections, inbox) = (connections.clone(), inbox.clone());
         tokio::spawn(async move {
-            let stored = perform(&connections, ask.op).await.unwrap_or_else(|e| {
+            let stored = perform(&connections, store_call.op).await.unwrap_or_else(|e| {
                 log::warn!("event=store_call_failed {e}");
                 Stored::Lost
             });
-            inbox.post_event(Event::Stored { token: ask.token, stored });
+            inbox.post_event(Event::Stored { token: store_call.token, stored });
             drop(permit);
         });
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads a key.
+/// Reads a key; the revision of an absent one is 0.
 pub(crate) async fn get(connections: &Connections, key: &str) -> Result<Stored, StoreError> {
     let request = RangeRequest { key: key.as_bytes().to_vec(), ..RangeRequest::default() };
     let mut client = connections.kv_client();
@@ -69,7 +69,7 @@
     Ok(stored)
 }
 
-/// Writes a key if its last change has the revision, 0 for an absent key.
+/// Writes a key if its last change has the given revision, 0 for an absent key.
 pub(crate) async fn compare_and_swap(
     connections: &Connections,
     step: &'static str,
@@ -77,7 +77,7 @@
     put: PutRequest,
 ) -> Result<Stored, StoreError> {
     let request = TxnRequest {
-        compare: vec![unchanged(&put.key, revision)],
+        compare: vec![has_revision(&put.key, revision)],
         success: vec![RequestOp { request: Some(Request::RequestPut(put)) }],
         failure: Vec::new(),
     };
@@ -90,7 +90,7 @@
     Ok(Stored::Swapped(revision as u64))
 }
 
-fn unchanged(key: &[u8], revision: i64) -> Compare {
+fn has_revision(key: &[u8], revision: i64) -> Compare {
     let (target, union) = if revision == 0 {
         (CompareTarget::Create, TargetUnion::CreateRevision(0))
     } else {
--- a/endivestile/src/store/change_feed.rs
+++ b/endivestile/src/store/change_feed.rs
@@ -1,4 +1,4 @@
-//! Turns keys of the store into events.
+//! Converts changes of keys in the store into events.
 
 use std::collections::HashMap;
 
@@ -11,61 +11,62 @@
 use crate::config_checker::ConfigChecker;
 use crate::inbox::Inbox;
 
-/// Keys as they were last told to the kernel.
+/// Reports changes of keys to the kernel, each once.
 #[derive(Debug)]
 pub(crate) struct ChangeFeed {
-    /// Revisions of the keys' last changes.
-    known: HashMap<Vec<u8>, i64>,
-    /// The engine.
+    /// Revision of the last reported change of each key.
+    revisions: HashMap<Vec<u8>, i64>,
+    /// Input channel of the engine.
     inbox: Inbox,
-    /// Checks of configurations.
+    /// Validates configurations.
     checker: ConfigChecker,
 }
 
 impl ChangeFeed {
-    /// Starts with no key known.
+    /// Starts without any reported key.
     pub(crate) fn new(inbox: Inbox, checker: ConfigChecker) -> Self {
-        Self { known: HashMap::new(), inbox, checker }
+        Self { revisions: HashMap::new(), inbox, checker }
     }
 
-    /// Tells what changed against the whole state of the store.
+    /// Reports how the whole state of the store differs from what was reported.
     ///
-    /// Keys may have been deleted while the watch was broken. Nobody tells of
-    /// that afterwards, and a host whose lease lapsed meanwhile would stay in
-    /// the kernel's view for ever; so what is missing here counts as deleted.
+    /// Keys may have been deleted while the watch was interrupted, and no later
+    /// event would report that: a host whose lease expired meanwhile would stay
+    /// in the kernel's membership for ever. Keys that are missing from `values`
+    /// are therefore reported as deleted.
     pub(crate) fn reconcile(&mut self, values: Vec<KeyValue>) {
-        let mut gone = std::mem::take(&mut self.known);
+        let mut missing = std::mem::take(&mut self.revisions);
         for value in values {
-            let told = gone.remove(&value.key);
-            if told == Some(value.mod_revision) {
-                self.known.insert(value.key, value.mod_revision);
+            let reported = missing.remove(&value.key);
+            if reported == Some(value.mod_revision) {
+                self.revisions.insert(value.key, value.mod_revision);
             } else {
                 self.put(value);
             }
         }
-        for key in gone.into_keys() {
-            self.tell(&key, 0, None);
+        for key in missing.into_keys() {
+            self.report(&key, 0, None);
         }
     }
 
-    /// Tells of a changed key.
+    /// Reports a changed key.
     pub(crate) fn put(&mut self, value: KeyValue) {
-        self.tell(&value.key, value.mod_revision, Some(value.value));
-        self.known.insert(value.key, value.mod_revision);
+        self.report(&value.key, value.mod_revision, Some(value.value));
+        self.revisions.insert(value.key, value.mod_revision);
     }
 
-    /// Tells of a deleted key.
+    /// Reports a deleted key.
     pub(crate) fn delete(&mut self, key: &[u8]) {
-        if self.known.remove(key).is_some() {
-            self.tell(key, 0, None);
+        if self.revisions.remove(key).is_some() {
+            self.report(key, 0, None);
         }
     }
 
-    fn tell(&self, key: &[u8], revision: i64, value: Option<Vec<u8>>) {
+    fn report(&self, key: &[u8], revision: i64, value: Option<Vec<u8>>) {
         let Ok(key) = std::str::from_utf8(key) else { return };
         let value = value.map(Bytes::from);
         if key == key::CONFIG {
-            return self.config(value);
+            return self.handle_config(value);
         }
         let event = if let Some(host) = key.strip_prefix(key::HOSTS) {
             host_event(host, value)
@@ -80,13 +81,14 @@
         };
         match event {
             Ok(event) => self.inbox.post_event(event),
-            // A value written past the tools; what was told before stays.
+            // The value was not written by the operators' tools. What was
+            // reported before stays in force.
             Err(reason) => log::error!("event=value_refused key={key} reason={reason:?}"),
         }
     }
 
-    /// Hands in a configuration; one that was deleted stays in force.
-    fn config(&self, value: Option<Bytes>) {
+    /// Passes on a configuration; a deleted one stays in force.
+    fn handle_config(&self, value: Option<Bytes>) {
         match value {
             Some(text) => self.checker.enqueue("store", text),
             None => log::error!("event=config_deleted key={}", key::CONFIG),
@@ -103,7 +105,7 @@
 }
 
 fn record_event(shard: &str, revision: i64, value: Option<Bytes>) -> Result<Event, String> {
-    let shard = shard.parse().map_err(|_| "the key names no shard".to_owned())?;
+    let shard = shard.parse().map_err(|_| "the key contains no shard number".to_owned())?;
     Ok(Event::Record { shard, revision: revision as u64, value: value.unwrap_or_default() })
 }
 
--- a/endivestile/src/store/connections.rs
+++ b/endivestile/src/store/connections.rs
@@ -18,108 +18,112 @@
 use crate::counters::{Counters, IoMetric};
 use crate::error::RunError;
 
-/// Longest message, in bytes: many values of up to a megabyte.
-const MAX_MESSAGE: usize = 64 << 20;
-/// Pause between two probes of a connection, in milliseconds.
-const PROBE_MS: u64 = 10_000;
-/// Time for the answer to a probe, in milliseconds.
-const PROBE_ANSWER_MS: u64 = 5_000;
+/// Longest message, in bytes; it carries many values of up to one megabyte.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
+/// Interval between two keep-alive pings on a connection, in milliseconds.
+const KEEPALIVE_INTERVAL_MS: u64 = 10_000;
+/// Timeout for the answer to a keep-alive ping, in milliseconds.
+const KEEPALIVE_TIMEOUT_MS: u64 = 5_000;
 
-/// One address of the store.
+/// Connection to one address of the store.
 #[derive(Debug, Clone)]
-struct Site {
-    /// The address, for the log.
+struct Connection {
+    /// The address, for log lines.
     address: String,
-    /// Its connection, made when it is first used.
+    /// The channel, which connects when it is first used.
     channel: Channel,
 }
 
-/// The store's addresses, used one at a time and in turn when calls fail.
+/// Connections to the store's addresses. One is used at a time; a failed call
+/// switches to the next.
 #[derive(Debug, Clone)]
 pub(crate) struct Connections {
-    /// All addresses.
-    sites: Arc<[Site]>,
-    /// Index of the address in use.
-    at: Arc<AtomicUsize>,
-    /// Told when the store seems to answer nothing any more.
+    /// Connections to all addresses.
+    connections: Arc<[Connection]>,
+    /// Index of the connection in use.
+    current_index: Arc<AtomicUsize>,
+    /// Notified when the store seems to be unresponsive.
     pub(crate) unresponsive: Arc<Notify>,
-    /// Time for one call, in milliseconds.
+    /// Timeout for one call, in milliseconds.
     timeout_ms: u64,
-    /// Counts.
+    /// Counters of the process.
     counters: Counters,
 }
 
 impl Connections {
-    /// Prepares the connections; must be called on the runtime.
+    /// Prepares the connections. Must be called on the runtime.
     pub(crate) fn new(settings: &StoreSettings, counters: Counters) -> Result<Self, RunError> {
-        let sites: Result<Vec<Site>, RunError> =
-            settings.addresses.iter().map(|address| site(address.to_string(), settings)).collect();
+        let connections: Result<Vec<Connection>, RunError> = settings
+            .addresses
+            .iter()
+            .map(|address| prepare(address.to_string(), settings))
+            .collect();
         Ok(Self {
-            sites: sites?.into(),
-            at: Arc::new(AtomicUsize::new(0)),
+            connections: connections?.into(),
+            current_index: Arc::new(AtomicUsize::new(0)),
             unresponsive: Arc::new(Notify::new()),
             timeout_ms: settings.timeout_ms,
             counters,
         })
     }
 
-    /// Returns the client for keys.
+    /// Returns a client for keys.
     pub(crate) fn kv_client(&self) -> KvClient<Channel> {
-        KvClient::new(self.channel()).max_decoding_message_size(MAX_MESSAGE)
+        KvClient::new(self.channel()).max_decoding_message_size(MAX_MESSAGE_BYTES)
     }
 
-    /// Returns the client for leases.
+    /// Returns a client for leases.
     pub(crate) fn lease_client(&self) -> LeaseClient<Channel> {
         LeaseClient::new(self.channel())
     }
 
-    /// Returns the client for watches.
+    /// Returns a client for watches.
     pub(crate) fn watch_client(&self) -> WatchClient<Channel> {
-        WatchClient::new(self.channel()).max_decoding_message_size(MAX_MESSAGE)
+        WatchClient::new(self.channel()).max_decoding_message_size(MAX_MESSAGE_BYTES)
     }
 
-    /// Makes one call, within the time for one.
+    /// Makes one call, which fails after the timeout.
     pub(crate) async fn call<T>(
         &self,
         step: &'static str,
-        tally: Option<IoMetric>,
+        metric: Option<IoMetric>,
         call: impl Future<Output = Result<T, Status>>,
     ) -> Result<T, StoreError> {
-        if let Some(tally) = tally {
-            self.counters.count_io(tally, 1);
+        if let Some(metric) = metric {
+            self.counters.count_io(metric, 1);
         }
-        let site = self.site();
+        let connection = self.current();
         let error = match timeout(Duration::from_millis(self.timeout_ms), call).await {
             Ok(Ok(answer)) => return Ok(answer),
             Ok(Err(status)) => {
                 let reason = format!("{:?}: {}", status.code(), status.message());
-                StoreError::Status { step, peer: site.address.clone(), reason }
+                StoreError::Status { step, peer: connection.address.clone(), reason }
             }
-            Err(_) => StoreError::Timeout { step, peer: site.address.clone() },
+            Err(_) => StoreError::Timeout { step, peer: connection.address.clone() },
         };
         self.counters.count_io(IoMetric::StoreErrors, 1);
-        self.turn(site);
+        self.fail_over(connection);
         Err(error)
     }
 
-    /// Turns to the next address, unless another call has turned already.
-    fn turn(&self, failed: &Site) {
-        let at = self.at.load(Ordering::Relaxed);
-        if self.sites[at].address == failed.address {
-            self.at.store((at + 1) % self.sites.len(), Ordering::Relaxed);
+    /// Switches to the next connection, unless another call has already switched.
+    fn fail_over(&self, failed: &Connection) {
+        let index = self.current_index.load(Ordering::Relaxed);
+        if self.connections[index].address == failed.address {
+            self.current_index.store((index + 1) % self.connections.len(), Ordering::Relaxed);
         }
     }
 
-    fn site(&self) -> &Site {
-        &self.sites[self.at.load(Ordering::Relaxed)]
+    fn current(&self) -> &Connection {
+        &self.connections[self.current_index.load(Ordering::Relaxed)]
     }
 
     fn channel(&self) -> Channel {
-        self.site().channel.clone()
+        self.current().channel.clone()
     }
 }
 
-fn site(address: String, settings: &StoreSettings) -> Result<Site, RunError> {
+fn prepare(address: String, settings: &StoreSettings) -> Result<Connection, RunError> {
     let failed = |e: tonic::transport::Error| RunError::Bind {
         step: "prepare-store",
         address: address.clone(),
@@ -129,9 +133,9 @@
         .map_err(failed)?
         .tcp_nodelay(true)
         .connect_timeout(Duration::from_millis(settings.timeout_ms))
-        .http2_keep_alive_interval(Duration::from_millis(PROBE_MS))
-        .keep_alive_timeout(Duration::from_millis(PROBE_ANSWER_MS))
+        .http2_keep_alive_interval(Duration::from_millis(KEEPALIVE_INTERVAL_MS))
+        .keep_alive_timeout(Duration::from_millis(KEEPALIVE_TIMEOUT_MS))
         .keep_alive_while_idle(true);
     let channel = endpoint.connect_lazy();
-    Ok(Site { address, channel })
+    Ok(Connection { address, channel })
 }
--- a/endivestile/src/store/error.rs
+++ b/endivestile/src/store/error.rs
@@ -3,20 +3,20 @@
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a call to the store gave nothing.
-    // The macro takes neither doc comments on fields nor `pub(crate)`.
+    /// Why a call to the store failed.
+    // The macro supports neither doc comments on fields nor `pub(crate)`.
     #[allow(missing_docs, unreachable_pub)]
     #[derive(Debug)]
     pub enum StoreError {
-        /// The call failed.
+        /// The store returned an error, or the connection failed.
         Status { step: &'static str, peer: String, reason: String } {
             display("step={step} peer={peer} error={reason:?}")
         }
-        /// No answer came in time.
+        /// No answer arrived within the timeout.
         Timeout { step: &'static str, peer: String } {
             display("step={step} peer={peer} error=timeout")
         }
-        /// The store ended the watch.
+        /// The watch has ended.
         Closed { step: &'static str } {
             display("step={step} error=closed")
         }
--- a/endivestile/src/store/mod.rs
+++ b/endivestile/src/store/mod.rs
@@ -17,7 +17,7 @@
 use endivestile_kernel::{Peer, StoreOp};
 use tokio::runtime::Handle;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
-use tokio::sync::watch as latest;
+use tokio::sync::watch as watch_channel;
 
 use crate::config_checker::ConfigChecker;
 use crate::counters::Counters;
@@ -27,64 +27,64 @@
 use connections::Connections;
 use registration::DesiredRegistration;
 
-/// Longest wait for the end of the registration when the process ends, in milliseconds.
-const LEAVE_MS: u64 = 1_000;
+/// Longest wait at shutdown until the registration has ended, in milliseconds.
+const DEREGISTER_TIMEOUT_MS: u64 = 1_000;
 
-/// What the tasks of the client share.
+/// State shared by the tasks of the client.
 #[derive(Debug, Clone)]
 pub(crate) struct Context {
-    /// This incarnation.
+    /// This incarnation of the host.
     pub(crate) me: Peer,
     /// Availability zone of this host.
     pub(crate) zone: Name,
-    /// Address that peers dial.
+    /// Address at which peers connect.
     pub(crate) address: Name,
-    /// Addresses and times.
+    /// Addresses and timeouts.
     pub(crate) settings: StoreSettings,
-    /// The engine.
+    /// Input channel of the engine.
     pub(crate) inbox: Inbox,
-    /// Checks of configurations.
+    /// Validates configurations.
     pub(crate) checker: ConfigChecker,
-    /// Counts.
+    /// Counters of the process.
     pub(crate) counters: Counters,
 }
 
 /// Calls the store, and keeps this host registered in it.
 #[derive(Debug, Clone)]
 pub(crate) struct Store {
-    /// Calls of the kernel.
+    /// Queue of the kernel's calls.
     call_queue: UnboundedSender<StoreCall>,
-    /// How the host is to be registered.
-    wish: latest::Sender<DesiredRegistration>,
+    /// Desired registration of this host.
+    desired: watch_channel::Sender<DesiredRegistration>,
 }
 
 impl Store {
     /// Starts the client's tasks on the runtime.
-    pub(crate) fn start(handle: &Handle, desk: Context) -> Result<Self, RunError> {
-        let _context = handle.enter();
-        let connections = Connections::new(&desk.settings, desk.counters.clone())?;
+    pub(crate) fn start(handle: &Handle, context: Context) -> Result<Self, RunError> {
+        let _guard = handle.enter();
+        let connections = Connections::new(&context.settings, context.counters.clone())?;
         let (call_queue, pending) = unbounded_channel();
-        let (wish, wishes) = latest::channel(DesiredRegistration::default());
-        handle.spawn(calls::serve(connections.clone(), desk.inbox.clone(), pending));
-        handle.spawn(watch::run(connections.clone(), desk.clone()));
-        handle.spawn(registration::run(connections, desk, wishes));
-        Ok(Self { call_queue, wish })
+        let (desired, changes) = watch_channel::channel(DesiredRegistration::default());
+        handle.spawn(calls::serve(connections.clone(), context.inbox.clone(), pending));
+        handle.spawn(watch::run(connections.clone(), context.clone()));
+        handle.spawn(registration::run(connections, context, changes));
+        Ok(Self { call_queue, desired })
     }
 
-    /// Makes a call for the kernel.
+    /// Queues a call of the kernel.
     pub(crate) fn call(&self, token: u64, op: StoreOp) {
         let _ = self.call_queue.send(StoreCall { token, op });
     }
 
-    /// Registers the host anew, as leaving or not.
+    /// Registers the host again, as leaving or not.
     pub(crate) fn register(&self, leaving: bool) {
-        self.wish.send_modify(|wish| wish.leaving = leaving);
+        self.desired.send_modify(|desired| desired.leaving = leaving);
     }
 
-    /// Ends the registration, so that peers need not wait for the lease to lapse.
+    /// Ends the registration, so that peers need not wait for the lease to expire.
     pub(crate) fn deregister(&self) {
-        let (done, left) = mpsc::sync_channel(1);
-        self.wish.send_modify(|wish| wish.done = Some(done));
-        let _ = left.recv_timeout(Duration::from_millis(LEAVE_MS));
+        let (done, ended) = mpsc::sync_channel(1);
+        self.desired.send_modify(|desired| desired.done = Some(done));
+        let _ = ended.recv_timeout(Duration::from_millis(DEREGISTER_TIMEOUT_MS));
     }
 }
--- a/endivestile/src/store/registration.rs
+++ b/endivestile/src/store/registration.rs
@@ -14,39 +14,39 @@
 use super::lease::Lease;
 use super::{Context, calls};
 
-/// Refreshes within the life of a lease; two may be lost before it lapses.
-const REFRESHES: u64 = 3;
+/// Renewals during the lifetime of a lease; two may fail before it expires.
+const RENEWALS_PER_LEASE: u64 = 3;
 
-/// How the host is to be registered.
+/// Desired registration of the host.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DesiredRegistration {
-    /// Whether it is leaving.
+    /// Whether the host is leaving.
     pub(crate) leaving: bool,
-    /// Told once the registration has ended, which is wished with it.
+    /// When set, the registration is to end, and this is notified once it has.
     pub(crate) done: Option<SyncSender<()>>,
 }
 
-/// Registers the host, and again after each lapse, until it leaves or a later
-/// incarnation has taken its name.
+/// Registers the host, and again each time its lease has expired, until it
+/// leaves or a later incarnation has registered under its name.
 pub(crate) async fn run(
     connections: Connections,
-    desk: Context,
-    wishes: Receiver<DesiredRegistration>,
+    context: Context,
+    desired: Receiver<DesiredRegistration>,
 ) {
-    let mut backoff = Backoff::new(desk.settings.backoff_ms);
-    let mut keeper = Keeper { connections, desk, wishes, lease: None, failing: false };
+    let mut backoff = Backoff::new(context.settings.backoff_ms);
+    let mut registrar = Registrar { connections, context, desired, lease: None, failing: false };
     loop {
-        match keeper.keep(&mut backoff).await {
+        match registrar.maintain(&mut backoff).await {
             Ok(()) => return,
             Err(e @ StoreError::Superseded { .. }) => {
                 log::error!("event=registration_ended {e}");
                 return;
             }
             Err(e) => {
-                let level = if keeper.failing { log::Level::Debug } else { log::Level::Warn };
+                let level = if registrar.failing { log::Level::Debug } else { log::Level::Warn };
                 log::log!(level, "event=registration_failed {e}");
-                keeper.failing = true;
-                keeper.connections.unresponsive.notify_waiters();
+                registrar.failing = true;
+                registrar.connections.unresponsive.notify_waiters();
                 backoff.wait().await;
             }
         }
@@ -54,80 +54,81 @@
 }
 
 /// The registration with its lease.
-struct Keeper {
+struct Registrar {
     /// The store.
     connections: Connections,
-    /// What all tasks share.
-    desk: Context,
-    /// How the host is to be registered.
-    wishes: Receiver<DesiredRegistration>,
-    /// The lease, kept over errors: it may still live.
+    /// State shared by the tasks of the client.
+    context: Context,
+    /// Desired registration of the host.
+    desired: Receiver<DesiredRegistration>,
+    /// The lease, kept after an error, since it may still be valid.
     lease: Option<Lease>,
-    /// Whether the last attempt failed, and the log says so already.
+    /// Whether the last attempt failed and was logged.
     failing: bool,
 }
 
-impl Keeper {
-    /// Keeps the registration until the host leaves.
-    async fn keep(&mut self, backoff: &mut Backoff) -> Result<(), StoreError> {
+impl Registrar {
+    /// Maintains the registration until the host leaves.
+    async fn maintain(&mut self, backoff: &mut Backoff) -> Result<(), StoreError> {
         let mut lease = self.ensure_lease().await?;
-        self.put(lease).await?;
+        self.write(lease).await?;
         backoff.reset();
         self.failing = false;
-        let pause = Duration::from_millis(self.desk.settings.lease_s * 1_000 / REFRESHES);
+        let interval =
+            Duration::from_millis(self.context.settings.lease_s * 1_000 / RENEWALS_PER_LEASE);
         loop {
-            let until = Instant::now() + pause;
+            let next_renewal = Instant::now() + interval;
             tokio::select! {
-                () = sleep_until(until) => {
+                () = sleep_until(next_renewal) => {
                     if !lease.renew(&self.connections).await? {
                         log::warn!("event=lease_lapsed");
                         self.lease = None;
                         lease = self.ensure_lease().await?;
-                        self.put(lease).await?;
+                        self.write(lease).await?;
                     }
                 }
-                changed = self.wishes.changed() => {
-                    let done = self.wishes.borrow_and_update().done.clone();
+                changed = self.desired.changed() => {
+                    let done = self.desired.borrow_and_update().done.clone();
                     if changed.is_err() || done.is_some() {
-                        return self.leave(lease, done).await;
+                        return self.deregister(lease, done).await;
                     }
-                    self.put(lease).await?;
+                    self.write(lease).await?;
                 }
             }
         }
     }
 
-    /// Returns the lease if it lives, or a new one.
+    /// Returns the lease if it is still valid, or a new one.
     async fn ensure_lease(&mut self) -> Result<Lease, StoreError> {
         if let Some(lease) = self.lease
             && lease.renew(&self.connections).await?
         {
             return Ok(lease);
         }
-        let lease = Lease::grant(&self.connections, self.desk.settings.lease_s).await?;
+        let lease = Lease::grant(&self.connections, self.context.settings.lease_s).await?;
         self.lease = Some(lease);
         Ok(lease)
     }
 
     /// Writes the registration under the lease.
     ///
-    /// A process that was paused for long may wake beside its successor of the
-    /// same name. Writing blindly it would take the name back, and peers would
-    /// send work to a process that owns nothing; so it looks first, and writes
-    /// only over the state that it saw.
-    async fn put(&mut self, lease: Lease) -> Result<(), StoreError> {
-        let key = format!("{}{}", key::HOSTS, self.desk.me.host);
+    /// A process that was paused for long may resume after a later process has
+    /// registered under the same name. An unconditional write would replace that
+    /// registration, and peers would send work to a process that owns nothing.
+    /// The key is therefore read first, and only the value read is replaced.
+    async fn write(&mut self, lease: Lease) -> Result<(), StoreError> {
+        let key = format!("{}{}", key::HOSTS, self.context.me.host);
         loop {
             let (revision, value) = match calls::get(&self.connections, &key).await? {
                 Stored::Value { revision, value } => (revision, value),
                 _ => (0, bytes::Bytes::new()),
             };
-            if let Ok(held) = serde_json::from_slice::<Registration>(&value)
-                && held.peer.birth > self.desk.me.birth
+            if let Ok(registered) = serde_json::from_slice::<Registration>(&value)
+                && registered.peer.birth > self.context.me.birth
             {
-                return Err(StoreError::Superseded { incarnation: held.peer.birth });
+                return Err(StoreError::Superseded { incarnation: registered.peer.birth });
             }
-            let put = self.request(&key, lease);
+            let put = self.put_request(&key, lease);
             let stored =
                 calls::compare_and_swap(&self.connections, "register", revision as i64, put)
                     .await?;
@@ -137,20 +138,24 @@
         }
     }
 
-    fn request(&self, key: &str, lease: Lease) -> PutRequest {
+    fn put_request(&self, key: &str, lease: Lease) -> PutRequest {
         let registration = Registration {
-            peer: self.desk.me.clone(),
-            zone: self.desk.zone.clone(),
-            address: self.desk.address.clone(),
-            leaving: self.wishes.borrow().leaving,
+            peer: self.context.me.clone(),
+            zone: self.context.zone.clone(),
+            address: self.context.address.clone(),
+            leaving: self.desired.borrow().leaving,
         };
-        // A struct of strings and numbers always has a JSON form.
+        // Serializing a struct of strings and numbers cannot fail.
         let value = serde_json::to_vec(&registration).unwrap_or_default();
         PutRequest { key: key.as_bytes().to_vec(), value, lease: lease.0 }
     }
 
-    /// Ends the registration; a store that is down lets the lease lapse.
-    async fn leave(&self, lease: Lease, done: Option<SyncSender<()>>) -> Result<(), StoreError> {
+    /// Ends the registration. If the store is down, the lease expires instead.
+    async fn deregister(
+        &self,
+        lease: Lease,
+        done: Option<SyncSender<()>>,
+    ) -> Result<(), StoreError> {
         if let Err(e) = lease.revoke(&self.connections).await {
             log::warn!("event=revoke_failed {e}");
         }
--- a/endivestile/src/store/watch.rs
+++ b/endivestile/src/store/watch.rs
@@ -18,46 +18,47 @@
 use super::error::StoreError;
 use crate::counters::IoMetric;
 
-/// First keys of the watched ranges, and prefixes that end them. The audit
-/// trail sorts before the configuration and is left out: no host needs it.
+/// Watched ranges, each from a first key to the end of a prefix. The audit
+/// trail sorts before the configuration and is excluded, since no host needs it.
 const RANGES: [(&str, &str); 2] =
     [(key::CONFIG, key::STOPS), (key::PLATFORM_HOSTS, key::PLATFORM_HOSTS)];
 
-/// Reads and watches until the process ends.
-pub(crate) async fn run(connections: Connections, desk: Context) {
-    let mut feed = ChangeFeed::new(desk.inbox.clone(), desk.checker.clone());
-    let mut backoff = Backoff::new(desk.settings.backoff_ms);
-    let mut session = Session { connections, desk, up: false };
+/// Reads and watches the store until the process ends.
+pub(crate) async fn run(connections: Connections, context: Context) {
+    let mut feed = ChangeFeed::new(context.inbox.clone(), context.checker.clone());
+    let mut backoff = Backoff::new(context.settings.backoff_ms);
+    let mut session = Session { connections, context, up: false };
     let mut first = true;
     loop {
         let Err(e) = session.run(&mut feed, &mut backoff).await;
-        // One line for an outage; its further attempts would bury the rest.
+        // Only the first error of an outage is a warning; the repeated attempts
+        // would flood the log.
         let level = if session.up || first { log::Level::Warn } else { log::Level::Debug };
         log::log!(level, "event=store_down {e}");
         first = false;
         if session.up {
             session.up = false;
-            session.desk.inbox.post_event(Input::Store(false));
+            session.context.inbox.post_event(Input::Store(false));
         }
         backoff.wait().await;
     }
 }
 
-/// Nothing: a session ends by an error only.
+/// Uninhabited type: a session only ever ends with an error.
 enum Never {}
 
-/// One span in which the watch stands.
+/// A session of the watch, from reading the state to the first error.
 struct Session {
     /// The store.
     connections: Connections,
-    /// What all tasks share.
-    desk: Context,
-    /// Whether the kernel was told that the watch stands.
+    /// State shared by the tasks of the client.
+    context: Context,
+    /// Whether the watch is established and the kernel has been notified.
     up: bool,
 }
 
 impl Session {
-    /// Reads the whole state, then follows its changes from there.
+    /// Reads the whole state, then follows the changes after it.
     async fn run(
         &mut self,
         feed: &mut ChangeFeed,
@@ -67,12 +68,12 @@
         feed.reconcile(values);
         let (requests, queue) = mpsc::channel(RANGES.len());
         for (first, last) in RANGES {
-            let _ = requests.try_send(create(first, last, revision + 1));
+            let _ = requests.try_send(watch_request(first, last, revision + 1));
         }
         let mut client = self.connections.watch_client();
         let open = client.watch(ReceiverStream::new(queue));
-        let tally = Some(IoMetric::WatchCalls);
-        let mut answers = self.connections.call("watch", tally, open).await?.into_inner();
+        let metric = Some(IoMetric::WatchCalls);
+        let mut answers = self.connections.call("watch", metric, open).await?.into_inner();
         let mut created = 0;
         while created < RANGES.len() {
             let answer = self.connections.call("watch", None, answers.message()).await?;
@@ -81,18 +82,18 @@
         self.up = true;
         backoff.reset();
         log::info!("event=store_up revision={revision}");
-        self.desk.inbox.post_event(Input::Store(true));
+        self.context.inbox.post_event(Input::Store(true));
         self.follow(feed, &mut answers).await
     }
 
-    /// Follows changes. A store that stands still sends nothing, just as one
-    /// without changes; the refreshes of the lease tell them apart.
+    /// Follows changes. A store that hangs sends nothing, like one without
+    /// changes; only failed lease renewals distinguish the two.
     async fn follow(
         &self,
         feed: &mut ChangeFeed,
         answers: &mut Streaming<WatchResponse>,
     ) -> Result<Never, StoreError> {
-        let closed = |status: tonic::Status| StoreError::Status {
+        let stream_error = |status: tonic::Status| StoreError::Status {
             step: "watch",
             peer: "store".to_owned(),
             reason: status.message().to_owned(),
@@ -100,7 +101,7 @@
         loop {
             tokio::select! {
                 answer = answers.message() => {
-                    apply(feed, answer.map_err(closed)?)?;
+                    apply(feed, answer.map_err(stream_error)?)?;
                 }
                 () = self.connections.unresponsive.notified() => {
                     return Err(StoreError::Closed { step: "refresh" });
@@ -109,16 +110,16 @@
         }
     }
 
-    /// Reads all watched keys, with the revision from which changes are to be
-    /// followed: the earlier one, so that nothing between two reads is missed.
+    /// Reads all watched keys. Returns the earliest revision of the reads, after
+    /// which changes are followed, so that none between two reads is missed.
     async fn load(&self) -> Result<(Vec<KeyValue>, i64), StoreError> {
         let mut values = Vec::new();
         let mut revision = i64::MAX;
         for (first, last) in RANGES {
             let mut client = self.connections.kv_client();
-            let read = client.range(range(first, last));
-            let tally = Some(IoMetric::WatchCalls);
-            let answer = self.connections.call("load", tally, read).await?.into_inner();
+            let read = client.range(range_request(first, last));
+            let metric = Some(IoMetric::WatchCalls);
+            let answer = self.connections.call("load", metric, read).await?.into_inner();
             revision = revision.min(answer.header.map_or(0, |header| header.revision));
             values.extend(answer.kvs);
         }
@@ -126,7 +127,7 @@
     }
 }
 
-fn range(first: &str, last: &str) -> RangeRequest {
+fn range_request(first: &str, last: &str) -> RangeRequest {
     RangeRequest {
         key: first.as_bytes().to_vec(),
         range_end: key::range_end(last),
@@ -134,7 +135,7 @@
     }
 }
 
-fn create(first: &str, last: &str, revision: i64) -> WatchRequest {
+fn watch_request(first: &str, last: &str, revision: i64) -> WatchRequest {
     let create = WatchCreateRequest {
         key: first.as_bytes().to_vec(),
         range_end: key::range_end(last),
@@ -144,12 +145,12 @@
     WatchRequest { request_union: Some(RequestUnion::CreateRequest(create)) }
 }
 
-/// Tells of the changes in an answer; returns whether it created a watch.
+/// Reports the changes in an answer. Returns whether it confirms a new watch.
 fn apply(feed: &mut ChangeFeed, answer: Option<WatchResponse>) -> Result<bool, StoreError> {
     let answer = answer.ok_or(StoreError::Closed { step: "watch" })?;
     if answer.canceled {
-        // Changes were compacted away, or the store gave the watch up: only a
-        // new reading of the whole state tells what happened.
+        // Changes were compacted, or the store cancelled the watch. The whole
+        // state has to be read again to find out what has changed.
         return Err(StoreError::Closed { step: "watch" });
     }
     for event in answer.events {
