--- a/endivestile/tests/back_ends.rs
+++ b/endivestile/tests/back_ends.rs
@@ -1,23 +1,23 @@
-//! Each way in which a call to a back end can end, seen by the caller and counted at the back end.
+//! Outcomes of calls to backends, as callers see them and as the backends count them.
 
 mod common;
 
 use std::thread;
 
-use common::{Rig, dated, wait_for};
+use common::{Rig, dated_id, wait_for};
 use endivestile_testkit::{Fault, echo};
 use test_case::test_case;
 
 #[test]
 fn order_answered() {
     let rig = Rig::start(&[]);
-    let got = rig.daemon.order("k", r#"{"key":"k"}"#);
+    let got = rig.daemon.submit_order("k", r#"{"key":"k"}"#);
     assert_eq!((got.status, got.body), (200, echo(r#"{"key":"k"}"#)));
     assert_eq!(rig.backends.count("k"), 1);
 }
 
-/// Two callers' requests are answered late and in another order than they
-/// came. One who got the other's answer would confirm the wrong booking.
+/// Requests of several callers are answered in another order than they arrived.
+/// Each caller must get its own answer, not that of another one.
 #[test]
 fn order_out_of_order() {
     let rig = Rig::start(&[]);
@@ -27,7 +27,7 @@
         for (at, work) in works.iter().enumerate() {
             let daemon = &rig.daemon;
             scope.spawn(move || {
-                let got = daemon.order(&format!("k{at}"), work);
+                let got = daemon.submit_order(&format!("k{at}"), work);
                 assert_eq!((got.status, got.body), (200, echo(work)));
             });
         }
@@ -35,31 +35,30 @@
     assert_eq!(rig.backends.doubled(), Vec::new());
 }
 
-/// The backend server takes the request and its answer is lost: it closes the
-/// connection, sends half, or fails. The caller is told that it failed, and
-/// the payment is not made a second time.
+/// The backend server accepts the request and its answer is lost: it closes the
+/// connection, sends half an answer, or fails. The caller gets a failure, and
+/// the task is not started a second time.
 #[test_case(Fault::Close, "s1 was lost"; "closed after reading")]
 #[test_case(Fault::Half, "s1 was lost"; "half an answer")]
 #[test_case(Fault::Status(500), "status 500"; "error status")]
 fn order_lost(fault: Fault, reason: &str) {
     let rig = Rig::start(&[]);
     rig.backends.set_fault("s1", fault);
-    let got = rig.daemon.order("k", r#"{"key":"k"}"#);
+    let got = rig.daemon.submit_order("k", r#"{"key":"k"}"#);
     assert_eq!((got.status, got.field("status")), (502, "failed".into()), "{}", got.body);
     assert!(got.body.contains(reason), "{}", got.body);
     assert_eq!(rig.backends.count("k"), 1);
 }
 
-/// The backend server cannot be reached, is full, or leaves, and says so before
-/// it starts anything. The caller hears "not run" at its deadline at the
-/// latest, and nothing ran.
+/// The backend server refuses connections, or refuses the task because it is full
+/// or leaving. The caller gets "not run" by its deadline, and nothing ran.
 #[test_case(Fault::Refuse; "connection refused")]
 #[test_case(Fault::Busy; "busy")]
 #[test_case(Fault::Leaving; "leaving")]
 fn order_not_run(fault: Fault) {
     let rig = Rig::start(&[]);
     rig.backends.set_fault("s1", fault);
-    let headers = [("Team", "m1"), ("Idempotency-Key", &*dated("k")), ("Deadline-Ms", "5000")];
+    let headers = [("Team", "m1"), ("Idempotency-Key", &*dated_id("k")), ("Deadline-Ms", "5000")];
     let got = rig.daemon.post("/v1/requests/orders", &headers, r#"{"key":"k"}"#);
     assert_eq!((got.status, got.field("status")), (503, "not run".into()), "{}", got.body);
     assert!(got.retry.is_some());
@@ -67,40 +66,40 @@
 }
 
 /// The backend server runs the task and never answers. The caller waits no
-/// longer than its deadline, and hears that the task may have run.
+/// longer than its deadline and gets a failure, since the task may have run.
 #[test]
-fn order_silent() {
+fn order_unanswered() {
     let rig = Rig::start(&[]);
-    assert_eq!(rig.daemon.order("first", "first").status, 200);
+    assert_eq!(rig.daemon.submit_order("first", "first").status, 200);
     rig.backends.set_fault("s1", Fault::Silent);
-    let headers = [("Team", "m1"), ("Idempotency-Key", &*dated("k")), ("Deadline-Ms", "3000")];
+    let headers = [("Team", "m1"), ("Idempotency-Key", &*dated_id("k")), ("Deadline-Ms", "3000")];
     let got = rig.daemon.post("/v1/requests/orders", &headers, r#"{"key":"k"}"#);
     assert_eq!((got.status, got.field("status")), (504, "failed".into()), "{}", got.body);
     assert_eq!(rig.backends.count("k"), 1);
 }
 
-/// The backend server closes connections that the entry host still keeps. A
-/// request that fell into one would be lost, and its caller told that it failed.
+/// The backend server closes idle connections that the entry host still keeps. A
+/// request sent over one of them would be lost and reported as failed.
 #[test]
 fn order_stale_connection() {
     let rig = Rig::start(&[]);
     for at in 0..20 {
         let key = format!("k{at}");
-        let got = rig.daemon.order(&key, &format!(r#"{{"key":"{key}"}}"#));
+        let got = rig.daemon.submit_order(&key, &format!(r#"{{"key":"{key}"}}"#));
         assert_eq!(got.status, 200, "{}", got.body);
         rig.backends.cut("s1");
-        // The end of the connection must have crossed the loopback.
+        // The close must have arrived over the loopback interface.
         thread::sleep(std::time::Duration::from_millis(20));
     }
     assert_eq!(rig.backends.doubled(), Vec::new());
 }
 
-/// A caller resubmits a booking whose answer it lost, and gets the answer of
-/// the first try.
+/// A caller resubmits a request whose answer it lost, and gets the answer to the
+/// first submission.
 #[test]
 fn order_resubmitted() {
     let rig = Rig::start(&[]);
-    let headers = [("Team", "m1"), ("Idempotency-Key", &*dated("k"))];
+    let headers = [("Team", "m1"), ("Idempotency-Key", &*dated_id("k"))];
     let work = r#"{"key":"k"}"#;
     let first = rig.daemon.post("/v1/requests/orders", &headers, work);
     let again = rig.daemon.post("/v1/requests/orders", &headers, work);
@@ -111,9 +110,9 @@
 }
 
 #[test]
-fn job_complete_and_asked() {
+fn job_complete_and_fetched() {
     let rig = Rig::start(&[]);
-    let id = dated("job");
+    let id = dated_id("job");
     let task = |key: &str| format!(r#"{{"service":"orders","work":"{key}"}}"#);
     let body = format!(r#"{{"tasks":[{},{}]}}"#, task("one"), task("two"));
     let headers = [("Team", "m1"), ("Idempotency-Key", &*id), ("Want-Ids", "3")];
@@ -121,20 +120,20 @@
     let results = serde_json::json!([echo("one"), echo("two")]);
     assert_eq!((got.status, got.field("results")), (200, results.clone()), "{}", got.body);
     assert_eq!(got.minted.len(), 3);
-    let asked = rig.daemon.get(&format!("/v1/submissions/{id}"));
-    assert_eq!((asked.status, asked.field("results")), (200, results));
-    // The shard of the other id may still be without a home this soon after the start.
-    let unknown = format!("/v1/submissions/{}", dated("none"));
+    let fetched = rig.daemon.get(&format!("/v1/submissions/{id}"));
+    assert_eq!((fetched.status, fetched.field("results")), (200, results));
+    // Shortly after the start, the shard of the other id may not have a home yet.
+    let unknown = format!("/v1/submissions/{}", dated_id("none"));
     wait_for("a home for the id", || rig.daemon.get(&unknown).status != 503);
     assert_eq!(rig.daemon.get(&unknown).status, 404);
 }
 
-/// A caller cancels a job that runs. It must not wait for the back end, which
+/// A caller cancels a running job. The reply must not wait for the backend, which
 /// may take until the deadline.
 #[test]
 fn job_cancelled() {
     let rig = Rig::start(&[]);
-    let id = dated("job");
+    let id = dated_id("job");
     let body = r#"{"tasks":[{"service":"orders","work":"{\"key\":\"k\",\"ms\":15000}"}]}"#;
     thread::scope(|scope| {
         let waiting = scope.spawn(|| {
@@ -146,7 +145,7 @@
         let got = waiting.join().expect("caller");
         assert_eq!((got.status, got.field("status")), (409, "cancelled".into()), "{}", got.body);
     });
-    assert_eq!(rig.backends.running(), 1, "the answer came before the back end's");
+    assert_eq!(rig.backends.running(), 1, "the reply came before the backend's answer");
 }
 
 #[test]
@@ -161,26 +160,25 @@
     assert_eq!(rig.backends.count("w"), 1);
 }
 
-/// An old backend server sends its answer without a length and closes the
-/// connection, and the answer may have been cut. It must not reach the caller
-/// as a whole one.
+/// A backend server sends its answer without a length and closes the connection.
+/// The answer may be truncated and must not be returned as complete.
 #[test]
-fn order_unframed() {
+fn order_undelimited_answer() {
     let rig = Rig::start(&[]);
-    let old = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
-    let address = old.local_addr().expect("address").to_string();
+    let server = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
+    let address = server.local_addr().expect("address").to_string();
     let config =
         common::config(2, &rig.backends).replace(&rig.backends.address("s1").to_string(), &address);
     rig.store.put("endivestile/config", config);
     let serving = thread::spawn(move || {
-        let (mut stream, _) = old.accept().expect("accept");
+        let (mut stream, _) = server.accept().expect("accept");
         let mut request = [0; 4096];
         let _ = std::io::Read::read(&mut stream, &mut request);
         let reply = b"HTTP/1.1 200 OK\r\n\r\nhalf of it";
         std::io::Write::write_all(&mut stream, reply).expect("write");
     });
     wait_for("the configuration", || rig.daemon.get("/status").field("revision") == 2);
-    let got = rig.daemon.order("k", "k");
+    let got = rig.daemon.submit_order("k", "k");
     assert_eq!((got.status, got.field("status")), (502, "failed".into()), "{}", got.body);
     serving.join().expect("server");
 }
--- a/endivestile/tests/common/mod.rs
+++ b/endivestile/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Starts the daemon as a process between stand-ins, and calls it.
-// Each test file uses its own part of this.
+//! Runs the daemon as a process with stand-ins for store and backends, and calls it.
+// Each test file uses only some of these items.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,14 +13,14 @@
 use serde_json::Value;
 use ureq::Agent;
 
-/// How long a condition may take to become true on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for a condition on a busy machine.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// Waits until `condition` holds.
 pub(crate) fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_LIMIT;
     while !condition() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Returns a configuration with the given revision.
+/// Returns a configuration with the given revision and the address of `s1`.
 pub(crate) fn config(revision: u64, backends: &BackendStandIn) -> String {
     format!(
         "[configuration]\nrevision={revision}\n\
@@ -59,7 +59,7 @@
     )
 }
 
-/// The daemon as a process.
+/// The daemon as a process, with its log so far.
 pub(crate) struct Daemon {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
@@ -69,11 +69,11 @@
 }
 
 impl Daemon {
-    /// Starts the daemon on ephemeral ports, which its first log line names.
+    /// Starts the daemon on ephemeral ports, which it logs at the start.
     pub(crate) fn start(store: &StoreStandIn, host: &str, overrides: &[&str]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_endivestile"));
         let address = store.address();
-        for set in [
+        for setting in [
             format!("host.name={host}"),
             "host.zone=a".to_owned(),
             "host.http=127.0.0.1:0".to_owned(),
@@ -82,34 +82,34 @@
             "store.backoff-ms=200".to_owned(),
             "store.timeout-ms=500".to_owned(),
         ] {
-            command.args(["--set", &set]);
+            command.args(["--set", &setting]);
         }
-        for set in overrides {
-            command.args(["--set", set]);
+        for setting in overrides {
+            command.args(["--set", setting]);
         }
         let mut child =
             command.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().expect("daemon");
         let lines = Arc::new(Mutex::new(Vec::new()));
-        let (output, kept) = (child.stdout.take().expect("stdout"), Arc::clone(&lines));
+        let (output, log) = (child.stdout.take().expect("stdout"), Arc::clone(&lines));
         thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                kept.lock().expect("lines").push(line);
+                log.lock().expect("lines").push(line);
             }
         });
         let agent = Agent::config_builder().http_status_as_error(false).build().new_agent();
         let (http, peers) = (String::new(), String::new());
         let mut daemon = Self { child, lines, http, peers, agent };
         let line = daemon.wait_line("event=listening");
-        daemon.http = word(&line, "http=");
-        daemon.peers = word(&line, "peers=");
+        daemon.http = log_value(&line, "http=");
+        daemon.peers = log_value(&line, "peers=");
         daemon
     }
 
-    /// Waits for a log line and returns it.
-    pub(crate) fn wait_line(&self, part: &str) -> String {
+    /// Waits for a log line that contains `text`, and returns it.
+    pub(crate) fn wait_line(&self, text: &str) -> String {
         let mut found = None;
-        wait_for(part, || {
-            found = self.lines().into_iter().find(|line| line.contains(part));
+        wait_for(text, || {
+            found = self.lines().into_iter().find(|line| line.contains(text));
             found.is_some()
         });
         found.unwrap_or_default()
@@ -120,12 +120,12 @@
         self.lines.lock().expect("lines").clone()
     }
 
-    /// Waits until new work is taken.
+    /// Waits until the daemon accepts new work.
     pub(crate) fn wait_ready(&self) {
         wait_for("ready", || self.get("/ready").status == 200);
     }
 
-    /// Waits until every shard of callers' own ids has its home here.
+    /// Waits until this host is the home of every shard of callers' own ids.
     pub(crate) fn wait_homes(&self) {
         wait_for("homes", || {
             let page: Value = serde_json::from_str(&self.get("/status").body).unwrap_or_default();
@@ -135,44 +135,45 @@
     }
 
     /// Calls with the method GET.
-    pub(crate) fn get(&self, path: &str) -> Got {
-        Got::new(self.agent.get(self.url(path)).call())
+    pub(crate) fn get(&self, path: &str) -> HttpReply {
+        HttpReply::new(self.agent.get(self.url(path)).call())
     }
 
     /// Calls with the method DELETE.
-    pub(crate) fn delete(&self, path: &str) -> Got {
-        Got::new(self.agent.delete(self.url(path)).call())
+    pub(crate) fn delete(&self, path: &str) -> HttpReply {
+        HttpReply::new(self.agent.delete(self.url(path)).call())
     }
 
     /// Calls with the method POST.
-    pub(crate) fn post(&self, path: &str, headers: &[(&str, &str)], body: &str) -> Got {
+    pub(crate) fn post(&self, path: &str, headers: &[(&str, &str)], body: &str) -> HttpReply {
         let mut call = self.agent.post(self.url(path));
         for (name, value) in headers {
             call = call.header(*name, *value);
         }
-        Got::new(call.send(body))
+        HttpReply::new(call.send(body))
     }
 
     /// Submits a non-idempotent request to `orders` under a fresh id.
-    pub(crate) fn order(&self, key: &str, work: &str) -> Got {
-        let id = dated(key);
+    pub(crate) fn submit_order(&self, key: &str, work: &str) -> HttpReply {
+        let id = dated_id(key);
         self.post("/v1/requests/orders", &[("Team", "m1"), ("Idempotency-Key", &id)], work)
     }
 
-    /// Sends bytes as they are, and returns what came back until the connection ended.
-    pub(crate) fn raw(&self, bytes: &[u8]) -> String {
+    /// Sends bytes unchanged, and returns the reply up to the end of its head or of the
+    /// connection.
+    pub(crate) fn send_raw(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(&self.http).expect("connect");
         stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
         stream.write_all(bytes).expect("write");
-        let mut text = Vec::new();
-        let mut part = [0; 4096];
-        while !text.windows(4).any(|w| w == b"\r\n\r\n") {
-            match stream.read(&mut part) {
+        let mut head = Vec::new();
+        let mut buffer = [0; 4096];
+        while !head.windows(4).any(|w| w == b"\r\n\r\n") {
+            match stream.read(&mut buffer) {
                 Ok(0) | Err(_) => break,
-                Ok(len) => text.extend_from_slice(&part[..len]),
+                Ok(len) => head.extend_from_slice(&buffer[..len]),
             }
         }
-        String::from_utf8_lossy(&text).into_owned()
+        String::from_utf8_lossy(&head).into_owned()
     }
 
     /// Sends a signal, such as `TERM`.
@@ -182,10 +183,10 @@
         assert!(status.success());
     }
 
-    /// Waits until the process has ended, and returns its exit code.
+    /// Waits until the process has exited, and returns its exit code.
     pub(crate) fn wait_exit(&mut self) -> Option<i32> {
         let mut code = None;
-        wait_for("the end of the daemon", || {
+        wait_for("the daemon to exit", || {
             code = self.child.try_wait().expect("wait").map(|status| status.code());
             code.is_some()
         });
@@ -207,10 +208,10 @@
     }
 }
 
-/// What a caller got.
+/// Reply to a caller.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Got {
-    /// HTTP status, 0 when the connection ended without one.
+pub(crate) struct HttpReply {
+    /// HTTP status, or 0 if the connection ended without a reply.
     pub(crate) status: u16,
     /// Header `Retry-After`.
     pub(crate) retry: Option<String>,
@@ -220,7 +221,7 @@
     pub(crate) body: String,
 }
 
-impl Got {
+impl HttpReply {
     fn new(result: Result<ureq::http::Response<ureq::Body>, ureq::Error>) -> Self {
         let Ok(mut response) = result else {
             return Self { status: 0, retry: None, minted: Vec::new(), body: String::new() };
@@ -242,12 +243,12 @@
     }
 }
 
-/// Returns an id dated now.
-pub(crate) fn dated(key: &str) -> String {
+/// Returns an id with the current time as its date.
+pub(crate) fn dated_id(key: &str) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("clock");
     format!("{}:{key}", now.as_secs())
 }
 
-fn word(line: &str, key: &str) -> String {
+fn log_value(line: &str, key: &str) -> String {
     line.split(' ').find_map(|pair| pair.strip_prefix(key)).expect("pair").to_owned()
 }
--- a/endivestile/tests/connections.rs
+++ b/endivestile/tests/connections.rs
@@ -10,12 +10,11 @@
 
 use common::Rig;
 
-/// Many callers connect at the same moment and keep their connections. The
-/// HTTP library may queue a connection behind a thread that is already taken,
-/// and would serve it when another caller goes away: officers at the gate
-/// would wait for an answer while the host is idle.
+/// Many callers connect at the same moment and keep their connections. The HTTP
+/// library may queue a connection for a thread that is already taken, and would
+/// not serve it until another caller disconnects, although the host is idle.
 #[test]
-fn connect_together() {
+fn connect_simultaneously() {
     const CALLERS: usize = 128;
     const ROUNDS: usize = 20;
     let rig = Rig::start(&[]);
@@ -34,7 +33,10 @@
                     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("timeout");
                     let reply = call(&mut stream);
                     end.wait();
-                    assert_eq!(&reply.expect("an answer while all others stay"), b"HTTP/1.1 200");
+                    assert_eq!(
+                        &reply.expect("an answer while all others stay connected"),
+                        b"HTTP/1.1 200"
+                    );
                 });
             }
         });
--- a/endivestile/tests/hostile_frames.rs
+++ b/endivestile/tests/hostile_frames.rs
@@ -1,4 +1,4 @@
-//! Frames of a peer that is broken or hostile: none may stop a host.
+//! Frames from a faulty or hostile peer must not crash a host.
 
 use std::sync::Arc;
 
@@ -11,27 +11,27 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config as RunnerConfig, RngAlgorithm, TestRng, TestRunner};
 
-/// Cases of each test.
+/// Generated cases per test.
 const CASES: u32 = 3_000;
-/// Seconds since 1970 at the start of the kernel.
+/// Wall clock at the start of the kernel, in seconds since 1970.
 const WALL_S: u64 = 1_764_720_000;
 
-// Bytes that are no frame come over a link, because of a fault or by somebody
-// who should not be there. Operators would see a host end for one such frame,
-// and all others after it when the peer tries them in turn.
+// Bytes that are no valid frame arrive over a link, because of a fault or an
+// attack. A crash would end this host, and then all others when the peer sends
+// the same frame to each of them.
 #[test]
 fn frame_random_bytes() {
     let bytes = prop::collection::vec(any::<u8>(), 0..300);
     run(&bytes, |bytes| {
         if let Ok(frame) = postcard::from_bytes::<Frame>(&bytes) {
-            feed(frame);
+            handle_frame(frame);
         }
         Ok(())
     });
 }
 
-// A frame is a proper one but for some bits: numbers beyond every bound, names
-// of hosts that do not exist, messages that nobody waits for.
+// A frame is valid except for some flipped bits: numbers out of range, names of
+// unknown hosts, unexpected messages.
 #[test]
 fn frame_flipped_bits() {
     let flips = prop::collection::vec((any::<prop::sample::Index>(), 0..8u8), 1..6);
@@ -43,18 +43,18 @@
             bytes[at] ^= 1 << bit;
         }
         if let Ok(msg) = postcard::from_bytes::<Msg>(&bytes) {
-            feed(frame(vec![msg.clone(), msg]));
+            handle_frame(frame(vec![msg.clone(), msg]));
         }
         Ok(())
     });
 }
 
-// The head of a frame lies: its numbers and its clock are anything.
+// The head of a frame has arbitrary sequence numbers, revision and timestamp.
 #[test]
-fn frame_lying_head() {
+fn frame_arbitrary_head() {
     run(&(any::<u64>(), any::<u64>(), any::<u64>(), any::<u64>()), |(seq, ack, sent, revision)| {
         let head = Frame { seq, ack, revision, sent: Time::from_micros(sent), ..frame(messages()) };
-        feed(head);
+        handle_frame(head);
         Ok(())
     });
 }
@@ -75,8 +75,8 @@
     Peer::new("a2", 9)
 }
 
-/// Feeds a frame to a host that knows its peer, and lets time pass.
-fn feed(frame: Frame) {
+/// Passes a frame twice to a host that has its peer as a member, and advances the time.
+fn handle_frame(frame: Frame) {
     let frame = Frame { from: peer(), to: me(), ..frame };
     let mut kernel = kernel();
     let mut effects = Vec::new();
@@ -152,7 +152,7 @@
     }
 }
 
-/// One proper message of each kind.
+/// Returns one valid message of each kind.
 fn messages() -> Vec<Msg> {
     let id = SubmissionId::parse(&format!("{WALL_S}:order")).expect("an id");
     let target = Target::Service(Name::from("orders"));
--- a/endivestile/tests/promise/mod.rs
+++ b/endivestile/tests/promise/mod.rs
@@ -1,5 +1,5 @@
-//! A small deployment of real processes, and callers that come back.
-// Each test file uses its own part of this.
+//! Starts a small deployment of real processes, and callers that retry.
+// Each test file uses only some of these items.
 #![allow(dead_code)]
 
 use std::thread::{self, JoinHandle};
@@ -8,14 +8,14 @@
 use endivestile_kernel::{ShardRecord, SubmissionId};
 use endivestile_testkit::{Caller, Daemon, Deployment, Plan, Reply, Spec, wait_for};
 
-/// Shards of the deployment.
+/// Number of shards of the deployment.
 const SHARDS: u32 = 4;
-/// Seconds that anything waited for may take on a busy machine.
-pub(crate) const PATIENCE_S: u64 = 40;
-/// Times that a caller comes back at most.
-const TRIES: usize = 200;
-/// Pause before a caller comes back, in milliseconds.
-const BACK_MS: u64 = 100;
+/// Longest wait for a condition on a busy machine, in seconds.
+pub(crate) const WAIT_LIMIT_S: u64 = 40;
+/// Most submissions of one job by a caller.
+const MAX_ATTEMPTS: usize = 200;
+/// Delay before a caller retries, in milliseconds.
+const RETRY_DELAY_MS: u64 = 100;
 
 /// Plans two zones with two entry hosts and two backend servers each.
 pub(crate) fn plan() -> Plan {
@@ -30,15 +30,16 @@
     plan
 }
 
-/// Starts a plan and waits until every shard has a home and a witness with its table.
+/// Starts a plan and waits until every shard has a home that is synchronized with its
+/// witness.
 pub(crate) fn start(plan: Plan) -> Deployment {
     let daemon = Daemon::new(env!("CARGO_BIN_EXE_endivestile"));
     let deployment = Deployment::start(plan, &daemon).expect("a deployment");
-    assert!(wait_for(PATIENCE_S, || synced(&deployment) == SHARDS as usize), "shards have homes");
+    assert!(wait_for(WAIT_LIMIT_S, || synced(&deployment) == SHARDS as usize), "shards have homes");
     deployment
 }
 
-/// Counts the shards whose home has the word of its witness.
+/// Counts the shards whose home is synchronized with its witness.
 fn synced(deployment: &Deployment) -> usize {
     let pages = deployment.hosts.iter().filter_map(|host| caller(host.address()).status().ok());
     let shards = |page: serde_json::Value| page["shards"].as_array().cloned().unwrap_or_default();
@@ -49,17 +50,17 @@
     pages.flat_map(shards).filter(home).count()
 }
 
-/// Makes a caller of a host.
+/// Creates a caller of the host at `address`.
 pub(crate) fn caller(address: impl std::fmt::Display) -> Caller {
     Caller::new(address, "m1")
 }
 
-/// Makes a caller of the named host.
-pub(crate) fn at(deployment: &mut Deployment, host: &str) -> Caller {
+/// Creates a caller of the named host.
+pub(crate) fn caller_of(deployment: &mut Deployment, host: &str) -> Caller {
     caller(deployment.host(host).address())
 }
 
-/// Returns the host that is home of an id, by the record in the store.
+/// Returns the home of an id according to the record in the store.
 pub(crate) fn home(deployment: &Deployment, id: &str) -> String {
     let id = SubmissionId::parse(id).expect("an id");
     let value = deployment.store.get(&ShardRecord::key(id.shard(SHARDS))).expect("a record");
@@ -73,58 +74,59 @@
     names.filter(|other| other != name).collect()
 }
 
-/// Makes the works of a job, each with a key of its own.
+/// Returns the works of a job, each with a key of its own.
 pub(crate) fn works(job: &str, count: usize, ms: u64) -> Vec<String> {
     (0..count).map(|index| format!(r#"{{"key":"{job}-{index}","ms":{ms}}}"#)).collect()
 }
 
-/// Submits a job again and again until the answer is final; a broken
-/// connection is no answer, and the caller does not come back after it.
-pub(crate) fn persist(caller: &Caller, id: &str, works: &[String]) -> Option<Reply> {
-    for _ in 0..TRIES {
+/// Submits a job repeatedly until the answer is final. Returns `None` if the
+/// connection breaks, after which the caller does not retry.
+pub(crate) fn submit_until_final(caller: &Caller, id: &str, works: &[String]) -> Option<Reply> {
+    for _ in 0..MAX_ATTEMPTS {
         let reply = caller.job("orders", id, works).ok()?;
         if reply.status != 503 {
             return Some(reply);
         }
-        thread::sleep(Duration::from_millis(BACK_MS));
+        thread::sleep(Duration::from_millis(RETRY_DELAY_MS));
     }
     None
 }
 
-/// As [`persist`], on a thread of its own.
-pub(crate) fn persist_later(
+/// Like [`submit_until_final`], on a thread of its own.
+pub(crate) fn spawn_submission(
     caller: Caller,
     id: &str,
     works: &[String],
 ) -> JoinHandle<Option<Reply>> {
     let (id, works) = (id.to_owned(), works.to_vec());
-    thread::spawn(move || persist(&caller, &id, &works))
+    thread::spawn(move || submit_until_final(&caller, &id, &works))
 }
 
-/// Waits until this many tasks have started at the backend servers.
+/// Waits until `count` tasks have started at the backend servers.
 pub(crate) fn wait_starts(deployment: &Deployment, count: u64) {
-    let started = wait_for(PATIENCE_S, || deployment.servers.total() >= count);
+    let started = wait_for(WAIT_LIMIT_S, || deployment.servers.total() >= count);
     assert!(started, "{} of {count} starts", deployment.servers.total());
 }
 
-/// Waits until another host than `name` is home of the id.
-pub(crate) fn wait_moved(deployment: &Deployment, id: &str, name: &str) {
-    assert!(wait_for(PATIENCE_S, || home(deployment, id) != name), "a take-over");
+/// Waits until another host than `name` is the home of the id.
+pub(crate) fn wait_taken_over(deployment: &Deployment, id: &str, name: &str) {
+    assert!(wait_for(WAIT_LIMIT_S, || home(deployment, id) != name), "a takeover");
 }
 
-/// Checks that nothing was started twice.
+/// Asserts that no task was started twice.
 pub(crate) fn assert_once(deployment: &Deployment) {
     assert_eq!(deployment.servers.doubled(), [], "started more than once");
 }
 
-/// Checks that an answer is complete with every result of the works, or failed without any.
-pub(crate) fn assert_whole(reply: &Reply, works: &[String]) {
+/// Asserts that an answer is complete with the result of each work, or failed without
+/// any result.
+pub(crate) fn assert_complete_or_failed(reply: &Reply, works: &[String]) {
     let answer = reply.answer().expect("an answer");
     match answer.status.as_str() {
         "complete" => {
-            let whole: Vec<String> =
+            let expected: Vec<String> =
                 works.iter().map(|work| endivestile_testkit::echo(work)).collect();
-            assert_eq!(answer.results, Some(whole));
+            assert_eq!(answer.results, Some(expected));
         }
         "failed" => assert_eq!(answer.results, None),
         other => panic!("{other} is no final answer: {}", reply.body),
--- a/endivestile/tests/promise_burst.rs
+++ b/endivestile/tests/promise_burst.rs
@@ -1,4 +1,4 @@
-//! Every call is answered, also when many callers connect at once: with real processes.
+//! With real processes, every call is answered when many callers connect at once.
 
 mod promise;
 
@@ -10,33 +10,33 @@
 
 use endivestile_testkit::{Plan, Spec};
 
-use promise::{PATIENCE_S, start};
+use promise::{WAIT_LIMIT_S, start};
 
 /// Callers that connect at once.
 const CALLERS: usize = 64;
-/// Times that they do so.
+/// Repetitions of the burst.
 const ROUNDS: usize = 20;
 
-// The evening's peak begins: many callers connect in the same moment and keep
-// their connections. The library's accept thread hands some of them to threads
-// that are about to take others, and they wait until somebody else hangs up: a
-// caller is connected, sends its request, and never gets an answer.
+// Many callers connect at the same moment and keep their connections. The HTTP
+// library's accept thread hands some of them to threads that are about to take
+// others. Such a caller is connected and sends its request, but without a wake-up
+// gets no answer until another caller disconnects.
 #[test]
 fn burst_all_answered() {
     let plan = Plan::new().rules(|rules| rules.shards = 4).host("a1", "a", 1).host("a2", "a", 1);
     let deployment = start(plan.server(Spec::new("s1"), "a", "r1"));
     let address = deployment.hosts[0].address();
     for round in 0..ROUNDS {
-        let gate = Arc::new(Barrier::new(CALLERS));
+        let barrier = Arc::new(Barrier::new(CALLERS));
         let callers: Vec<_> = (0..CALLERS)
             .map(|_| {
-                let gate = Arc::clone(&gate);
+                let barrier = Arc::clone(&barrier);
                 thread::spawn(move || {
-                    gate.wait();
+                    barrier.wait();
                     let stream = TcpStream::connect(address).expect("a connection");
-                    let answered = ask(&stream);
-                    // All hold on, as callers with a pool of connections do.
-                    gate.wait();
+                    let answered = is_answered(&stream);
+                    // All keep their connections, like callers with a connection pool.
+                    barrier.wait();
                     answered
                 })
             })
@@ -47,12 +47,12 @@
     }
 }
 
-/// Sends one request and says whether an answer came.
-fn ask(mut stream: &TcpStream) -> bool {
-    let patience = Duration::from_secs(PATIENCE_S / 8);
-    stream.set_read_timeout(Some(patience)).expect("a socket");
+/// Sends one request and returns whether it was answered.
+fn is_answered(mut stream: &TcpStream) -> bool {
+    let timeout = Duration::from_secs(WAIT_LIMIT_S / 8);
+    stream.set_read_timeout(Some(timeout)).expect("a socket");
     stream.write_all(b"GET /health HTTP/1.1\r\nHost: a1\r\n\r\n").expect("a request");
     let mut line = String::new();
-    let read = BufReader::new(stream).read_line(&mut line);
-    read.is_ok() && line.contains("200")
+    let result = BufReader::new(stream).read_line(&mut line);
+    result.is_ok() && line.contains("200")
 }
--- a/endivestile/tests/promise_config.rs
+++ b/endivestile/tests/promise_config.rs
@@ -1,10 +1,10 @@
-//! Promise 8, an accepted configuration is in force everywhere and never reverts: with real processes.
+//! Promise 8 with real processes: an accepted configuration is in force everywhere and never reverts.
 
 mod promise;
 
 use endivestile_testkit::{Caller, Deployment, wait_for};
 
-use promise::{PATIENCE_S, at, caller, persist, plan, start, works};
+use promise::{WAIT_LIMIT_S, caller, caller_of, plan, start, submit_until_final, works};
 
 /// Key of the configuration.
 const CONFIG: &str = "endivestile/config";
@@ -19,11 +19,11 @@
 
 /// Waits until a revision is in force at every running host.
 fn wait_revision(deployment: &mut Deployment, revision: u64) {
-    let all = wait_for(PATIENCE_S, || revisions(deployment).iter().all(|own| *own == revision));
+    let all = wait_for(WAIT_LIMIT_S, || revisions(deployment).iter().all(|own| *own == revision));
     assert!(all, "revision {revision} everywhere, not {:?}", revisions(deployment));
 }
 
-/// Returns whether a host has logged a refused configuration.
+/// Returns whether a host has logged at least `count` refused configurations.
 fn has_refused(deployment: &mut Deployment, name: &str, count: usize) -> bool {
     let log = deployment.host(name).log();
     log.iter().filter(|line| line.contains("event=config_refused")).count() >= count
@@ -37,44 +37,45 @@
     lines.filter_map(revision).collect()
 }
 
-// Somebody writes past the operators' tools: first a text that is no
-// configuration, then one with a server that no service can reach, then an
-// older accepted one. Hosts must keep the one in force and go on serving.
+// Values are written without the operators' tools: first a text that is no
+// configuration, then a later revision with a misspelt service, then an older
+// accepted one. Hosts must keep the one in force and continue to serve.
 #[test]
-fn config_past_the_tools() {
+fn config_written_directly() {
     let mut deployment = start(plan());
     let old = deployment.config().canonical();
     let revision = deployment.reconfigure(|config| config.rules.queue_limit -= 1);
     wait_revision(&mut deployment, revision);
     let accepted = deployment.config().canonical();
     let higher = format!("revision = {}", revision + 7);
-    let bare = accepted.replacen(&format!("revision={revision}"), &higher, 1);
-    let bare = bare.replacen(&format!("revision = {revision}"), &higher, 1);
-    let invalid = bare.replacen("orders", "ord ers", 1);
-    assert_ne!(invalid, accepted, "the text was spoilt");
+    let later = accepted.replacen(&format!("revision={revision}"), &higher, 1);
+    let later = later.replacen(&format!("revision = {revision}"), &higher, 1);
+    let invalid = later.replacen("orders", "ord ers", 1);
+    assert_ne!(invalid, accepted, "the replacement changed the text");
     for (count, text) in ["no configuration", &invalid].into_iter().enumerate() {
         deployment.store.put(CONFIG, text);
-        let refused = wait_for(PATIENCE_S, || has_refused(&mut deployment, "a1", count + 1));
+        let refused = wait_for(WAIT_LIMIT_S, || has_refused(&mut deployment, "a1", count + 1));
         assert!(refused, "{text}");
     }
     deployment.store.put(CONFIG, old);
     deployment.store.put(CONFIG, "still none");
     for name in ["a1", "a2", "b1", "b2"] {
-        let seen = wait_for(PATIENCE_S, || has_refused(&mut deployment, name, 3));
-        assert!(seen, "{name} has seen all");
+        let refused_all = wait_for(WAIT_LIMIT_S, || has_refused(&mut deployment, name, 3));
+        assert!(refused_all, "{name} has refused all");
         let adopted = adopted(&mut deployment, name);
         assert_eq!(adopted.last(), Some(&revision), "{name} adopted {adopted:?}");
-        assert!(adopted.is_sorted_by(|a, b| a < b), "{name} went back: {adopted:?}");
+        assert!(adopted.is_sorted_by(|a, b| a < b), "{name} reverted: {adopted:?}");
     }
     wait_revision(&mut deployment, revision);
     let works = works("spoilt", 2, 5);
-    let reply = persist(&at(&mut deployment, "b2"), &Caller::own_id("spoilt"), &works);
+    let reply =
+        submit_until_final(&caller_of(&mut deployment, "b2"), &Caller::own_id("spoilt"), &works);
     assert_eq!(reply.expect("a final answer").word(), "complete");
 }
 
-// The store goes away and operators' last change is known to the living hosts
-// only. A host that is started anew during the outage must get that change
-// from its peers, not an older one and not none, and serve.
+// The store is down, and only the running hosts have the operators' last change.
+// A host that is restarted during the outage must get that change from its peers,
+// not an older configuration or none, and serve.
 #[test]
 fn config_restart_in_outage() {
     let mut deployment = start(plan());
@@ -89,28 +90,31 @@
     let host = deployment.host("b2");
     host.set(&format!("host.seeds={}", seeds.join(",")));
     host.restart().expect("a process");
-    assert!(host.wait_ready(PATIENCE_S), "ready without the store");
+    assert!(host.wait_ready(WAIT_LIMIT_S), "ready without the store");
     wait_revision(&mut deployment, revision);
-    let restarted = at(&mut deployment, "b2");
+    let restarted = caller_of(&mut deployment, "b2");
     let work = r#"{"key":"outage","ms":5}"#;
     let served = || restarted.request("orders", None, work).is_ok_and(|reply| reply.status == 200);
-    assert!(wait_for(PATIENCE_S, served), "requests are served");
+    assert!(wait_for(WAIT_LIMIT_S, served), "requests are served");
     deployment.store.up();
     let next = deployment.reconfigure(|config| config.rules.queue_limit -= 1);
     wait_revision(&mut deployment, next);
 }
 
-// One host stands still while two changes are accepted, and wakes up with an
-// old watch on the store. It must end with the last change like all others.
+// A host is paused while two changes are accepted, and resumes with an outdated
+// watch on the store. It must adopt the last change like all others.
 #[test]
 fn config_paused_host() {
     let mut deployment = start(plan());
     deployment.host("a2").pause();
     deployment.reconfigure(|config| config.rules.queue_limit -= 1);
     let revision = deployment.reconfigure(|config| config.rules.queue_limit -= 1);
-    let awake: Vec<_> = ["a1", "b1", "b2"].map(|name| at(&mut deployment, name)).into();
+    let running: Vec<_> = ["a1", "b1", "b2"].map(|name| caller_of(&mut deployment, name)).into();
     let adopted = |caller: &Caller| caller.status().is_ok_and(|page| page["revision"] == revision);
-    assert!(wait_for(PATIENCE_S, || awake.iter().all(adopted)), "in force at those awake");
+    assert!(
+        wait_for(WAIT_LIMIT_S, || running.iter().all(adopted)),
+        "in force at the running hosts"
+    );
     deployment.host("a2").resume();
     wait_revision(&mut deployment, revision);
 }
--- a/endivestile/tests/promise_once.rs
+++ b/endivestile/tests/promise_once.rs
@@ -1,4 +1,4 @@
-//! Promises 4 and 5, refusals are true and a payment runs at most once: with real processes.
+//! Promises 4 and 5 with real processes: refusals are correct, and a payment runs at most once.
 
 mod promise;
 
@@ -6,7 +6,7 @@
 
 use endivestile_testkit::{Caller, Deployment, Fault, wait_for};
 
-use promise::{PATIENCE_S, at, home, others, plan, start, wait_moved, works};
+use promise::{WAIT_LIMIT_S, caller_of, home, others, plan, start, wait_taken_over, works};
 
 /// Sets the fault of every backend server.
 fn set_all(deployment: &Deployment, fault: Fault) {
@@ -15,76 +15,80 @@
     }
 }
 
-/// Pays at each of the hosts, under an id for each payment; returns the status words.
+/// Submits payments to the hosts in turn, each under an id of its own. Returns the key
+/// and reported status of each.
 fn pay(deployment: &mut Deployment, key: &str, count: usize) -> Vec<(String, String)> {
     let names: Vec<String> = deployment.hosts.iter().map(|host| host.name().to_owned()).collect();
-    let mut told = Vec::new();
+    let mut outcomes = Vec::new();
     for number in 0..count {
-        let caller = at(deployment, &names[number % names.len()]).deadline_ms(3_000);
+        let caller = caller_of(deployment, &names[number % names.len()]).deadline_ms(3_000);
         let key = format!("{key}-{number}");
         let work = format!(r#"{{"key":"{key}","ms":5}}"#);
         let reply = caller.request("orders", Some(&Caller::own_id(&key)), &work);
         let reply = reply.expect("an answer");
-        let word = if reply.status == 200 { "complete".to_owned() } else { reply.word() };
-        told.push((key, word));
+        let outcome = if reply.status == 200 { "complete".to_owned() } else { reply.word() };
+        outcomes.push((key, outcome));
     }
-    told
+    outcomes
 }
 
-// Backend servers take a payment and close the connection without an answer.
-// Nobody can tell whether the rent was paid; sent again, it would be paid twice.
+// Backend servers accept a payment and close the connection without an answer. It
+// is unknown whether it was made, so that sending it again could make it twice.
 #[test]
 fn payment_server_closes() {
     let mut deployment = start(plan());
     set_all(&deployment, Fault::Close);
-    let told = pay(&mut deployment, "closes", 8);
-    assert!(told.iter().all(|(_, word)| word != "complete"), "{told:?}");
-    assert!(told.iter().any(|(_, word)| word == "failed"), "{told:?}");
-    for (key, word) in told {
+    let outcomes = pay(&mut deployment, "closes", 8);
+    assert!(outcomes.iter().all(|(_, outcome)| outcome != "complete"), "{outcomes:?}");
+    assert!(outcomes.iter().any(|(_, outcome)| outcome == "failed"), "{outcomes:?}");
+    for (key, outcome) in outcomes {
         let starts = deployment.servers.count(&key);
         assert!(starts <= 1, "{key} was paid {starts} times");
-        assert!(word != "not run" || starts == 0, "{key} was told not run");
+        assert!(outcome != "not run" || starts == 0, "{key} was reported as not run");
     }
 }
 
-// Half of the servers refuse connections. Nothing was sent to them, so that
-// the payment may go to another one; callers must not notice.
+// Half of the servers refuse connections. Nothing was sent to them, so payments
+// may go to other servers, and callers must not notice.
 #[test]
 fn payment_server_refuses() {
     let mut deployment = start(plan());
     for server in ["a-s1", "b-s2"] {
         deployment.servers.set_fault(server, Fault::Refuse);
     }
-    for (key, word) in pay(&mut deployment, "refuses", 12) {
-        assert_eq!((word.as_str(), deployment.servers.count(&key)), ("complete", 1), "{key}");
+    for (key, outcome) in pay(&mut deployment, "refuses", 12) {
+        assert_eq!((outcome.as_str(), deployment.servers.count(&key)), ("complete", 1), "{key}");
     }
 }
 
-// All servers are full until the deadline. No payment may have reached a till,
-// and none may be told that it was made. Whoever is told that it failed can't
-// tell from that whether it ran; what is told not run has not.
+// All servers are busy until the deadline. No payment may start or be reported as
+// complete. A "failed" status leaves open whether the task ran; "not run" states
+// that it did not.
 #[test]
 fn payment_all_busy() {
     let mut deployment = start(plan());
     set_all(&deployment, Fault::Busy);
-    let told = pay(&mut deployment, "busy", 3);
-    for (key, word) in told {
-        assert!(["not run", "unknown", "failed"].contains(&word.as_str()), "{key} was told {word}");
+    let outcomes = pay(&mut deployment, "busy", 3);
+    for (key, outcome) in outcomes {
+        assert!(
+            ["not run", "unknown", "failed"].contains(&outcome.as_str()),
+            "{key} was reported as {outcome}"
+        );
         assert_eq!(deployment.servers.count(&key), 0, "{key}");
     }
 }
 
-// The servers close their idle connections between two payments. The next one
-// meets a connection that is dead already; whatever is told, it is paid once.
+// The servers close their idle connections between payments. The next payments
+// find closed connections; whatever is reported, each runs at most once.
 #[test]
 fn payment_stale_connections() {
     let mut deployment = start(plan());
     for round in 0..4 {
-        for (key, word) in pay(&mut deployment, &format!("stale-{round}"), 8) {
+        for (key, outcome) in pay(&mut deployment, &format!("stale-{round}"), 8) {
             let starts = deployment.servers.count(&key);
             assert!(starts <= 1, "{key} was paid {starts} times");
-            assert!(word != "complete" || starts == 1, "{key} was told complete");
-            assert!(word != "not run" || starts == 0, "{key} was told not run");
+            assert!(outcome != "complete" || starts == 1, "{key} was reported as complete");
+            assert!(outcome != "not run" || starts == 0, "{key} was reported as not run");
         }
         for name in deployment.servers.names() {
             deployment.servers.cut(name);
@@ -92,8 +96,8 @@
     }
 }
 
-// The home stands still while payments come in by another host. Those that are
-// refused as not run while it is away must not start when it wakes up.
+// The home is paused while payments arrive at another host. Those that are refused
+// as not run meanwhile must not start when the home resumes.
 #[test]
 fn refusal_home_paused() {
     let mut deployment = start(plan());
@@ -101,7 +105,7 @@
     let paused = home(&deployment, &id);
     let front = others(&deployment, &paused)[0].clone();
     deployment.host(&paused).pause();
-    let caller = at(&mut deployment, &front).deadline_ms(1_000);
+    let caller = caller_of(&mut deployment, &front).deadline_ms(1_000);
     let calls: Vec<_> = (0..40)
         .map(|number| {
             let caller = caller.clone();
@@ -113,19 +117,19 @@
             })
         })
         .collect();
-    let told: Vec<_> = calls.into_iter().map(|call| call.join().expect("a caller")).collect();
-    wait_moved(&deployment, &id, &paused);
+    let outcomes: Vec<_> = calls.into_iter().map(|call| call.join().expect("a caller")).collect();
+    wait_taken_over(&deployment, &id, &paused);
     deployment.host(&paused).resume();
-    let woken = at(&mut deployment, &paused);
-    let awake = || woken.status().is_ok_and(|page| page["active"] == 0);
-    assert!(wait_for(PATIENCE_S, awake), "the woken host has nothing to do");
-    assert!(wait_for(PATIENCE_S, || deployment.servers.running() == 0), "servers are idle");
-    for (key, word) in told {
+    let resumed = caller_of(&mut deployment, &paused);
+    let idle = || resumed.status().is_ok_and(|page| page["active"] == 0);
+    assert!(wait_for(WAIT_LIMIT_S, idle), "the resumed host is idle");
+    assert!(wait_for(WAIT_LIMIT_S, || deployment.servers.running() == 0), "servers are idle");
+    for (key, outcome) in outcomes {
         for task in 0..2 {
             let starts = deployment.servers.count(&format!("{key}-{task}"));
             assert!(starts <= 1, "{key} started {starts} times");
-            assert!(word != "not run" || starts == 0, "{key} was told not run");
-            assert!(word != "complete" || starts == 1, "{key} was told complete");
+            assert!(outcome != "not run" || starts == 0, "{key} was reported as not run");
+            assert!(outcome != "complete" || starts == 1, "{key} was reported as complete");
         }
     }
 }
--- a/endivestile/tests/promise_start.rs
+++ b/endivestile/tests/promise_start.rs
@@ -1,17 +1,17 @@
-//! Promise 1, no task of a submission starts twice: with real processes.
+//! Promise 1 with real processes: no task of a submission starts twice.
 
 mod promise;
 
 use endivestile_testkit::Caller;
 
 use promise::{
-    assert_once, assert_whole, at, home, others, persist, persist_later, plan, start, wait_moved,
-    wait_starts, works,
+    assert_complete_or_failed, assert_once, caller_of, home, others, plan, spawn_submission, start,
+    submit_until_final, wait_starts, wait_taken_over, works,
 };
 
-// The home of a job is killed while the job runs. Its caller, and another one
-// that believes the job lost, submit it again by two other hosts. They are told
-// that it failed, or get all of it; no mirror gets a second chamber.
+// The home of a job is killed while the job runs, and callers resubmit the job to
+// two other hosts. All get a failure or the complete answer, and no task starts
+// twice.
 #[test]
 fn resubmit_home_killed() {
     let mut deployment = start(plan());
@@ -19,53 +19,53 @@
     let works = works("killed", 6, 400);
     let killed = home(&deployment, &id);
     let fronts = others(&deployment, &killed);
-    let first = persist_later(at(&mut deployment, &fronts[0]), &id, &works);
+    let first = spawn_submission(caller_of(&mut deployment, &fronts[0]), &id, &works);
     wait_starts(&deployment, 3);
     deployment.host(&killed).kill();
-    let again: Vec<_> = fronts[1..]
+    let resubmitted: Vec<_> = fronts[1..]
         .iter()
-        .map(|front| persist_later(at(&mut deployment, front), &id, &works))
+        .map(|front| spawn_submission(caller_of(&mut deployment, front), &id, &works))
         .collect();
-    for reply in again.into_iter().chain([first]) {
+    for reply in resubmitted.into_iter().chain([first]) {
         let reply = reply.join().expect("a caller").expect("a final answer");
-        assert_whole(&reply, &works);
+        assert_complete_or_failed(&reply, &works);
     }
     assert_once(&deployment);
 }
 
-// The home stands still, as a virtual machine does while it is moved, for so
-// long that its witness takes the shard over, and goes on unaware. Callers
-// submit again before, during and after; some of them at the woken host itself.
+// The home is paused, like a virtual machine during a migration, for so long that
+// its witness takes over the shard, and resumes unaware of that. Callers resubmit
+// before, during and after the takeover, some of them to the resumed host.
 #[test]
 fn resubmit_home_paused() {
     let mut deployment = start(plan());
     let id = Caller::own_id("paused");
-    let (old, fresh) = (works("paused", 4, 300), works("fresh", 4, 50));
+    let (paused_works, fresh) = (works("paused", 4, 300), works("fresh", 4, 50));
     let paused = home(&deployment, &id);
     let fronts = others(&deployment, &paused);
-    let first = persist_later(at(&mut deployment, &fronts[0]), &id, &old);
+    let first = spawn_submission(caller_of(&mut deployment, &fronts[0]), &id, &paused_works);
     wait_starts(&deployment, 2);
     deployment.host(&paused).pause();
-    let before = persist_later(at(&mut deployment, &fronts[1]), &id, &old);
+    let before = spawn_submission(caller_of(&mut deployment, &fronts[1]), &id, &paused_works);
     let next = same_shard(&deployment, &id, "fresh");
-    let during = persist_later(at(&mut deployment, &fronts[2]), &next, &fresh);
-    wait_moved(&deployment, &id, &paused);
+    let during = spawn_submission(caller_of(&mut deployment, &fronts[2]), &next, &fresh);
+    wait_taken_over(&deployment, &id, &paused);
     deployment.host(&paused).resume();
-    let woken = at(&mut deployment, &paused);
-    let after = persist(&woken, &id, &old).expect("a final answer");
-    let late = persist(&woken, &next, &fresh).expect("a final answer");
-    assert_whole(&after, &old);
-    assert_whole(&late, &fresh);
-    for (reply, works) in [(first, &old), (before, &old), (during, &fresh)] {
+    let resumed = caller_of(&mut deployment, &paused);
+    let after = submit_until_final(&resumed, &id, &paused_works).expect("a final answer");
+    let late = submit_until_final(&resumed, &next, &fresh).expect("a final answer");
+    assert_complete_or_failed(&after, &paused_works);
+    assert_complete_or_failed(&late, &fresh);
+    for (reply, works) in [(first, &paused_works), (before, &paused_works), (during, &fresh)] {
         let reply = reply.join().expect("a caller").expect("a final answer");
-        assert_whole(&reply, works);
+        assert_complete_or_failed(&reply, works);
     }
     assert_once(&deployment);
 }
 
-// The store is away when the home dies, so that nobody can take the shard over
-// until it is back. Callers are told at once that nothing is known, and come
-// back; afterwards new ids of that shard are served again.
+// The store is down when the home is killed, so that no host can take over the
+// shard until it is back. Callers get an answer at once that the outcome is unknown,
+// and retry; after the outage new ids of that shard are served again.
 #[test]
 fn resubmit_store_down() {
     let mut deployment = start(plan());
@@ -73,29 +73,32 @@
     let works = works("outage", 4, 300);
     let killed = home(&deployment, &id);
     let fronts = others(&deployment, &killed);
-    let first = persist_later(at(&mut deployment, &fronts[0]), &id, &works);
+    let first = spawn_submission(caller_of(&mut deployment, &fronts[0]), &id, &works);
     wait_starts(&deployment, 2);
     deployment.store.down();
     deployment.host(&killed).kill();
-    let told = at(&mut deployment, &fronts[1]).deadline_ms(8_000).job("orders", &id, &works);
-    let told = told.expect("an answer during the outage");
-    assert!(["unknown", "failed"].contains(&told.word().as_str()), "{}", told.body);
+    let outage_reply =
+        caller_of(&mut deployment, &fronts[1]).deadline_ms(8_000).job("orders", &id, &works);
+    let outage_reply = outage_reply.expect("an answer during the outage");
+    assert!(["unknown", "failed"].contains(&outage_reply.word().as_str()), "{}", outage_reply.body);
     deployment.store.up();
-    wait_moved(&deployment, &id, &killed);
-    let again = persist(&at(&mut deployment, &fronts[2]), &id, &works).expect("a final answer");
-    assert_whole(&again, &works);
+    wait_taken_over(&deployment, &id, &killed);
+    let resubmitted = submit_until_final(&caller_of(&mut deployment, &fronts[2]), &id, &works)
+        .expect("a final answer");
+    assert_complete_or_failed(&resubmitted, &works);
     let first = first.join().expect("a caller").expect("a final answer");
-    assert_whole(&first, &works);
+    assert_complete_or_failed(&first, &works);
     let next = same_shard(&deployment, &id, "next");
     let fresh = promise::works("next", 2, 20);
-    let reply = persist(&at(&mut deployment, &fronts[0]), &next, &fresh).expect("a final answer");
+    let reply = submit_until_final(&caller_of(&mut deployment, &fronts[0]), &next, &fresh)
+        .expect("a final answer");
     assert_eq!(reply.word(), "complete");
     assert_once(&deployment);
 }
 
-// The store carries the writes of a take-over out and loses the answers. The
-// successor can't know whether it is the home; one that guesses starts again
-// what another host may have started.
+// The store applies the writes of a takeover and loses the answers. The successor
+// cannot know whether it is the home; if it assumed so, it could start tasks that
+// another host has started.
 #[test]
 fn resubmit_swap_answer_lost() {
     let mut deployment = start(plan());
@@ -103,24 +106,25 @@
     let works = works("lost", 4, 300);
     let killed = home(&deployment, &id);
     let fronts = others(&deployment, &killed);
-    let first = persist_later(at(&mut deployment, &fronts[0]), &id, &works);
+    let first = spawn_submission(caller_of(&mut deployment, &fronts[0]), &id, &works);
     wait_starts(&deployment, 2);
     deployment.store.lose_answers(3);
     deployment.host(&killed).kill();
-    wait_moved(&deployment, &id, &killed);
+    wait_taken_over(&deployment, &id, &killed);
     for front in &fronts {
-        let reply = persist(&at(&mut deployment, front), &id, &works).expect("a final answer");
-        assert_whole(&reply, &works);
+        let reply = submit_until_final(&caller_of(&mut deployment, front), &id, &works)
+            .expect("a final answer");
+        assert_complete_or_failed(&reply, &works);
     }
     first.join().expect("a caller").expect("a final answer");
     assert_once(&deployment);
 }
 
-/// Makes an id of the same shard as `id`.
+/// Returns a new id of the same shard as `id`.
 fn same_shard(deployment: &endivestile_testkit::Deployment, id: &str, key: &str) -> String {
     let shards = deployment.config().rules.shards;
     let shard =
         |id: &str| endivestile_kernel::SubmissionId::parse(id).expect("an id").shard(shards);
     let mut ids = (0..).map(|number| Caller::own_id(&format!("{key}{number}")));
-    ids.find(|other| shard(other) == shard(id)).expect("ids without end")
+    ids.find(|other| shard(other) == shard(id)).expect("an unbounded sequence of ids")
 }
--- a/endivestile/tests/promise_stop.rs
+++ b/endivestile/tests/promise_stop.rs
@@ -1,4 +1,4 @@
-//! Promises 6 and 7, planned stops: with real processes.
+//! Promises 6 and 7 with real processes: planned stops.
 
 mod promise;
 
@@ -8,77 +8,77 @@
 
 use endivestile_testkit::{Caller, Deployment, echo, wait_for};
 
-use promise::{PATIENCE_S, assert_once, at, persist, plan, start, works};
+use promise::{WAIT_LIMIT_S, assert_once, caller_of, plan, start, submit_until_final, works};
 
-/// Callers that send requests until they are told to end.
+/// Callers that send requests until [`Load::finish`].
 struct Load {
     end: Arc<AtomicBool>,
     threads: Vec<JoinHandle<Vec<String>>>,
 }
 
 impl Load {
-    /// Starts `count` callers of one host, which turn away once it is not ready.
+    /// Starts `count` callers of one host.
     fn start(caller: &Caller, count: usize) -> Self {
         let end = Arc::new(AtomicBool::new(false));
         let threads = (0..count)
             .map(|number| {
                 let (caller, end) = (caller.clone(), Arc::clone(&end));
-                thread::spawn(move || call(&caller, number, &end))
+                thread::spawn(move || run_caller(&caller, number, &end))
             })
             .collect();
         Self { end, threads }
     }
 
-    /// Ends the callers and returns what went wrong.
+    /// Ends the callers and returns their failures.
     fn finish(self) -> Vec<String> {
         self.end.store(true, Ordering::Relaxed);
         self.threads.into_iter().flat_map(|thread| thread.join().expect("a caller")).collect()
     }
 }
 
-/// Calls until told to end; every third call is a payment under an id.
-fn call(caller: &Caller, number: usize, end: &AtomicBool) -> Vec<String> {
-    let mut wrong = Vec::new();
-    let mut turn = 0;
+/// Sends requests until `end` is set; every third one is a payment under an id.
+fn run_caller(caller: &Caller, number: usize, end: &AtomicBool) -> Vec<String> {
+    let mut failures = Vec::new();
+    let mut serial = 0;
     while !end.load(Ordering::Relaxed) {
-        turn += 1;
-        let work = format!(r#"{{"key":"load-{number}-{turn}","ms":30}}"#);
-        let id = Caller::own_id(&format!("load-{number}-{turn}"));
-        let id = (turn % 3 == 0).then_some(id.as_str());
+        serial += 1;
+        let work = format!(r#"{{"key":"load-{number}-{serial}","ms":30}}"#);
+        let id = Caller::own_id(&format!("load-{number}-{serial}"));
+        let id = (serial % 3 == 0).then_some(id.as_str());
         match caller.request("orders", id, &work) {
             Ok(reply) if reply.status == 200 && reply.body == echo(&work) => {}
-            Ok(reply) => wrong.push(format!("{} {}", reply.status, reply.body)),
-            Err(err) => wrong.push(err.to_string()),
+            Ok(reply) => failures.push(format!("{} {}", reply.status, reply.body)),
+            Err(err) => failures.push(err.to_string()),
         }
     }
-    wrong
+    failures
 }
 
-/// Waits until a host tells the balancer to turn away.
+/// Waits until a host is not ready, so that the balancer turns away from it.
 fn wait_unready(deployment: &mut Deployment, name: &str) {
     let host = deployment.host(name);
-    assert!(wait_for(PATIENCE_S, || !host.answers("/ready")), "{name} is not ready any more");
+    assert!(wait_for(WAIT_LIMIT_S, || !host.answers("/ready")), "{name} is no longer ready");
 }
 
-// A host is told to end in the middle of its busiest minute. The balancer
-// turns away once the host is not ready; every call sent before that must get
-// its answer, and the process must end by itself.
+// A host is stopped under load. The balancer turns away once the host is not
+// ready; every call sent before that must be answered, and the process must exit
+// by itself.
 #[test]
 fn stop_under_load() {
     let mut deployment = start(plan());
-    let load = Load::start(&at(&mut deployment, "a1"), 24);
+    let load = Load::start(&caller_of(&mut deployment, "a1"), 24);
     promise::wait_starts(&deployment, 200);
     deployment.host("a1").terminate();
     wait_unready(&mut deployment, "a1");
     assert_eq!(load.finish(), Vec::<String>::new());
-    let status = deployment.host("a1").wait_end(PATIENCE_S).expect("an end");
+    let status = deployment.host("a1").wait_end(WAIT_LIMIT_S).expect("an end");
     assert!(status.success(), "{status}");
     assert_once(&deployment);
 }
 
-// A second host is told to end while the first still drains, and the store is
-// down at that moment, so that no shard can change hands. Long jobs run at
-// both; their callers wait for them and must not be cut off.
+// A second host is stopped while the first still drains, and the store is down at
+// that moment, so that no shard can be transferred. Long jobs run at both, and the
+// connections of their callers must not be closed.
 #[test]
 fn stop_second_store_down() {
     let mut deployment = start(plan());
@@ -88,7 +88,7 @@
         .map(|name| {
             let works = works(&format!("long-{name}"), 4, 1_500);
             let id = Caller::own_id(&format!("long-{name}"));
-            promise::persist_later(at(&mut deployment, name), &id, &works)
+            promise::spawn_submission(caller_of(&mut deployment, name), &id, &works)
         })
         .collect();
     promise::wait_starts(&deployment, 8);
@@ -102,29 +102,29 @@
     }
     deployment.store.up();
     for name in names {
-        let status = deployment.host(name).wait_end(PATIENCE_S).expect("an end");
+        let status = deployment.host(name).wait_end(WAIT_LIMIT_S).expect("an end");
         assert!(status.success(), "{name}: {status}");
     }
     let id = Caller::own_id("after");
     let after = works("after", 2, 10);
-    let reply = persist(&at(&mut deployment, "a2"), &id, &after).expect("a final answer");
+    let reply =
+        submit_until_final(&caller_of(&mut deployment, "a2"), &id, &after).expect("a final answer");
     assert_eq!(reply.word(), "complete");
     assert_once(&deployment);
 }
 
-// Operators plan the stop of a host by the store. It must turn callers away
-// while it still answers those that come, and take work again after the stop
-// was taken back.
+// Operators plan the stop of a host in the store. The host must not be ready while
+// it still answers callers, and must accept work again once the stop is withdrawn.
 #[test]
 fn stop_planned_and_resumed() {
     let mut deployment = start(plan());
-    let load = Load::start(&at(&mut deployment, "a1"), 8);
+    let load = Load::start(&caller_of(&mut deployment, "a1"), 8);
     promise::wait_starts(&deployment, 20);
     deployment.store.put("endivestile/stops/a1", "{}");
     wait_unready(&mut deployment, "a1");
     assert_eq!(load.finish(), Vec::<String>::new());
-    let stopped = at(&mut deployment, "a1");
-    let handed = || {
+    let stopped = caller_of(&mut deployment, "a1");
+    let transferred = || {
         let page = stopped.status().expect("a status");
         let shards = page["shards"].as_array().cloned().unwrap_or_default();
         let home = |shard: &serde_json::Value| {
@@ -132,40 +132,40 @@
         };
         page["leaving"] == true && !shards.iter().any(home)
     };
-    assert!(wait_for(PATIENCE_S, handed), "its shards have other homes");
+    assert!(wait_for(WAIT_LIMIT_S, transferred), "its shards have other homes");
     deployment.store.delete("endivestile/stops/a1");
     let host = deployment.host("a1");
-    assert!(wait_for(PATIENCE_S, || host.answers("/ready")), "ready again");
+    assert!(wait_for(WAIT_LIMIT_S, || host.answers("/ready")), "ready again");
     assert!(host.runs());
 }
 
-/// Waits until no task has started at a server over a stretch of other servers' starts.
-fn assert_spared(deployment: &Deployment, server: &str) {
-    const STRETCH: u64 = 150;
-    let spared = || {
+/// Waits until tasks start at other servers only, and asserts that it stays so.
+fn assert_no_new_work(deployment: &Deployment, server: &str) {
+    const OTHER_STARTS: u64 = 150;
+    let unused = || {
         let (own, all) = (deployment.servers.started(server), deployment.servers.total());
-        wait_for(PATIENCE_S, || deployment.servers.total() >= all + STRETCH);
+        wait_for(WAIT_LIMIT_S, || deployment.servers.total() >= all + OTHER_STARTS);
         deployment.servers.started(server) == own
     };
-    assert!(wait_for(PATIENCE_S, spared), "{server} gets no new work");
+    assert!(wait_for(WAIT_LIMIT_S, unused), "{server} gets no new work");
     let (own, all) = (deployment.servers.started(server), deployment.servers.total());
-    assert!(wait_for(PATIENCE_S, || deployment.servers.total() >= all + 2 * STRETCH));
+    assert!(wait_for(WAIT_LIMIT_S, || deployment.servers.total() >= all + 2 * OTHER_STARTS));
     assert_eq!(deployment.servers.started(server), own, "{server} gets no new work");
 }
 
-// A backend server leaves: by the operators' planned stop, and another one by
-// the platform's list. Both must get no new work after a short while, although
-// they would still take it, and no caller must notice.
+// One backend server leaves by the operators' planned stop, another one by the
+// platform's list. Both must soon get no new work, although they would still
+// accept it, and no caller must notice.
 #[test]
 fn leaving_servers() {
     let mut deployment = start(plan());
-    let load = Load::start(&at(&mut deployment, "b1"), 16);
+    let load = Load::start(&caller_of(&mut deployment, "b1"), 16);
     let used = |server| deployment.servers.started(server) > 0;
-    assert!(wait_for(PATIENCE_S, || used("a-s1") && used("b-s1")), "both servers are used");
+    assert!(wait_for(WAIT_LIMIT_S, || used("a-s1") && used("b-s1")), "both servers are used");
     deployment.store.put("endivestile/stops/a-s1", "{}");
     deployment.store.platform("b-s1", "leaving");
-    assert_spared(&deployment, "a-s1");
-    assert_spared(&deployment, "b-s1");
+    assert_no_new_work(&deployment, "a-s1");
+    assert_no_new_work(&deployment, "b-s1");
     assert_eq!(load.finish(), Vec::<String>::new());
     assert_once(&deployment);
 }
--- a/endivestile/tests/settings.rs
+++ b/endivestile/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The command line: settings, overrides, exit codes.
+//! Command line: settings, overrides, exit codes.
 
 use std::process::{Command, Output};
 
@@ -13,7 +13,7 @@
 const ADVERTISE: [&str; 2] = ["--set", "host.advertise=127.0.0.1:8081"];
 
 #[test]
-fn check_in_order() {
+fn check_valid() {
     let output = run(&[&HOST[..], &ADVERTISE[..], &["--check"]].concat());
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
@@ -22,11 +22,11 @@
 #[test_case("calls.thread=4", "threads"; "key unknown")]
 #[test_case("call.threads=4", "calls"; "section unknown")]
 #[test_case("stop.limit-s=1", "limit-s"; "stop shorter than the longest call")]
-fn check_refused(set: &str, named: &str) {
+fn check_refused(set: &str, expected: &str) {
     let output = run(&[&HOST[..], &ADVERTISE[..], &["--check", "--set", set]].concat());
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8_lossy(&output.stderr);
-    assert!(text.contains(named), "{text}");
+    assert!(text.contains(expected), "{text}");
 }
 
 #[test_case(&["--nonsense"]; "argument unknown")]
@@ -36,8 +36,8 @@
     assert_eq!(run(args).status.code(), Some(2));
 }
 
-/// Another process holds the port. The platform must see the host fail at
-/// once, not a process that serves nobody.
+/// Another process uses the port. The host must fail at once, so that the platform
+/// does not see a running process that serves no callers.
 #[test]
 fn run_port_taken() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("bind");
--- a/endivestile/tests/shutdown.rs
+++ b/endivestile/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop of a process cuts off no request.
+//! A planned stop of a process does not abort any request.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use common::{Rig, wait_for};
 use endivestile_testkit::{Fault, echo};
 
-/// An operator stops an entry host while callers call it. Each call that was
-/// accepted gets its whole answer, each later one hears "not run"; a crew that
-/// found its connection closed would not know whether its mirror is booked.
+/// An operator stops an entry host under load. Each accepted call gets its complete
+/// answer, and each later one gets "not run"; a caller whose connection was closed
+/// instead could not know whether its task ran.
 #[test]
 fn stop_under_load() {
     let mut rig = Rig::start(&[]);
@@ -24,7 +24,7 @@
                 for at in 0.. {
                     let key = format!("c{caller}-{at}");
                     let work = format!(r#"{{"key":"{key}","ms":40}}"#);
-                    let got = rig.daemon.order(&key, &work);
+                    let got = rig.daemon.submit_order(&key, &work);
                     match got.status {
                         200 => {
                             assert_eq!(got.body, echo(&work));
@@ -51,17 +51,17 @@
     assert_eq!(rig.daemon.wait_exit(), Some(0));
 }
 
-/// The stop comes while a long task runs. The process waits for it, and the
-/// balancer hears meanwhile that the host takes no new work.
+/// The host is stopped while a long task runs. The process waits for it, and
+/// meanwhile reports to the balancer that it accepts no new work.
 #[test]
 fn stop_during_long_task() {
     let mut rig = Rig::start(&[]);
     thread::scope(|scope| {
         let daemon = &rig.daemon;
-        let waiting = scope.spawn(|| daemon.order("k", r#"{"key":"k","ms":2000}"#));
+        let waiting = scope.spawn(|| daemon.submit_order("k", r#"{"key":"k","ms":2000}"#));
         wait_for("the start", || rig.backends.count("k") == 1);
         daemon.signal("TERM");
-        wait_for("the end of readiness", || daemon.get("/ready").status == 503);
+        wait_for("the host to be not ready", || daemon.get("/ready").status == 503);
         assert_eq!(daemon.get("/health").status, 200);
         let got = waiting.join().expect("caller");
         assert_eq!((got.status, got.body), (200, echo(r#"{"key":"k","ms":2000}"#)));
@@ -71,15 +71,15 @@
     assert_eq!(hosts, Vec::new(), "the registration ended with the process");
 }
 
-/// A back end never answers and the operator cannot wait: a second signal ends
-/// the process, which says what it left behind.
+/// A backend never answers. A second signal ends the process, which logs the number
+/// of calls that are still open.
 #[test]
 fn stop_twice() {
     let mut rig = Rig::start(&[]);
     rig.backends.set_fault("s1", Fault::Silent);
     thread::scope(|scope| {
         let daemon = &rig.daemon;
-        scope.spawn(|| daemon.order("k", r#"{"key":"k"}"#));
+        scope.spawn(|| daemon.submit_order("k", r#"{"key":"k"}"#));
         wait_for("the start", || rig.backends.count("k") == 1);
         daemon.signal("TERM");
         daemon.wait_line("event=stopping");
@@ -89,8 +89,8 @@
     assert_eq!(rig.daemon.wait_exit(), Some(3));
 }
 
-/// The limit is shorter than the time that a draining host still serves what
-/// the balancer sends. The process ends all the same, and says why.
+/// The shutdown limit is shorter than the time for which a draining host serves the
+/// calls that still arrive. The process exits all the same and logs the reason.
 #[test]
 fn stop_limit() {
     let mut rig = Rig::start(&[
@@ -103,12 +103,12 @@
     assert_eq!(rig.daemon.wait_exit(), Some(3));
 }
 
-/// The store is down when the stop comes. The process cannot end its
-/// registration, and must not wait for it.
+/// The host is stopped while the store is down. The process cannot end its
+/// registration, and must not wait for that.
 #[test]
 fn stop_store_down() {
     let mut rig = Rig::start(&[]);
-    assert_eq!(rig.daemon.order("k", "k").status, 200);
+    assert_eq!(rig.daemon.submit_order("k", "k").status, 200);
     rig.store.down();
     thread::sleep(Duration::from_millis(100));
     rig.daemon.signal("TERM");
--- a/endivestile/tests/soak.rs
+++ b/endivestile/tests/soak.rs
@@ -1,19 +1,19 @@
-//! Random faults from outside, with hosts as processes: a short run of fixed
-//! seeds. `cargo run --release --example soak` makes long runs with fresh ones.
+//! Random faults against hosts that run as processes: short runs with fixed seeds.
+//! `cargo run --release --example soak` makes long runs with new seeds.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panic")]
 
 use endivestile_testkit::{Daemon, Soak};
 use test_case::test_case;
 
-/// Hosts are paused, killed, stopped and started again, and the ways between
-/// them, to the store and to workers are delayed, reset or silenced, at random
-/// and overlapping. Callers get whole answers, a refusal is true, no task runs
-/// twice at a time, and afterwards everything serves as before.
+/// Hosts are paused, killed, stopped and restarted, and connections between them, to
+/// the store and to workers are delayed, reset or blocked, at random and overlapping.
+/// Callers get complete answers, refusals are correct, no task runs twice at the same
+/// time, and afterwards everything is served as before.
 ///
-/// The later seeds are those that have failed. `lapsed_elsewhere`: a run whose
-/// lease had passed at a worker that nobody reached counted as running on.
-/// `paused_host`: an answer of a host that was paused counted as late.
+/// The later seeds have failed before. `lapsed_elsewhere`: a run whose lease had
+/// expired at an unreachable worker was counted as still running. `paused_host`: an
+/// answer of a paused host was counted as late.
 #[test_case(1, 5, false; "first")]
 #[test_case(2, 5, false; "second")]
 #[test_case(3, 8, false; "lapsed_elsewhere")]
@@ -25,5 +25,5 @@
     let soak = Soak { daemon, seed, faults_ms, hosts: 2, workers: 4, callers: 6, evacuations };
     let report = soak.run().unwrap();
     assert!(report.breaches.is_empty(), "{:#?}\n{}", report.breaches, report.trace.join("\n"));
-    assert!(report.completed > 10, "hardly anything was served: {report:?}");
+    assert!(report.completed > 10, "too few calls were completed: {report:?}");
 }
--- a/endivestile/tests/store_edge.rs
+++ b/endivestile/tests/store_edge.rs
@@ -1,4 +1,4 @@
-//! The platform's store as the daemon sees it: configuration, registration, outages.
+//! The platform's store as the daemon uses it: configuration, registration, outages.
 
 mod common;
 
@@ -23,8 +23,8 @@
     wait_for("revision 2", || revision(&rig.daemon) == 2);
 }
 
-/// Somebody writes past the operators' tools: no INI, or an older revision.
-/// The host goes on with the configuration in force and says why.
+/// Values are written without the operators' tools: an invalid text, or an older
+/// revision. The host keeps the configuration in force and logs the reason.
 #[test]
 fn config_invalid_value() {
     let rig = Rig::start(&[]);
@@ -36,11 +36,11 @@
     rig.store.delete("endivestile/config");
     rig.daemon.wait_line("event=config_deleted");
     assert_eq!(revision(&rig.daemon), 3);
-    assert_eq!(rig.daemon.order("k", "k").status, 200);
+    assert_eq!(rig.daemon.submit_order("k", "k").status, 200);
 }
 
-/// Somebody writes another number of shards past the operators' tools. Hosts that
-/// took it would send a caller's own id to another home, which starts it again.
+/// Another number of shards is written without the operators' tools. Hosts that
+/// adopted it would route a caller's own id to another home, which starts it again.
 #[test]
 fn config_other_shards() {
     let rig = Rig::start(&[]);
@@ -62,8 +62,8 @@
     daemon.wait_line("event=store_up");
     assert_eq!(daemon.get("/health").status, 200);
     assert_eq!(daemon.get("/ready").status, 503);
-    // Another host may have started what has an id.
-    let got = daemon.order("k", "k");
+    // A submission with an id may have been started by another host.
+    let got = daemon.submit_order("k", "k");
     assert_eq!((got.status, got.field("status")), (503, "unknown".into()), "{}", got.body);
     let headers = [("Team", "m1"), ("Idempotent", "true")];
     let got = daemon.post("/v1/requests/orders", &headers, "k");
@@ -72,26 +72,26 @@
     daemon.wait_ready();
 }
 
-/// The store goes down for long. What was read stays in force and requests are
-/// served; a change made meanwhile is found when it is back.
+/// The store is down. The configuration read before stays in force and requests are
+/// served; a change made meanwhile is adopted when the store is back.
 #[test]
 fn store_down_and_up() {
     let rig = Rig::start(&[]);
-    assert_eq!(rig.daemon.order("before", "before").status, 200);
+    assert_eq!(rig.daemon.submit_order("before", "before").status, 200);
     rig.store.down();
     rig.daemon.wait_line("event=store_down");
-    assert_eq!(rig.daemon.order("during", "during").status, 200);
+    assert_eq!(rig.daemon.submit_order("during", "during").status, 200);
     rig.store.put("endivestile/config", config(2, &rig.backends));
     rig.store.up();
     wait_for("revision 2", || revision(&rig.daemon) == 2);
-    assert_eq!(rig.daemon.order("after", "after").status, 200);
+    assert_eq!(rig.daemon.submit_order("after", "after").status, 200);
 }
 
-/// An operator takes a planned stop back while the host cannot reach the store.
-/// Nobody tells of the deleted key afterwards; a host that only followed
-/// changes would keep the backend server out for ever.
+/// An operator withdraws a planned stop while the host cannot reach the store. No
+/// event reports the deleted key afterwards; a host that only followed changes would
+/// exclude the backend server for ever.
 #[test]
-fn stop_taken_back_during_outage() {
+fn stop_withdrawn_during_outage() {
     let rig = Rig::start(&[]);
     let headers = [("Team", "m1"), ("Idempotent", "true"), ("Deadline-Ms", "2000")];
     let status = || rig.daemon.post("/v1/requests/orders", &headers, "k").status;
@@ -105,8 +105,8 @@
     wait_for("an answer again", || status() == 200);
 }
 
-/// The store stands still without closing anything. No change arrives and
-/// nothing tells so, but the refreshes of the lease, which go unanswered.
+/// The store hangs without closing connections. No change arrives, and only the
+/// unanswered lease renewals reveal the outage.
 #[test]
 fn store_hangs() {
     let rig = Rig::start(&["store.lease-s=2"]);
@@ -117,37 +117,37 @@
     wait_for("revision 2", || revision(&rig.daemon) == 2);
 }
 
-/// The lease lapses while the process is paused, and its registration with it.
-/// Peers would never find the host again unless it registered anew.
+/// The lease expires while the process is paused, and its registration with it. The
+/// host must register again, or peers would never find it.
 #[test]
-fn registration_after_lapse() {
+fn registration_after_lease_expiry() {
     let rig = Rig::start(&["store.lease-s=2"]);
     wait_for("registration", || rig.store.get(HOST).is_some());
     rig.daemon.signal("STOP");
-    wait_for("the lapse", || rig.store.get(HOST).is_none());
+    wait_for("the lease to expire", || rig.store.get(HOST).is_none());
     rig.daemon.signal("CONT");
     wait_for("registration again", || rig.store.get(HOST).is_some());
 }
 
-/// A paused process wakes beside its successor of the same name. Taking the
-/// name back it would draw work to a host that owns nothing.
+/// A paused process resumes after its successor has registered under the same name.
+/// If it replaced the registration, peers would send work to a host that owns nothing.
 #[test]
 fn registration_superseded() {
     let rig = Rig::start(&["store.lease-s=2"]);
     wait_for("registration", || rig.store.get(HOST).is_some());
     rig.daemon.signal("STOP");
-    wait_for("the lapse", || rig.store.get(HOST).is_none());
+    wait_for("the lease to expire", || rig.store.get(HOST).is_none());
     let successor = Daemon::start(&rig.store, "e1", &[]);
     wait_for("the successor", || rig.store.get(HOST).is_some());
-    let held = rig.store.get(HOST);
+    let registration = rig.store.get(HOST);
     rig.daemon.signal("CONT");
     rig.daemon.wait_line("event=registration_ended");
-    assert_eq!(rig.store.get(HOST), held);
+    assert_eq!(rig.store.get(HOST), registration);
     drop(successor);
 }
 
-/// An answer of the store is lost after the write took effect. The registration
-/// must stand all the same.
+/// Answers of the store are lost after the writes took effect. The host must be
+/// registered all the same.
 #[test]
 fn registration_lost_answer() {
     let store = StoreStandIn::start().expect("store");
@@ -157,15 +157,15 @@
     daemon.wait_line("event=store_up");
 }
 
-/// A metrics sink that does not listen, and a log level that says a lot, cost
-/// callers nothing.
+/// A metrics sink that does not listen and a verbose log level must not affect
+/// callers.
 #[test]
 fn metrics_sink_down() {
     let rig =
         Rig::start(&["metrics.statsd=127.0.0.1:9", "metrics.interval-ms=100", "log.level=debug"]);
     for at in 0..20 {
-        assert_eq!(rig.daemon.order(&format!("k{at}"), "k").status, 200);
+        assert_eq!(rig.daemon.submit_order(&format!("k{at}"), "k").status, 200);
     }
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(rig.daemon.order("last", "last").status, 200);
+    assert_eq!(rig.daemon.submit_order("last", "last").status, 200);
 }
