--- a/endivestile/src/backend/task_call.rs
+++ b/endivestile/src/backend/task_call.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// Ends the call as lost if its thread panics; otherwise the kernel would wait for ever.
+/// Ends the call as lost if its thread panics; otherwise the kernel would wait forever.
 struct CallGuard<'a> {
     /// State shared by all calls.
     context: &'a CallContext,
--- a/endivestile/src/store/change_feed.rs
+++ b/endivestile/src/store/change_feed.rs
@@ -32,7 +32,7 @@
     ///
     /// Keys may have been deleted while the watch was interrupted, and no later
     /// event would report that: a host whose lease expired meanwhile would stay
-    /// in the kernel's membership for ever. Keys that are missing from `values`
+    /// in the kernel's membership forever. Keys that are missing from `values`
     /// are therefore reported as deleted.
     pub(crate) fn reconcile(&mut self, values: Vec<KeyValue>) {
         let mut missing = std::mem::take(&mut self.revisions);
--- a/endivestile/tests/bad_input.rs
+++ b/endivestile/tests/bad_input.rs
@@ -42,7 +42,7 @@
 #[test_case(&[IDEMPOTENT, TEAM, ("Deadline-Ms", "soon")], "Deadline-Ms"; "deadline not a number")]
 #[test_case(&[TEAM], "Idempotency-Key"; "id missing")]
 #[test_case(&[TEAM, ("Idempotency-Key", "abc")], "Idempotency-Key"; "id malformed")]
-#[test_case(&[TEAM, ("Idempotency-Key", "99999999999:k")], "Idempotency-Key"; "id dated in the future")]
+#[test_case(&[TEAM, ("Idempotency-Key", "99999999999:k")], "Idempotency-Key"; "id in the future")]
 #[test_case(&[TEAM, ("Idempotent", "yes")], "Idempotent"; "idempotent unknown value")]
 #[test_case(&[IDEMPOTENT, TEAM, ("Team", "m1")], "Team"; "team twice")]
 #[test_case(&[IDEMPOTENT, TEAM, ("Want-Ids", "17")], "Want-Ids"; "too many ids wanted")]
--- a/endivestile/tests/deployment.rs
+++ b/endivestile/tests/deployment.rs
@@ -78,9 +78,9 @@
 
 #[test]
 fn request_in_flight_at_cut() {
-    // A switch fails and one availability zone reaches neither the others nor the platform. Requests
-    // in flight at that moment may have been forwarded to the other side. Their callers only notice
-    // a delay, since an idempotent request can also run on the near side.
+    // A switch fails and one availability zone reaches neither the others nor the platform.
+    // Requests in flight at that moment may have been forwarded to the other side. Their callers
+    // only notice a delay, since an idempotent request can also run on the near side.
     let mut deployment = start(plan());
     wait_until_served(&mut deployment);
     cut_south(&deployment);
@@ -94,8 +94,8 @@
 
 #[test]
 fn request_zone_cut() {
-    // A switch fails and one availability zone reaches neither the others nor the platform. Callers
-    // on both sides of the cut still get answers from the backend servers on their side.
+    // A switch fails and one availability zone reaches neither the others nor the platform.
+    // Callers on both sides of the cut still get answers from the backend servers on their side.
     let mut deployment = start(plan());
     wait_until_served(&mut deployment);
     cut_south(&deployment);
@@ -159,8 +159,9 @@
 
 #[test]
 fn job_host_paused() {
-    // The hypervisor pauses an entry host for longer than its lease. Other hosts take over its shards,
-    // and the caller resubmits to one of them. Then the paused host resumes, unaware of the takeover.
+    // The hypervisor pauses an entry host for longer than its lease. Other hosts take over its
+    // shards, and the caller resubmits to one of them. Then the paused host resumes, unaware of
+    // the takeover.
     let mut deployment = start(plan());
     wait_until_served(&mut deployment);
     let (first, second) = (caller(&mut deployment, "e1"), caller(&mut deployment, "e3"));
--- a/endivestile/tests/promise_config.rs
+++ b/endivestile/tests/promise_config.rs
@@ -1,4 +1,5 @@
-//! Promise 8 with real processes: an accepted configuration is in force everywhere and never reverts.
+//! Promise 8 with real processes: an accepted configuration is in force everywhere and never
+//! reverts.
 
 mod promise;
 
--- a/endivestile/tests/store_edge.rs
+++ b/endivestile/tests/store_edge.rs
@@ -57,7 +57,7 @@
 #[test]
 fn config_missing() {
     let store = StoreStandIn::start().expect("store");
-    let backends = BackendStandIn::start(vec![Spec::new("s1")]).expect("back ends");
+    let backends = BackendStandIn::start(vec![Spec::new("s1")]).expect("backend servers");
     let daemon = Daemon::start(&store, "e1", &[]);
     daemon.wait_line("event=store_up");
     assert_eq!(daemon.get("/health").status, 200);
@@ -89,7 +89,7 @@
 
 /// An operator withdraws a planned stop while the host cannot reach the store. No
 /// event reports the deleted key afterwards; a host that only followed changes would
-/// exclude the backend server for ever.
+/// exclude the backend server forever.
 #[test]
 fn stop_withdrawn_during_outage() {
     let rig = Rig::start(&[]);
