--- a/endivestile/src/fleet/http_server.rs
+++ b/endivestile/src/fleet/http_server.rs
@@ -174,7 +174,7 @@
     guard.answered = true;
     Ok(answer.map_or_else(
         |_| empty_response(StatusCode::SERVICE_UNAVAILABLE),
-        |response| response.map(Full::new),
+        |engine_reply| engine_reply.map(Full::new),
     ))
 }
 
--- a/endivestile/src/run.rs
+++ b/endivestile/src/run.rs
@@ -154,7 +154,7 @@
     let wall_s = since_epoch().as_secs();
     let seed = me.birth;
     let seeds = settings.host.seeds.iter();
-    let seeds = seeds.map(|(host, peer_address)| seed_host(host, *peer_address)).collect();
+    let seeds = seeds.map(|(host, seed_address)| seed_host(host, *seed_address)).collect();
     let setup = Setup { me, zone: settings.host.zone.clone(), address, wall_s, seed, seeds };
     let exit = Rc::new(Cell::new(Exit::Failed));
     let stop_limit_s = settings.stop.shutdown_limit_s;
