--- a/endivestile/examples/overhead.rs
+++ b/endivestile/examples/overhead.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use endivestile_testkit::{Daemon, Deployment, Plan, Spec};
+use endivestile_testkit::{DaemonCommand, Deployment, MachineSpec, Plan};
 use serde_json::Value;
 use ureq::Agent;
 
@@ -64,7 +64,7 @@
     println!("hosts mode callers p50_us p99_us worst_us rate_s");
     let only: Option<usize> = env::args().nth(1).and_then(|arg| arg.parse().ok());
     for hosts in only.map_or(vec![1, 2], |hosts| vec![hosts]) {
-        let daemon = Daemon { program: env::current_exe()?, args: vec![DAEMON.into()] };
+        let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON.into()] };
         let deployment = Deployment::start(plan(hosts), &daemon)?;
         thread::sleep(Duration::from_secs(5));
         let urls: Vec<String> = deployment.hosts.iter().map(|h| h.url("")).collect();
@@ -78,7 +78,7 @@
             let targets = if mode == Mode::Direct { &servers } else { &urls };
             for callers in CALLERS {
                 round(hosts, mode, callers, targets);
-                deployment.servers.forget();
+                deployment.servers.clear_starts();
             }
             messages(&deployment)?;
         }
@@ -95,7 +95,7 @@
         plan = plan.host(&format!("e{n}"), "a", 1);
     }
     for n in 1..=4 {
-        plan = plan.server(Spec::new(format!("s{n}")).slots(64), "a", "rack");
+        plan = plan.server(MachineSpec::new(format!("s{n}")).slots(64), "a", "rack");
     }
     plan.service("direct", "/order", &["s1", "s2", "s3", "s4"])
 }
--- a/endivestile/examples/platform.rs
+++ b/endivestile/examples/platform.rs
@@ -13,7 +13,7 @@
 
 // Registers itself as an adapter.
 use endivestile_platform as _;
-use endivestile_testkit::{Daemon, PlatformHost, PlatformStandIn, wait_for};
+use endivestile_testkit::{DaemonCommand, PlatformHost, PlatformStandIn, wait_for};
 use serde_json::{Value, json};
 use ureq::Agent;
 
@@ -48,12 +48,12 @@
 }
 
 fn tour() -> Step {
-    let daemon = Daemon { program: env::current_exe()?, args: vec![DAEMON.into()] };
+    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON.into()] };
     let platform = PlatformStandIn::start(&["north", "south"], WORKERS);
     platform.configure(1);
     let mut hosts = Vec::new();
     for (name, zone) in [("e1", "north"), ("e2", "south")] {
-        hosts.push(PlatformHost::start(&daemon, platform.store(), name, zone, &[])?);
+        hosts.push(PlatformHost::start(&daemon, platform.store_address(), name, zone, &[])?);
     }
     for host in &hosts {
         let serves = wait_for(LIMIT_S, || submit(host, u64::MAX).is_ok_and(|(done, _)| done));
@@ -85,7 +85,7 @@
 
 /// Sends a job; says whether it was completed, and how long that took.
 fn submit(host: &PlatformHost, number: u64) -> Step<(bool, Duration)> {
-    let address = host.http().ok_or("the host does not listen yet")?;
+    let address = host.http_address().ok_or("the host does not listen yet")?;
     let agent: Agent = Agent::config_builder().http_status_as_error(false).build().into();
     let step = json!({"Count": 4, "Cpu": 14_000, "MemoryRequestMb": 64, "EstimatedMs": 50});
     let body = json!({"Spec": "50", "Steps": [step], "BestEffort": true}).to_string();
--- a/endivestile/examples/quickstart.rs
+++ b/endivestile/examples/quickstart.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use endivestile_testkit::{Caller, Daemon, Deployment, Plan, Reply, Spec, echo};
+use endivestile_testkit::{Caller, DaemonCommand, Deployment, MachineSpec, Plan, Reply, echo};
 use endivestile_wire::call::{NeedBody, TaskBody};
 
 /// First argument of the processes that run as entry hosts.
@@ -48,7 +48,7 @@
 }
 
 fn tour() -> Step {
-    let daemon = Daemon { program: env::current_exe()?, args: vec![DAEMON.into()] };
+    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON.into()] };
     println!("starting 2 availability zones with 2 entry hosts each");
     let mut deployment = Deployment::start(plan(), &daemon)?;
     let callers: Vec<Caller> =
@@ -56,7 +56,8 @@
     run_job(&callers)?;
     run_requests(&callers)?;
     resubmit(&callers)?;
-    let doubled = [deployment.servers.doubled(), deployment.workers.doubled()].concat();
+    let doubled =
+        [deployment.servers.duplicate_starts(), deployment.workers.duplicate_starts()].concat();
     ensure(doubled.is_empty(), || format!("started more than once: {doubled:?}"))?;
     messages(&callers)?;
     stop(&mut deployment)
@@ -69,10 +70,10 @@
             plan = plan.host(host, zone, 1);
         }
         for n in 1..=3 {
-            let spec = Spec::new(format!("s-{zone}-{n}")).speed(f64::from(n));
+            let spec = MachineSpec::new(format!("s-{zone}-{n}")).speed(f64::from(n));
             plan = plan.server(spec, zone, &format!("rack-{zone}"));
         }
-        let spec = Spec::new(format!("w-{zone}")).slots(64);
+        let spec = MachineSpec::new(format!("w-{zone}")).slots(64);
         plan = plan.worker(spec, zone, &format!("rack-{zone}"), (32, 65_536, 2));
     }
     plan
@@ -83,7 +84,7 @@
     let tasks: Vec<TaskBody> = works.iter().enumerate().map(|(n, work)| task(n, work)).collect();
     let id = Caller::own_id("job");
     let began = Instant::now();
-    let reply = persist(|| callers[0].tasks(&id, tasks.clone()))?;
+    let reply = persist(|| callers[0].submit_tasks(&id, tasks.clone()))?;
     let took_ms = began.elapsed().as_millis();
     let results = reply.answer().and_then(|answer| answer.results).unwrap_or_default();
     let expected: Vec<String> = works.iter().map(|work| echo(work)).collect();
@@ -155,7 +156,7 @@
         host.terminate();
     }
     for host in &mut deployment.hosts {
-        let status = host.wait_end(STOP_S);
+        let status = host.wait_exit(STOP_S);
         let clean = status.is_some_and(|status| status.success());
         ensure(clean, || format!("{} ended with {status:?}", host.name()))?;
     }
--- a/endivestile/examples/soak.rs
+++ b/endivestile/examples/soak.rs
@@ -14,7 +14,7 @@
 use clap::Parser;
 // Registers itself as an adapter.
 use endivestile_platform as _;
-use endivestile_testkit::{Daemon, Soak, SoakReport};
+use endivestile_testkit::{DaemonCommand, Soak, SoakReport};
 
 /// First argument of the processes that run as entry hosts.
 const DAEMON: &str = "daemon";
@@ -63,7 +63,7 @@
 
 /// Makes the runs; returns how many of them broke a promise.
 fn soak(args: &Args) -> io::Result<u64> {
-    let daemon = Daemon { program: env::current_exe()?, args: vec![DAEMON.into()] };
+    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON.into()] };
     let mut failed = 0;
     for seed in args.first..args.first + args.seeds {
         let soak = Soak {
--- a/endivestile/examples/steady.rs
+++ b/endivestile/examples/steady.rs
@@ -18,7 +18,7 @@
 use clap::Parser;
 // Registers itself as an adapter.
 use endivestile_platform as _;
-use endivestile_testkit::{Daemon, PlatformHost, PlatformStandIn, wait_for};
+use endivestile_testkit::{DaemonCommand, PlatformHost, PlatformStandIn, wait_for};
 use serde_json::json;
 use ureq::Agent;
 
@@ -78,17 +78,24 @@
 }
 
 fn play(options: &Options) -> Result<(), Box<dyn Error>> {
-    let daemon = Daemon { program: env::current_exe()?, args: vec![DAEMON.into()] };
+    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON.into()] };
     let platform = PlatformStandIn::start(&["z"], options.workers);
     platform.configure(1);
     let mut hosts = Vec::new();
     for at in 0..options.hosts {
         let cores = if at == 0 { "0.5" } else { "0.09" };
         let more = [format!("platform.cores={cores}")];
-        hosts.push(PlatformHost::start(&daemon, platform.store(), &format!("e{at}"), "z", &more)?);
+        hosts.push(PlatformHost::start(
+            &daemon,
+            platform.store_address(),
+            &format!("e{at}"),
+            "z",
+            &more,
+        )?);
     }
-    let serves =
-        |host: &PlatformHost| host.http().is_some_and(|at| submit(&agent(), at, 0, options));
+    let serves = |host: &PlatformHost| {
+        host.http_address().is_some_and(|at| submit(&agent(), at, 0, options))
+    };
     for host in &hosts {
         if !wait_for(LIMIT_S, || serves(host)) {
             return Err("a host serves nothing".into());
@@ -138,7 +145,7 @@
     let patience_s = f64::from(options.work_ms) / 1_000.0 * 4.0 + 0.2;
     let count = ((options.rate * patience_s).ceil() as usize).max(hosts.len());
     let gap = Duration::from_secs_f64(count as f64 / options.rate);
-    let addresses: Vec<SocketAddr> = hosts.iter().filter_map(PlatformHost::http).collect();
+    let addresses: Vec<SocketAddr> = hosts.iter().filter_map(PlatformHost::http_address).collect();
     let caller = |at: usize| {
         let address = addresses[at % addresses.len()];
         let (seen, options) = (Arc::clone(seen), (options.tasks, options.work_ms));
--- a/endivestile/tests/back_ends.rs
+++ b/endivestile/tests/back_ends.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use common::{Rig, dated, wait_for};
-use endivestile_testkit::{Fault, echo};
+use endivestile_testkit::{MachineFault, echo};
 use test_case::test_case;
 
 #[test]
@@ -13,7 +13,7 @@
     let rig = Rig::start(&[]);
     let got = rig.daemon.order("k", r#"{"key":"k"}"#);
     assert_eq!((got.status, got.body), (200, echo(r#"{"key":"k"}"#)));
-    assert_eq!(rig.backends.count("k"), 1);
+    assert_eq!(rig.backends.starts_of("k"), 1);
 }
 
 /// Two callers' requests are answered late and in another order than they
@@ -32,38 +32,38 @@
             });
         }
     });
-    assert_eq!(rig.backends.doubled(), Vec::new());
+    assert_eq!(rig.backends.duplicate_starts(), Vec::new());
 }
 
 /// The backend server takes the request and its answer is lost: it closes the
 /// connection, sends half, or fails. The caller is told that it failed, and
 /// the payment is not made a second time.
-#[test_case(Fault::Close, "s1 was lost"; "closed after reading")]
-#[test_case(Fault::Half, "s1 was lost"; "half an answer")]
-#[test_case(Fault::Status(500), "status 500"; "error status")]
-fn order_lost(fault: Fault, reason: &str) {
+#[test_case(MachineFault::Close, "s1 was lost"; "closed after reading")]
+#[test_case(MachineFault::Truncate, "s1 was lost"; "half an answer")]
+#[test_case(MachineFault::Status(500), "status 500"; "error status")]
+fn order_lost(fault: MachineFault, reason: &str) {
     let rig = Rig::start(&[]);
     rig.backends.set_fault("s1", fault);
     let got = rig.daemon.order("k", r#"{"key":"k"}"#);
     assert_eq!((got.status, got.field("status")), (502, "failed".into()), "{}", got.body);
     assert!(got.body.contains(reason), "{}", got.body);
-    assert_eq!(rig.backends.count("k"), 1);
+    assert_eq!(rig.backends.starts_of("k"), 1);
 }
 
 /// The backend server cannot be reached, is full, or leaves, and says so before
 /// it starts anything. The caller hears "not run" at its deadline at the
 /// latest, and nothing ran.
-#[test_case(Fault::Refuse; "connection refused")]
-#[test_case(Fault::Busy; "busy")]
-#[test_case(Fault::Leaving; "leaving")]
-fn order_not_run(fault: Fault) {
+#[test_case(MachineFault::Refuse; "connection refused")]
+#[test_case(MachineFault::Busy; "busy")]
+#[test_case(MachineFault::Leaving; "leaving")]
+fn order_not_run(fault: MachineFault) {
     let rig = Rig::start(&[]);
     rig.backends.set_fault("s1", fault);
     let headers = [("Team", "m1"), ("Idempotency-Key", &*dated("k")), ("Deadline-Ms", "5000")];
     let got = rig.daemon.post("/v1/requests/orders", &headers, r#"{"key":"k"}"#);
     assert_eq!((got.status, got.field("status")), (503, "not run".into()), "{}", got.body);
     assert!(got.retry.is_some());
-    assert_eq!(rig.backends.count("k"), 0);
+    assert_eq!(rig.backends.starts_of("k"), 0);
 }
 
 /// The backend server runs the task and never answers. The caller waits no
@@ -72,11 +72,11 @@
 fn order_silent() {
     let rig = Rig::start(&[]);
     assert_eq!(rig.daemon.order("first", "first").status, 200);
-    rig.backends.set_fault("s1", Fault::Silent);
+    rig.backends.set_fault("s1", MachineFault::Silent);
     let headers = [("Team", "m1"), ("Idempotency-Key", &*dated("k")), ("Deadline-Ms", "3000")];
     let got = rig.daemon.post("/v1/requests/orders", &headers, r#"{"key":"k"}"#);
     assert_eq!((got.status, got.field("status")), (504, "failed".into()), "{}", got.body);
-    assert_eq!(rig.backends.count("k"), 1);
+    assert_eq!(rig.backends.starts_of("k"), 1);
 }
 
 /// The backend server closes connections that the entry host still keeps. A
@@ -88,11 +88,11 @@
         let key = format!("k{at}");
         let got = rig.daemon.order(&key, &format!(r#"{{"key":"{key}"}}"#));
         assert_eq!(got.status, 200, "{}", got.body);
-        rig.backends.cut("s1");
+        rig.backends.close_connections("s1");
         // The end of the connection must have crossed the loopback.
         thread::sleep(std::time::Duration::from_millis(20));
     }
-    assert_eq!(rig.backends.doubled(), Vec::new());
+    assert_eq!(rig.backends.duplicate_starts(), Vec::new());
 }
 
 /// A caller resubmits a booking whose answer it lost, and gets the answer of
@@ -105,7 +105,7 @@
     let first = rig.daemon.post("/v1/requests/orders", &headers, work);
     let again = rig.daemon.post("/v1/requests/orders", &headers, work);
     assert_eq!((first.status, &first.body), (again.status, &again.body));
-    assert_eq!(rig.backends.count("k"), 1);
+    assert_eq!(rig.backends.starts_of("k"), 1);
     let other = rig.daemon.post("/v1/requests/orders", &headers, "other");
     assert_eq!((other.status, other.field("status")), (422, "conflict".into()));
 }
@@ -140,7 +140,7 @@
         let waiting = scope.spawn(|| {
             rig.daemon.post("/v1/jobs", &[("Team", "m1"), ("Idempotency-Key", &id)], body)
         });
-        wait_for("the start", || rig.backends.count("k") == 1);
+        wait_for("the start", || rig.backends.starts_of("k") == 1);
         let got = rig.daemon.delete(&format!("/v1/submissions/{id}"));
         assert_eq!((got.status, got.field("status")), (200, "cancelled".into()), "{}", got.body);
         let got = waiting.join().expect("caller");
@@ -158,7 +158,7 @@
     let headers = [("Team", "m1"), ("Idempotency-Key", &*ids[0])];
     assert_eq!(rig.daemon.post("/v1/requests/orders", &headers, "w").status, 200);
     assert_eq!(rig.daemon.post("/v1/requests/orders", &headers, "w").status, 200);
-    assert_eq!(rig.backends.count("w"), 1);
+    assert_eq!(rig.backends.starts_of("w"), 1);
 }
 
 /// An old backend server sends its answer without a length and closes the
--- a/endivestile/tests/common/mod.rs
+++ b/endivestile/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use endivestile_testkit::{BackendStandIn, Spec, StoreStandIn};
+use endivestile_testkit::{BackendStandIn, MachineSpec, StoreStandIn};
 use serde_json::Value;
 use ureq::Agent;
 
@@ -36,7 +36,7 @@
     /// Starts everything and waits until the daemon is ready.
     pub(crate) fn start(overrides: &[&str]) -> Self {
         let store = StoreStandIn::start().expect("store");
-        let backends = BackendStandIn::start(vec![Spec::new("s1")]).expect("back ends");
+        let backends = BackendStandIn::start(vec![MachineSpec::new("s1")]).expect("back ends");
         store.put("endivestile/config", config(1, &backends));
         let daemon = Daemon::start(&store, "e1", overrides);
         daemon.wait_ready();
--- a/endivestile/tests/deployment.rs
+++ b/endivestile/tests/deployment.rs
@@ -4,7 +4,9 @@
 use std::thread;
 use std::time::Duration;
 
-use endivestile_testkit::{Caller, Daemon, Deployment, Plan, Reply, Spec, echo, wait_for};
+use endivestile_testkit::{
+    Caller, DaemonCommand, Deployment, MachineSpec, Plan, Reply, echo, wait_for,
+};
 
 /// Seconds within which an answer must come once the fault is over.
 const LIMIT_S: u64 = 60;
@@ -12,7 +14,7 @@
 static SERIAL: AtomicU64 = AtomicU64::new(0);
 
 fn start(plan: Plan) -> Deployment {
-    Deployment::start(plan, &Daemon::new(env!("CARGO_BIN_EXE_endivestile"))).expect("start")
+    Deployment::start(plan, &DaemonCommand::new(env!("CARGO_BIN_EXE_endivestile"))).expect("start")
 }
 
 /// Two zones of two hosts and two backend servers each, with a network between.
@@ -23,7 +25,7 @@
             plan = plan.host(host, zone, 1);
         }
         for n in 1..=2 {
-            plan = plan.server(Spec::new(format!("{zone}-{n}")), zone, "");
+            plan = plan.server(MachineSpec::new(format!("{zone}-{n}")), zone, "");
         }
     }
     plan
@@ -72,7 +74,7 @@
 
 /// Returns the works that were started more than once, those of `settle` apart.
 fn doubled(deployment: &Deployment) -> Vec<(String, usize)> {
-    deployment.servers.doubled().into_iter().filter(|(work, _)| work != "settle").collect()
+    deployment.servers.duplicate_starts().into_iter().filter(|(work, _)| work != "settle").collect()
 }
 
 #[test]
@@ -105,13 +107,13 @@
         assert!(wait_for(LIMIT_S, || sees_only(&caller, zone)), "{zone}");
         let reply = persist(|| caller.request("orders", None, &work)).expect("answer");
         assert_eq!((reply.status, reply.body), (200, echo(&work)), "{zone}");
-        let ids = caller.ids(10).expect("ids");
+        let ids = caller.fetch_ids(10).expect("ids");
         for (n, id) in ids.iter().enumerate() {
             let key = format!("cut-once-{zone}-{n}");
             let work = format!(r#"{{"key":"{key}","ms":20}}"#);
             let reply = persist(|| caller.request("orders", Some(id), &work)).expect("answer");
             assert_eq!((reply.status, reply.body), (200, echo(&work)), "{zone}");
-            assert_eq!(deployment.servers.count(&key), 1);
+            assert_eq!(deployment.servers.starts_of(&key), 1);
         }
     }
     deployment.heal();
@@ -126,8 +128,8 @@
 }
 
 fn cut_south(deployment: &Deployment) {
-    deployment.cut("south");
-    deployment.cut_platform("south");
+    deployment.isolate_zone("south");
+    deployment.isolate_from_store("south");
 }
 
 #[test]
@@ -140,12 +142,12 @@
     for round in 0..4 {
         let id = Caller::own_id(&format!("killed-{round}"));
         let works = works(&format!("killed-{round}"), 20, 150);
-        let before = deployment.servers.total();
+        let before = deployment.servers.total_starts();
         let reply = thread::scope(|scope| {
-            scope.spawn(|| first.job("orders", &id, &works));
-            wait_for(LIMIT_S, || deployment.servers.total() > before + 4);
+            scope.spawn(|| first.submit_job("orders", &id, &works));
+            wait_for(LIMIT_S, || deployment.servers.total_starts() > before + 4);
             deployment.host("e1").kill();
-            persist(|| second.job("orders", &id, &works)).expect("answer")
+            persist(|| second.submit_job("orders", &id, &works)).expect("answer")
         });
         whole_or_failed(&reply, &works);
         deployment.host("e1").restart().expect("restart");
@@ -165,18 +167,18 @@
     for round in 0..3 {
         let id = Caller::own_id(&format!("paused-{round}"));
         let works = works(&format!("paused-{round}"), 60, 200);
-        let before = deployment.servers.total();
+        let before = deployment.servers.total_starts();
         let reply = thread::scope(|scope| {
-            scope.spawn(|| first.job("orders", &id, &works));
-            wait_for(LIMIT_S, || deployment.servers.total() > before + 4);
+            scope.spawn(|| first.submit_job("orders", &id, &works));
+            wait_for(LIMIT_S, || deployment.servers.total_starts() > before + 4);
             deployment.host("e1").pause();
             thread::sleep(Duration::from_secs(4));
             // The first try may be held by the paused host until its deadline.
-            let early = second.clone().deadline_ms(2_000).job("orders", &id, &works);
+            let early = second.clone().deadline_ms(2_000).submit_job("orders", &id, &works);
             deployment.host("e1").resume();
             match early {
                 Ok(reply) if reply.status == 200 => reply,
-                _ => persist(|| second.job("orders", &id, &works)).expect("answer"),
+                _ => persist(|| second.submit_job("orders", &id, &works)).expect("answer"),
             }
         });
         whole_or_failed(&reply, &works);
--- a/endivestile/tests/explain_failure.rs
+++ b/endivestile/tests/explain_failure.rs
@@ -67,7 +67,7 @@
     platform.configure(1);
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
-    platform.fault("a-w1", WorkerFault::Hangs);
+    platform.set_fault("a-w1", WorkerFault::Hangs);
     let id = "00000000000000b2";
     let (status, _) = host.call("POST", &format!("/jobs/{id}"), &job(4, 100));
     assert_eq!(status, 200);
@@ -93,6 +93,6 @@
     assert_eq!(caller.join().unwrap().0, 200);
     let lost = line(&hosts[0], "placer_lost", id);
     assert_ne!(value(&lost, "placer="), "");
-    assert!(hosts[0].process.told("event=owner_known", "token=").is_some());
+    assert!(hosts[0].process.log_value("event=owner_known", "token=").is_some());
     assert_eq!(value(&line(&hosts[0], "job_answered", id), "tries="), "2");
 }
--- a/endivestile/tests/platform/mod.rs
+++ b/endivestile/tests/platform/mod.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use endivestile_testkit::{Daemon, PlatformHost, PlatformStandIn};
+use endivestile_testkit::{DaemonCommand, PlatformHost, PlatformStandIn};
 use serde_json::{Value, json};
 
 /// Longest wait for a condition; exceeded only if something is broken.
@@ -38,10 +38,11 @@
         args: &[OsString],
     ) -> Self {
         let program = env!("CARGO_BIN_EXE_endivestile").into();
-        let daemon = Daemon { program, args: args.to_vec() };
-        let process = PlatformHost::start(&daemon, platform.store(), name, zone, &[]).unwrap();
-        wait_until("the host listens", || process.http().is_some());
-        let (http, page) = (process.http().unwrap(), process.page().unwrap());
+        let daemon = DaemonCommand { program, args: args.to_vec() };
+        let process =
+            PlatformHost::start(&daemon, platform.store_address(), name, zone, &[]).unwrap();
+        wait_until("the host listens", || process.http_address().is_some());
+        let (http, page) = (process.http_address().unwrap(), process.metrics_address().unwrap());
         Self { process, http: http.to_string(), page: page.to_string() }
     }
 
@@ -51,7 +52,7 @@
     }
 
     pub(crate) fn logged(&self, text: &str) -> usize {
-        self.process.logged(text)
+        self.process.count_lines(text)
     }
 }
 
--- a/endivestile/tests/platform_path.rs
+++ b/endivestile/tests/platform_path.rs
@@ -103,7 +103,7 @@
     let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
-    platform.fault("a-w1", WorkerFault::Silent);
+    platform.set_fault("a-w1", WorkerFault::Silent);
     for id in 0..4 {
         let (status, _) = host.call("POST", &format!("/jobs/00000000000001a{id}"), &job(2, 20));
         assert_eq!(status, 200);
@@ -135,7 +135,7 @@
     wait_until("the metrics page shows the evacuation", || {
         metrics_page(&hosts[0]).contains("endivestile_zones_evacuated 1")
     });
-    platform.evacuate("a", false);
+    platform.set_evacuated("a", false);
     wait_until("the evacuation has ended", || hosts[0].logged("event=evacuation_ended") > 0);
     let (status, _) = hosts[0].call("POST", "/jobs/00000000000001f0", &job(2, 5));
     assert_eq!(status, 200);
@@ -185,12 +185,12 @@
     let platform = start_platform();
     let (killed, other) = start_owner_and_other(&platform);
     // The other host has just handled a change when the next one arrives.
-    platform.leaves("a-w1", true);
-    platform.leaves("a-w1", false);
+    platform.set_leaving("a-w1", true);
+    platform.set_leaving("a-w1", false);
     wait_until("the change has been handled", || {
         killed.call("POST", "/jobs/00000000000000ab", &job(1, 1)).0 == 200
     });
-    platform.leaves("a-w1", true);
+    platform.set_leaving("a-w1", true);
     let starts = || platform.starts().iter().find(|(id, _)| id == "a-w1").map_or(0, |(_, n)| *n);
     assert_none_started(killed, &other, starts);
 }
@@ -203,13 +203,13 @@
     let platform = PlatformStandIn::start(&["a", "b", "c"], 24);
     platform.configure(1);
     let (killed, other) = start_owner_and_other(&platform);
-    let ids: Vec<String> = platform.workers().into_iter().map(|(id, _)| id).collect();
+    let ids: Vec<String> = platform.worker_addresses().into_iter().map(|(id, _)| id).collect();
     for _ in 0..15 {
-        ids.iter().for_each(|id| platform.leaves(id, false));
+        ids.iter().for_each(|id| platform.set_leaving(id, false));
         thread::sleep(Duration::from_millis(200));
     }
     let leaving: Vec<&String> = ids.iter().filter(|id| *id != "a-w24").collect();
-    leaving.iter().for_each(|id| platform.leaves(id, true));
+    leaving.iter().for_each(|id| platform.set_leaving(id, true));
     let starts = || {
         let starts = platform.starts().into_iter().filter(|(id, _)| id != "a-w24");
         starts.map(|(_, count)| count).sum::<u64>()
@@ -230,7 +230,7 @@
     let mut text = String::new();
     open.read_to_string(&mut text).unwrap();
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-    assert!(host.process.wait_end(30).unwrap().success());
+    assert!(host.process.wait_exit(30).unwrap().success());
 }
 
 /// The store refuses every call for a while. The owner of the workers continues under
@@ -240,10 +240,10 @@
     let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
-    platform.refuse(true);
+    platform.set_refusing(true);
     wait_until("the host notices", || host.logged("event=store_down") > 0);
     assert_eq!(host.call("POST", "/jobs/00000000000000ab", &job(4, 20)).0, 200);
-    platform.refuse(false);
+    platform.set_refusing(false);
     wait_until("the host notices", || host.logged("event=store_up") > 1);
 }
 
--- a/endivestile/tests/promise/mod.rs
+++ b/endivestile/tests/promise/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use endivestile_kernel::{ShardRecord, SubmissionId};
-use endivestile_testkit::{Caller, Daemon, Deployment, Plan, Reply, Spec, wait_for};
+use endivestile_testkit::{Caller, DaemonCommand, Deployment, MachineSpec, Plan, Reply, wait_for};
 
 /// Shards of the deployment.
 const SHARDS: u32 = 4;
@@ -23,7 +23,7 @@
     for zone in ["a", "b"] {
         for number in 1..=2 {
             plan = plan.host(&format!("{zone}{number}"), zone, 1);
-            let spec = Spec::new(format!("{zone}-s{number}"));
+            let spec = MachineSpec::new(format!("{zone}-s{number}"));
             plan = plan.server(spec, zone, &format!("rack-{zone}"));
         }
     }
@@ -32,7 +32,7 @@
 
 /// Starts a plan and waits until every shard has a home and a witness with its table.
 pub(crate) fn start(plan: Plan) -> Deployment {
-    let daemon = Daemon::new(env!("CARGO_BIN_EXE_endivestile"));
+    let daemon = DaemonCommand::new(env!("CARGO_BIN_EXE_endivestile"));
     let deployment = Deployment::start(plan, &daemon).expect("a deployment");
     assert!(wait_for(PATIENCE_S, || synced(&deployment) == SHARDS as usize), "shards have homes");
     deployment
@@ -82,7 +82,7 @@
 /// connection is no answer, and the caller does not come back after it.
 pub(crate) fn persist(caller: &Caller, id: &str, works: &[String]) -> Option<Reply> {
     for _ in 0..TRIES {
-        let reply = caller.job("orders", id, works).ok()?;
+        let reply = caller.submit_job("orders", id, works).ok()?;
         if reply.status != 503 {
             return Some(reply);
         }
@@ -103,8 +103,8 @@
 
 /// Waits until this many tasks have started at the backend servers.
 pub(crate) fn wait_starts(deployment: &Deployment, count: u64) {
-    let started = wait_for(PATIENCE_S, || deployment.servers.total() >= count);
-    assert!(started, "{} of {count} starts", deployment.servers.total());
+    let started = wait_for(PATIENCE_S, || deployment.servers.total_starts() >= count);
+    assert!(started, "{} of {count} starts", deployment.servers.total_starts());
 }
 
 /// Waits until another host than `name` is home of the id.
@@ -114,7 +114,7 @@
 
 /// Checks that nothing was started twice.
 pub(crate) fn assert_once(deployment: &Deployment) {
-    assert_eq!(deployment.servers.doubled(), [], "started more than once");
+    assert_eq!(deployment.servers.duplicate_starts(), [], "started more than once");
 }
 
 /// Checks that an answer is complete with every result of the works, or failed without any.
--- a/endivestile/tests/promise_answer.rs
+++ b/endivestile/tests/promise_answer.rs
@@ -4,7 +4,7 @@
 
 use std::thread;
 
-use endivestile_testkit::{Caller, Fault, echo, wait_for};
+use endivestile_testkit::{Caller, MachineFault, echo, wait_for};
 
 use promise::{
     PATIENCE_S, assert_once, assert_whole, at, home, others, persist, persist_later, plan, start,
@@ -42,7 +42,7 @@
         names.iter().map(|name| persist_later(at(&mut deployment, name), &id, &works)).collect();
     for reply in callers {
         let reply = reply.join().expect("a caller").expect("a final answer");
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.status_text(), "complete", "{}", reply.body);
         assert_whole(&reply, &works);
     }
     assert_once(&deployment);
@@ -64,7 +64,7 @@
     }
     let first = first.join().expect("a caller").expect("a final answer");
     assert_whole(&first, &mine);
-    assert_eq!(deployment.servers.count("other-0"), 0);
+    assert_eq!(deployment.servers.starts_of("other-0"), 0);
     assert_once(&deployment);
 }
 
@@ -76,7 +76,7 @@
     const CALLS: usize = 8;
     let mut deployment = start(plan());
     let names: Vec<String> = deployment.hosts.iter().map(|host| host.name().to_owned()).collect();
-    deployment.servers.set_fault("a-s1", Fault::Straggle(30));
+    deployment.servers.set_fault("a-s1", MachineFault::Straggle(30));
     let threads: Vec<_> = (0..CALLERS)
         .map(|number| {
             let caller = at(&mut deployment, &names[number % names.len()]);
@@ -100,13 +100,13 @@
 #[test]
 fn answer_half_of_one() {
     let mut deployment = start(plan());
-    deployment.servers.set_fault("a-s2", Fault::Half);
+    deployment.servers.set_fault("a-s2", MachineFault::Truncate);
     let id = Caller::own_id("half");
     let works = works("half", 30, 60);
     let reply = persist(&at(&mut deployment, "a1"), &id, &works).expect("a final answer");
     assert_whole(&reply, &works);
-    let hit = deployment.servers.started("a-s2") > 0;
-    assert_eq!(reply.word(), if hit { "failed" } else { "complete" });
+    let hit = deployment.servers.starts_at("a-s2") > 0;
+    assert_eq!(reply.status_text(), if hit { "failed" } else { "complete" });
     assert_once(&deployment);
 }
 
@@ -118,7 +118,7 @@
     for round in 0..6 {
         let id = Caller::own_id(&format!("cancel-{round}"));
         let works = works(&format!("cancel-{round}"), 3, 100);
-        let started = deployment.servers.total();
+        let started = deployment.servers.total_starts();
         let first = persist_later(at(&mut deployment, "a1"), &id, &works);
         wait_starts(&deployment, started + 3);
         let canceller = at(&mut deployment, "b1");
--- a/endivestile/tests/promise_burst.rs
+++ b/endivestile/tests/promise_burst.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use endivestile_testkit::{Plan, Spec};
+use endivestile_testkit::{MachineSpec, Plan};
 
 use promise::{PATIENCE_S, start};
 
@@ -24,7 +24,7 @@
 #[test]
 fn burst_all_answered() {
     let plan = Plan::new().rules(|rules| rules.shards = 4).host("a1", "a", 1).host("a2", "a", 1);
-    let deployment = start(plan.server(Spec::new("s1"), "a", "r1"));
+    let deployment = start(plan.server(MachineSpec::new("s1"), "a", "r1"));
     let address = deployment.hosts[0].address();
     for round in 0..ROUNDS {
         let gate = Arc::new(Barrier::new(CALLERS));
--- a/endivestile/tests/promise_config.rs
+++ b/endivestile/tests/promise_config.rs
@@ -12,7 +12,7 @@
 /// Returns the revision in force at each running host.
 fn revisions(deployment: &mut Deployment) -> Vec<u64> {
     let hosts =
-        deployment.hosts.iter_mut().filter_map(|host| host.runs().then_some(host.address()));
+        deployment.hosts.iter_mut().filter_map(|host| host.is_running().then_some(host.address()));
     let pages = hosts.filter_map(|address| caller(address).status().ok());
     pages.filter_map(|page| page["revision"].as_u64()).collect()
 }
@@ -69,7 +69,7 @@
     wait_revision(&mut deployment, revision);
     let works = works("spoilt", 2, 5);
     let reply = persist(&at(&mut deployment, "b2"), &Caller::own_id("spoilt"), &works);
-    assert_eq!(reply.expect("a final answer").word(), "complete");
+    assert_eq!(reply.expect("a final answer").status_text(), "complete");
 }
 
 // The store goes away and operators' last change is known to the living hosts
@@ -85,9 +85,9 @@
     let own = deployment.config().hosts["b2"].address.clone();
     let seeds: Vec<String> =
         seeds.into_iter().filter(|seed| *seed != format!("b2@{own}")).collect();
-    deployment.store.down();
+    deployment.store.take_down();
     let host = deployment.host("b2");
-    host.set(&format!("host.seeds={}", seeds.join(",")));
+    host.add_setting(&format!("host.seeds={}", seeds.join(",")));
     host.restart().expect("a process");
     assert!(host.wait_ready(PATIENCE_S), "ready without the store");
     wait_revision(&mut deployment, revision);
@@ -95,7 +95,7 @@
     let work = r#"{"key":"outage","ms":5}"#;
     let served = || restarted.request("orders", None, work).is_ok_and(|reply| reply.status == 200);
     assert!(wait_for(PATIENCE_S, served), "requests are served");
-    deployment.store.up();
+    deployment.store.bring_up();
     let next = deployment.reconfigure(|config| config.rules.queue_limit -= 1);
     wait_revision(&mut deployment, next);
 }
--- a/endivestile/tests/promise_once.rs
+++ b/endivestile/tests/promise_once.rs
@@ -4,12 +4,12 @@
 
 use std::thread;
 
-use endivestile_testkit::{Caller, Deployment, Fault, wait_for};
+use endivestile_testkit::{Caller, Deployment, MachineFault, wait_for};
 
 use promise::{PATIENCE_S, at, home, others, plan, start, wait_moved, works};
 
 /// Sets the fault of every backend server.
-fn set_all(deployment: &Deployment, fault: Fault) {
+fn set_all(deployment: &Deployment, fault: MachineFault) {
     for name in deployment.servers.names() {
         deployment.servers.set_fault(name, fault);
     }
@@ -25,7 +25,7 @@
         let work = format!(r#"{{"key":"{key}","ms":5}}"#);
         let reply = caller.request("orders", Some(&Caller::own_id(&key)), &work);
         let reply = reply.expect("an answer");
-        let word = if reply.status == 200 { "complete".to_owned() } else { reply.word() };
+        let word = if reply.status == 200 { "complete".to_owned() } else { reply.status_text() };
         told.push((key, word));
     }
     told
@@ -36,12 +36,12 @@
 #[test]
 fn payment_server_closes() {
     let mut deployment = start(plan());
-    set_all(&deployment, Fault::Close);
+    set_all(&deployment, MachineFault::Close);
     let told = pay(&mut deployment, "closes", 8);
     assert!(told.iter().all(|(_, word)| word != "complete"), "{told:?}");
     assert!(told.iter().any(|(_, word)| word == "failed"), "{told:?}");
     for (key, word) in told {
-        let starts = deployment.servers.count(&key);
+        let starts = deployment.servers.starts_of(&key);
         assert!(starts <= 1, "{key} was paid {starts} times");
         assert!(word != "not run" || starts == 0, "{key} was told not run");
     }
@@ -53,10 +53,10 @@
 fn payment_server_refuses() {
     let mut deployment = start(plan());
     for server in ["a-s1", "b-s2"] {
-        deployment.servers.set_fault(server, Fault::Refuse);
+        deployment.servers.set_fault(server, MachineFault::Refuse);
     }
     for (key, word) in pay(&mut deployment, "refuses", 12) {
-        assert_eq!((word.as_str(), deployment.servers.count(&key)), ("complete", 1), "{key}");
+        assert_eq!((word.as_str(), deployment.servers.starts_of(&key)), ("complete", 1), "{key}");
     }
 }
 
@@ -66,11 +66,11 @@
 #[test]
 fn payment_all_busy() {
     let mut deployment = start(plan());
-    set_all(&deployment, Fault::Busy);
+    set_all(&deployment, MachineFault::Busy);
     let told = pay(&mut deployment, "busy", 3);
     for (key, word) in told {
         assert!(["not run", "unknown", "failed"].contains(&word.as_str()), "{key} was told {word}");
-        assert_eq!(deployment.servers.count(&key), 0, "{key}");
+        assert_eq!(deployment.servers.starts_of(&key), 0, "{key}");
     }
 }
 
@@ -81,13 +81,13 @@
     let mut deployment = start(plan());
     for round in 0..4 {
         for (key, word) in pay(&mut deployment, &format!("stale-{round}"), 8) {
-            let starts = deployment.servers.count(&key);
+            let starts = deployment.servers.starts_of(&key);
             assert!(starts <= 1, "{key} was paid {starts} times");
             assert!(word != "complete" || starts == 1, "{key} was told complete");
             assert!(word != "not run" || starts == 0, "{key} was told not run");
         }
         for name in deployment.servers.names() {
-            deployment.servers.cut(name);
+            deployment.servers.close_connections(name);
         }
     }
 }
@@ -108,8 +108,8 @@
             thread::spawn(move || {
                 let key = format!("away-{number}");
                 let works = works(&key, 2, 5);
-                let reply = caller.job("orders", &Caller::own_id(&key), &works);
-                (key, reply.expect("an answer").word())
+                let reply = caller.submit_job("orders", &Caller::own_id(&key), &works);
+                (key, reply.expect("an answer").status_text())
             })
         })
         .collect();
@@ -122,7 +122,7 @@
     assert!(wait_for(PATIENCE_S, || deployment.servers.running() == 0), "servers are idle");
     for (key, word) in told {
         for task in 0..2 {
-            let starts = deployment.servers.count(&format!("{key}-{task}"));
+            let starts = deployment.servers.starts_of(&format!("{key}-{task}"));
             assert!(starts <= 1, "{key} started {starts} times");
             assert!(word != "not run" || starts == 0, "{key} was told not run");
             assert!(word != "complete" || starts == 1, "{key} was told complete");
--- a/endivestile/tests/promise_start.rs
+++ b/endivestile/tests/promise_start.rs
@@ -75,12 +75,12 @@
     let fronts = others(&deployment, &killed);
     let first = persist_later(at(&mut deployment, &fronts[0]), &id, &works);
     wait_starts(&deployment, 2);
-    deployment.store.down();
+    deployment.store.take_down();
     deployment.host(&killed).kill();
-    let told = at(&mut deployment, &fronts[1]).deadline_ms(8_000).job("orders", &id, &works);
+    let told = at(&mut deployment, &fronts[1]).deadline_ms(8_000).submit_job("orders", &id, &works);
     let told = told.expect("an answer during the outage");
-    assert!(["unknown", "failed"].contains(&told.word().as_str()), "{}", told.body);
-    deployment.store.up();
+    assert!(["unknown", "failed"].contains(&told.status_text().as_str()), "{}", told.body);
+    deployment.store.bring_up();
     wait_moved(&deployment, &id, &killed);
     let again = persist(&at(&mut deployment, &fronts[2]), &id, &works).expect("a final answer");
     assert_whole(&again, &works);
@@ -89,7 +89,7 @@
     let next = same_shard(&deployment, &id, "next");
     let fresh = promise::works("next", 2, 20);
     let reply = persist(&at(&mut deployment, &fronts[0]), &next, &fresh).expect("a final answer");
-    assert_eq!(reply.word(), "complete");
+    assert_eq!(reply.status_text(), "complete");
     assert_once(&deployment);
 }
 
--- a/endivestile/tests/promise_stop.rs
+++ b/endivestile/tests/promise_stop.rs
@@ -57,7 +57,7 @@
 /// Waits until a host tells the balancer to turn away.
 fn wait_unready(deployment: &mut Deployment, name: &str) {
     let host = deployment.host(name);
-    assert!(wait_for(PATIENCE_S, || !host.answers("/ready")), "{name} is not ready any more");
+    assert!(wait_for(PATIENCE_S, || !host.responds("/ready")), "{name} is not ready any more");
 }
 
 // A host is told to end in the middle of its busiest minute. The balancer
@@ -71,7 +71,7 @@
     deployment.host("a1").terminate();
     wait_unready(&mut deployment, "a1");
     assert_eq!(load.finish(), Vec::<String>::new());
-    let status = deployment.host("a1").wait_end(PATIENCE_S).expect("an end");
+    let status = deployment.host("a1").wait_exit(PATIENCE_S).expect("an end");
     assert!(status.success(), "{status}");
     assert_once(&deployment);
 }
@@ -92,23 +92,23 @@
         })
         .collect();
     promise::wait_starts(&deployment, 8);
-    deployment.store.down();
+    deployment.store.take_down();
     deployment.host("a1").terminate();
     wait_unready(&mut deployment, "a1");
     deployment.host("b1").terminate();
     for job in jobs {
         let reply = job.join().expect("a caller").expect("the connection held");
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.status_text(), "complete", "{}", reply.body);
     }
-    deployment.store.up();
+    deployment.store.bring_up();
     for name in names {
-        let status = deployment.host(name).wait_end(PATIENCE_S).expect("an end");
+        let status = deployment.host(name).wait_exit(PATIENCE_S).expect("an end");
         assert!(status.success(), "{name}: {status}");
     }
     let id = Caller::own_id("after");
     let after = works("after", 2, 10);
     let reply = persist(&at(&mut deployment, "a2"), &id, &after).expect("a final answer");
-    assert_eq!(reply.word(), "complete");
+    assert_eq!(reply.status_text(), "complete");
     assert_once(&deployment);
 }
 
@@ -135,22 +135,22 @@
     assert!(wait_for(PATIENCE_S, handed), "its shards have other homes");
     deployment.store.delete("endivestile/stops/a1");
     let host = deployment.host("a1");
-    assert!(wait_for(PATIENCE_S, || host.answers("/ready")), "ready again");
-    assert!(host.runs());
+    assert!(wait_for(PATIENCE_S, || host.responds("/ready")), "ready again");
+    assert!(host.is_running());
 }
 
 /// Waits until no task has started at a server over a stretch of other servers' starts.
 fn assert_spared(deployment: &Deployment, server: &str) {
     const STRETCH: u64 = 150;
     let spared = || {
-        let (own, all) = (deployment.servers.started(server), deployment.servers.total());
-        wait_for(PATIENCE_S, || deployment.servers.total() >= all + STRETCH);
-        deployment.servers.started(server) == own
+        let (own, all) = (deployment.servers.starts_at(server), deployment.servers.total_starts());
+        wait_for(PATIENCE_S, || deployment.servers.total_starts() >= all + STRETCH);
+        deployment.servers.starts_at(server) == own
     };
     assert!(wait_for(PATIENCE_S, spared), "{server} gets no new work");
-    let (own, all) = (deployment.servers.started(server), deployment.servers.total());
-    assert!(wait_for(PATIENCE_S, || deployment.servers.total() >= all + 2 * STRETCH));
-    assert_eq!(deployment.servers.started(server), own, "{server} gets no new work");
+    let (own, all) = (deployment.servers.starts_at(server), deployment.servers.total_starts());
+    assert!(wait_for(PATIENCE_S, || deployment.servers.total_starts() >= all + 2 * STRETCH));
+    assert_eq!(deployment.servers.starts_at(server), own, "{server} gets no new work");
 }
 
 // A backend server leaves: by the operators' planned stop, and another one by
@@ -160,10 +160,10 @@
 fn leaving_servers() {
     let mut deployment = start(plan());
     let load = Load::start(&at(&mut deployment, "b1"), 16);
-    let used = |server| deployment.servers.started(server) > 0;
+    let used = |server| deployment.servers.starts_at(server) > 0;
     assert!(wait_for(PATIENCE_S, || used("a-s1") && used("b-s1")), "both servers are used");
     deployment.store.put("endivestile/stops/a-s1", "{}");
-    deployment.store.platform("b-s1", "leaving");
+    deployment.store.set_host_state("b-s1", "leaving");
     assert_spared(&deployment, "a-s1");
     assert_spared(&deployment, "b-s1");
     assert_eq!(load.finish(), Vec::<String>::new());
--- a/endivestile/tests/shutdown.rs
+++ b/endivestile/tests/shutdown.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::{Rig, wait_for};
-use endivestile_testkit::{Fault, echo};
+use endivestile_testkit::{MachineFault, echo};
 
 /// An operator stops an entry host while callers call it. Each call that was
 /// accepted gets its whole answer, each later one hears "not run"; a crew that
@@ -32,7 +32,7 @@
                         }
                         503 => {
                             assert_eq!(got.field("status"), "not run", "{}", got.body);
-                            assert_eq!(rig.backends.count(&key), 0);
+                            assert_eq!(rig.backends.starts_of(&key), 0);
                             refused.fetch_add(1, Ordering::Relaxed);
                             assert!(stopping.load(Ordering::Relaxed), "{}", got.body);
                             return;
@@ -47,7 +47,7 @@
         rig.daemon.signal("TERM");
     });
     assert_eq!(refused.load(Ordering::Relaxed), 16);
-    assert_eq!(rig.backends.doubled(), Vec::new());
+    assert_eq!(rig.backends.duplicate_starts(), Vec::new());
     assert_eq!(rig.daemon.wait_exit(), Some(0));
 }
 
@@ -59,7 +59,7 @@
     thread::scope(|scope| {
         let daemon = &rig.daemon;
         let waiting = scope.spawn(|| daemon.order("k", r#"{"key":"k","ms":2000}"#));
-        wait_for("the start", || rig.backends.count("k") == 1);
+        wait_for("the start", || rig.backends.starts_of("k") == 1);
         daemon.signal("TERM");
         wait_for("the end of readiness", || daemon.get("/ready").status == 503);
         assert_eq!(daemon.get("/health").status, 200);
@@ -76,11 +76,11 @@
 #[test]
 fn stop_twice() {
     let mut rig = Rig::start(&[]);
-    rig.backends.set_fault("s1", Fault::Silent);
+    rig.backends.set_fault("s1", MachineFault::Silent);
     thread::scope(|scope| {
         let daemon = &rig.daemon;
         scope.spawn(|| daemon.order("k", r#"{"key":"k"}"#));
-        wait_for("the start", || rig.backends.count("k") == 1);
+        wait_for("the start", || rig.backends.starts_of("k") == 1);
         daemon.signal("TERM");
         daemon.wait_line("event=stopping");
         daemon.signal("INT");
@@ -109,7 +109,7 @@
 fn stop_store_down() {
     let mut rig = Rig::start(&[]);
     assert_eq!(rig.daemon.order("k", "k").status, 200);
-    rig.store.down();
+    rig.store.take_down();
     thread::sleep(Duration::from_millis(100));
     rig.daemon.signal("TERM");
     assert_eq!(rig.daemon.wait_exit(), Some(0));
--- a/endivestile/tests/soak.rs
+++ b/endivestile/tests/soak.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panic")]
 
-use endivestile_testkit::{Daemon, Soak};
+use endivestile_testkit::{DaemonCommand, Soak};
 use test_case::test_case;
 
 /// Hosts are paused, killed, stopped and started again, and the ways between
@@ -20,7 +20,7 @@
 #[test_case(6, 8, false; "paused_host")]
 #[test_case(7, 6, true; "evacuations")]
 fn soak_short(seed: u64, seconds: u64, evacuations: bool) {
-    let daemon = Daemon::new(env!("CARGO_BIN_EXE_endivestile"));
+    let daemon = DaemonCommand::new(env!("CARGO_BIN_EXE_endivestile"));
     let faults_ms = seconds * 1_000;
     let soak = Soak { daemon, seed, faults_ms, hosts: 2, workers: 4, callers: 6, evacuations };
     let report = soak.run().unwrap();
--- a/endivestile/tests/store_edge.rs
+++ b/endivestile/tests/store_edge.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{Daemon, Rig, config, wait_for};
-use endivestile_testkit::{BackendStandIn, Spec, StoreStandIn};
+use endivestile_testkit::{BackendStandIn, MachineSpec, StoreStandIn};
 
 const HOST: &str = "endivestile/hosts/e1";
 
@@ -57,7 +57,7 @@
 #[test]
 fn config_missing() {
     let store = StoreStandIn::start().expect("store");
-    let backends = BackendStandIn::start(vec![Spec::new("s1")]).expect("back ends");
+    let backends = BackendStandIn::start(vec![MachineSpec::new("s1")]).expect("back ends");
     let daemon = Daemon::start(&store, "e1", &[]);
     daemon.wait_line("event=store_up");
     assert_eq!(daemon.get("/health").status, 200);
@@ -78,11 +78,11 @@
 fn store_down_and_up() {
     let rig = Rig::start(&[]);
     assert_eq!(rig.daemon.order("before", "before").status, 200);
-    rig.store.down();
+    rig.store.take_down();
     rig.daemon.wait_line("event=store_down");
     assert_eq!(rig.daemon.order("during", "during").status, 200);
     rig.store.put("endivestile/config", config(2, &rig.backends));
-    rig.store.up();
+    rig.store.bring_up();
     wait_for("revision 2", || revision(&rig.daemon) == 2);
     assert_eq!(rig.daemon.order("after", "after").status, 200);
 }
@@ -98,10 +98,10 @@
     wait_for("an answer", || status() == 200);
     rig.store.put("endivestile/stops/s1", "{}");
     wait_for("the stop", || status() == 503);
-    rig.store.down();
+    rig.store.take_down();
     rig.daemon.wait_line("event=store_down");
     rig.store.delete("endivestile/stops/s1");
-    rig.store.up();
+    rig.store.bring_up();
     wait_for("an answer again", || status() == 200);
 }
 
@@ -110,10 +110,10 @@
 #[test]
 fn store_hangs() {
     let rig = Rig::start(&["store.lease-s=2"]);
-    rig.store.hang();
+    rig.store.hang_calls();
     rig.daemon.wait_line("event=store_down");
     rig.store.put("endivestile/config", config(2, &rig.backends));
-    rig.store.up();
+    rig.store.bring_up();
     wait_for("revision 2", || revision(&rig.daemon) == 2);
 }
 
--- a/endivestile_ctl/tests/change.rs
+++ b/endivestile_ctl/tests/change.rs
@@ -74,7 +74,7 @@
 fn apply_race_has_one_winner() {
     let store = StoreStandIn::start().unwrap();
     apply(&store, CONFIG, 0, "ann");
-    store.slow(30);
+    store.delay_calls(30);
     let codes: Vec<i32> = thread::scope(|scope| {
         let operators: Vec<_> = (1..=6)
             .map(|limit| {
@@ -124,7 +124,7 @@
 #[test]
 fn apply_retries_until_store_recovers() {
     let store = StoreStandIn::start().unwrap();
-    store.refuse(3);
+    store.refuse_calls(3);
     assert_eq!(apply(&store, CONFIG, 0, "ann").code, 0);
     assert_eq!(history(&store).len(), 1);
 }
@@ -132,7 +132,7 @@
 #[test]
 fn apply_store_unreachable() {
     let store = StoreStandIn::start().unwrap();
-    store.down();
+    store.take_down();
     let run = with_store(&store, &["--timeout-ms", "300", "apply", "-"], CONFIG);
     assert_eq!(run.code, 6, "{run:?}");
     assert!(run.err.contains("step=read-config"), "{run:?}");
@@ -208,7 +208,7 @@
             &format!("[backend-server s{n}]\nzone = east\naddress = 127.0.0.1:900{n}\nslots = 1\n");
     }
     apply(&store, &text, 0, "ann");
-    store.slow(20);
+    store.delay_calls(20);
     thread::scope(|scope| {
         for n in 1..=6 {
             let store = &store;
@@ -218,7 +218,7 @@
             });
         }
     });
-    store.slow(0);
+    store.delay_calls(0);
     assert_eq!(store.list(key::STOPS).len(), 6);
     let serials: Vec<u64> = history(&store).iter().map(|e| e["serial"].as_u64().unwrap()).collect();
     assert_eq!(serials, [7, 6, 5, 4, 3, 2, 1]);
@@ -233,7 +233,7 @@
     apply(&store, CONFIG, 0, "ann");
     let rewritten = store.get(key::CONFIG).unwrap();
     let reads = store.counts().range;
-    store.slow(50);
+    store.delay_calls(50);
     let run = thread::scope(|scope| {
         let tool =
             scope.spawn(|| apply(&store, &CONFIG.replace("limit = 100", "limit = 7"), 1, "ben"));
--- a/endivestile_lab/examples/experiment/fault.rs
+++ b/endivestile_lab/examples/experiment/fault.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use endivestile_testkit::{Deployment, Fault};
+use endivestile_testkit::{Deployment, MachineFault};
 use serde::Serialize;
 
 use crate::spec::{Spec, server};
@@ -75,9 +75,9 @@
     let servers = &deployment.servers;
     match spec.fault {
         Kind::SlowRack => slow_rack(spec, deployment, SLOW),
-        Kind::FailFast => servers.set_fault(&server(0), Fault::Status(500)),
-        Kind::Stragglers => everywhere(spec, deployment, Fault::Straggle(STRAGGLERS)),
-        Kind::Cut => deployment.cut(spec.zone(0)),
+        Kind::FailFast => servers.set_fault(&server(0), MachineFault::Status(500)),
+        Kind::Stragglers => everywhere(spec, deployment, MachineFault::Straggle(STRAGGLERS)),
+        Kind::Cut => deployment.isolate_zone(spec.zone(0)),
         Kind::Kill => deployment.hosts[0].kill(),
         _ => {}
     }
@@ -86,8 +86,8 @@
 fn mend(spec: &Spec, deployment: &mut Deployment) {
     match spec.fault {
         Kind::SlowRack => slow_rack(spec, deployment, 1.0),
-        Kind::FailFast => deployment.servers.set_fault(&server(0), Fault::None),
-        Kind::Stragglers => everywhere(spec, deployment, Fault::None),
+        Kind::FailFast => deployment.servers.set_fault(&server(0), MachineFault::None),
+        Kind::Stragglers => everywhere(spec, deployment, MachineFault::None),
         Kind::Cut => deployment.heal(),
         Kind::Kill => {
             if let Err(err) = deployment.hosts[0].restart() {
@@ -105,7 +105,7 @@
     }
 }
 
-fn everywhere(spec: &Spec, deployment: &Deployment, fault: Fault) {
+fn everywhere(spec: &Spec, deployment: &Deployment, fault: MachineFault) {
     for n in 0..spec.servers {
         deployment.servers.set_fault(&server(n), fault);
     }
--- a/endivestile_lab/examples/experiment/measure.rs
+++ b/endivestile_lab/examples/experiment/measure.rs
@@ -12,14 +12,14 @@
 pub(crate) fn counts(deployment: &Deployment, agent: &Caller) -> Counts {
     let mut sums = Counts::new();
     for host in &deployment.hosts {
-        let Ok(status) = agent.at(host.address()).status() else { continue };
+        let Ok(status) = agent.with_address(host.address()).status() else { continue };
         let Some(Value::Object(counters)) = status.get("counters") else { continue };
         for (name, count) in counters {
             *sums.entry(name.clone()).or_default() += count.as_u64().unwrap_or(0);
         }
     }
-    sums.insert("task_starts".into(), deployment.servers.total());
-    sums.insert("refused_sends".into(), deployment.servers.denied());
+    sums.insert("task_starts".into(), deployment.servers.total_starts());
+    sums.insert("refused_sends".into(), deployment.servers.rejections());
     sums.insert("platform_calls".into(), deployment.store.counts().total());
     sums
 }
@@ -35,6 +35,6 @@
 
 /// Returns the revision in force at a host, 0 when it does not answer.
 pub(crate) fn revision(agent: &Caller, address: std::net::SocketAddr) -> u64 {
-    let status = agent.at(address).status().unwrap_or_default();
+    let status = agent.with_address(address).status().unwrap_or_default();
     status["revision"].as_u64().unwrap_or(0)
 }
--- a/endivestile_lab/examples/experiment/replay.rs
+++ b/endivestile_lab/examples/experiment/replay.rs
@@ -65,7 +65,9 @@
     ) -> Result<Self, ureq::Error> {
         let callers: Vec<Vec<Caller>> = addresses
             .iter()
-            .map(|address| TEAMS.iter().map(|team| agent.at(address).team(team)).collect())
+            .map(|address| {
+                TEAMS.iter().map(|team| agent.with_address(address).team(team)).collect()
+            })
             .collect();
         let mut stocks = vec![Vec::new(); callers.len()];
         let mut ids = Vec::new();
@@ -108,7 +110,7 @@
         let reply = match item.kind {
             Kind::Idempotent => caller.request(SERVICE, None, &works[0]),
             Kind::Once => caller.request(SERVICE, Some(id), &works[0]),
-            Kind::Job => caller.job(SERVICE, id, &works),
+            Kind::Job => caller.submit_job(SERVICE, id, &works),
         };
         let response_ms = at.elapsed().as_secs_f64() * 1_000.0;
         let end = reply.map_or(End::Broken, |reply| judge(&reply, item.kind, &works));
@@ -138,7 +140,7 @@
 fn mint(caller: &Caller, stock: &mut Vec<String>) -> Result<String, ureq::Error> {
     const BLOCK: usize = 1_000;
     if stock.is_empty() {
-        *stock = caller.ids(BLOCK)?;
+        *stock = caller.fetch_ids(BLOCK)?;
     }
     stock.pop().ok_or(ureq::Error::BadUri("no ids were minted".into()))
 }
@@ -149,7 +151,7 @@
         Kind::Job => reply.answer().and_then(|answer| answer.results) == Some(expected),
         _ => reply.body == expected[0],
     };
-    match (reply.status, reply.word().as_str()) {
+    match (reply.status, reply.status_text().as_str()) {
         (200, _) if right => End::Complete,
         (200, _) => End::Wrong,
         (503, "not run") => End::NotRun,
--- a/endivestile_lab/examples/experiment/run.rs
+++ b/endivestile_lab/examples/experiment/run.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use endivestile_lab::{Burst, Item, Load, Mix, ideal_ms, trace};
-use endivestile_testkit::{Caller, Daemon, Deployment, wait_for};
+use endivestile_testkit::{Caller, DaemonCommand, Deployment, wait_for};
 
 use crate::fault::{self, Kind};
 use crate::measure::{Counts, counts, revision, since};
@@ -47,7 +47,7 @@
 
 /// Runs all slices: for each load, rounds in which each policy gets the same trace.
 pub(crate) fn run(spec: &Spec, daemon: &Path) -> Result<Vec<Slice>, Box<dyn Error>> {
-    let mut deployment = Deployment::start(spec.plan(), &Daemon::new(daemon))?;
+    let mut deployment = Deployment::start(spec.plan(), &DaemonCommand::new(daemon))?;
     let agent = Caller::new(deployment.hosts[0].address(), TEAMS[0]);
     let agent = agent.deadline_ms(spec.deadline_ms);
     warm(spec, &mut deployment, &agent)?;
@@ -115,7 +115,7 @@
     name: &str,
     items: Vec<Item>,
 ) -> Result<Slice, Box<dyn Error>> {
-    deployment.servers.forget();
+    deployment.servers.clear_starts();
     let addresses: Vec<_> = deployment.hosts.iter().map(|host| host.address()).collect();
     let desk = Desk::new(spec, agent, &addresses, name, &items)?;
     let before = counts(deployment, agent);
@@ -137,8 +137,11 @@
         outcomes,
         counts,
         span_s: began.elapsed().as_secs_f64(),
-        doubled: deployment.servers.doubled().iter().filter(|work| once(work)).count(),
-        peak: (0..spec.servers).map(|n| deployment.servers.peak(&server(n))).max().unwrap_or(0),
+        doubled: deployment.servers.duplicate_starts().iter().filter(|work| once(work)).count(),
+        peak: (0..spec.servers)
+            .map(|n| deployment.servers.peak_running(&server(n)))
+            .max()
+            .unwrap_or(0),
         items,
     })
 }
--- a/endivestile_lab/examples/experiment/spec.rs
+++ b/endivestile_lab/examples/experiment/spec.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 
 use endivestile_lab::{Mix, Park};
-use endivestile_testkit::{Plan, Spec as Machine};
+use endivestile_testkit::{MachineSpec as Machine, Plan};
 use ini::Ini;
 use serde::Serialize;
 
--- a/endivestile_lab/examples/slopes/idle.rs
+++ b/endivestile_lab/examples/slopes/idle.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::Duration;
 
-use endivestile_testkit::{Deployment, Plan, Spec, wait_for};
+use endivestile_testkit::{Deployment, MachineSpec, Plan, wait_for};
 
 use crate::inventory::{self, Size};
 use crate::outcome::Outcome;
@@ -70,7 +70,7 @@
         plan = plan.host(&inventory::host(at), &inventory::zone(at / ZONE), 1);
     }
     for at in 0..hosts.div_ceil(ZONE) * 4 {
-        let spec = Spec::new(format!("server-{at}")).slots(64);
+        let spec = MachineSpec::new(format!("server-{at}")).slots(64);
         plan = plan.server(spec, &inventory::zone(at / 4), &format!("rack-{at}"));
     }
     plan
--- a/endivestile_lab/examples/slopes/load.rs
+++ b/endivestile_lab/examples/slopes/load.rs
@@ -123,7 +123,7 @@
         while Instant::now() < end {
             serial += 1;
             if self.kind == Kind::Minted && ids.is_empty() {
-                ids = caller.ids(IDS).unwrap_or_default();
+                ids = caller.fetch_ids(IDS).unwrap_or_default();
             }
             let key = format!("{name}-{serial}");
             let work = |n: usize| format!(r#"{{"key":"{key}-{n}","ms":{RUN_MS}}}"#);
@@ -134,7 +134,7 @@
                 Kind::Dated => caller.request("orders", Some(&own), &work(0)),
                 Kind::Job(tasks) => {
                     let works: Vec<String> = (0..tasks).map(work).collect();
-                    caller.job("orders", &own, &works)
+                    caller.submit_job("orders", &own, &works)
                 }
             };
             if !reply.is_ok_and(|reply| reply.status == 200) {
--- a/endivestile_lab/examples/slopes/usage.rs
+++ b/endivestile_lab/examples/slopes/usage.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-use endivestile_testkit::{Caller, Daemon, Deployment};
+use endivestile_testkit::{Caller, DaemonCommand, Deployment};
 
 use crate::outcome::Outcome;
 
@@ -105,12 +105,12 @@
 }
 
 /// Returns the daemon built beside this example.
-pub(crate) fn daemon() -> Outcome<Daemon> {
+pub(crate) fn daemon() -> Outcome<DaemonCommand> {
     let example = std::env::current_exe()?;
     let dir = example.parent().and_then(Path::parent).ok_or("no directory of the daemon")?;
     let program: PathBuf = dir.join("endivestile");
     if program.exists() {
-        return Ok(Daemon::new(program));
+        return Ok(DaemonCommand::new(program));
     }
     Err("build the daemon first: cargo build --release -p endivestile".into())
 }
--- a/endivestile_testkit/src/caller.rs
+++ b/endivestile_testkit/src/caller.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns the status word of the body, empty when it has none.
-    pub fn word(&self) -> String {
+    pub fn status_text(&self) -> String {
         self.answer().map(|answer| answer.status).unwrap_or_default()
     }
 }
@@ -62,7 +62,7 @@
     }
 
     /// Calls another host through the same agent.
-    pub fn at(&self, address: impl std::fmt::Display) -> Self {
+    pub fn with_address(&self, address: impl std::fmt::Display) -> Self {
         Self { base: format!("http://{address}"), ..self.clone() }
     }
 
@@ -94,21 +94,26 @@
     ///
     /// # Errors
     /// As [`Self::request`].
-    pub fn job(&self, service: &str, id: &str, works: &[String]) -> Result<Reply, ureq::Error> {
+    pub fn submit_job(
+        &self,
+        service: &str,
+        id: &str,
+        works: &[String],
+    ) -> Result<Reply, ureq::Error> {
         let task = |work: &String| TaskBody {
             service: Some(service.to_owned()),
             need: None,
             declared_ms: None,
             work: work.clone(),
         };
-        self.tasks(id, works.iter().map(task).collect())
+        self.submit_tasks(id, works.iter().map(task).collect())
     }
 
     /// Submits a job of any tasks.
     ///
     /// # Errors
     /// As [`Self::request`].
-    pub fn tasks(&self, id: &str, tasks: Vec<TaskBody>) -> Result<Reply, ureq::Error> {
+    pub fn submit_tasks(&self, id: &str, tasks: Vec<TaskBody>) -> Result<Reply, ureq::Error> {
         // A struct of strings and numbers always has a JSON form.
         let body = serde_json::to_string(&JobBody { tasks }).unwrap_or_default();
         self.post(&format!("{}/v1/jobs", self.base), Some(id), false, &body)
@@ -118,7 +123,7 @@
     ///
     /// # Errors
     /// As [`Self::request`].
-    pub fn ask(&self, id: &str) -> Result<Reply, ureq::Error> {
+    pub fn fetch_answer(&self, id: &str) -> Result<Reply, ureq::Error> {
         reply(self.agent.get(self.submission(id)).call()?)
     }
 
@@ -134,7 +139,7 @@
     ///
     /// # Errors
     /// As [`Self::request`].
-    pub fn ids(&self, count: usize) -> Result<Vec<String>, ureq::Error> {
+    pub fn fetch_ids(&self, count: usize) -> Result<Vec<String>, ureq::Error> {
         let url = format!("{}/v1/ids?count={count}", self.base);
         let body = self.agent.post(url).send_empty()?.body_mut().read_to_string()?;
         let page: Value = serde_json::from_str(&body).unwrap_or_default();
--- a/endivestile_testkit/src/deploy/deployment.rs
+++ b/endivestile_testkit/src/deploy/deployment.rs
@@ -10,8 +10,8 @@
 
 use super::address::reserve;
 use super::plan::Plan;
-use super::process::{Daemon, HostProcess};
-use crate::net::{Relay, Zones};
+use super::process::{DaemonCommand, HostProcess};
+use crate::net::{Topology, ZoneRelay};
 use crate::{BackendStandIn, StoreStandIn, WorkerStandIn};
 
 /// Times that a host is started until it listens.
@@ -34,10 +34,10 @@
     pub workers: WorkerStandIn,
     /// The configuration as last written.
     config: Config,
-    /// Zones, distances and cuts.
-    zones: Arc<Zones>,
+    /// Topology, distances and cuts.
+    zones: Arc<Topology>,
     /// Relays before the hosts' links, when the plan has distances.
-    relays: Vec<Relay>,
+    relays: Vec<ZoneRelay>,
     /// Address at which entry hosts reach the store.
     platform: SocketAddr,
 }
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// Those of sockets and processes, and a host that does not become ready.
-    pub fn start(plan: Plan, daemon: &Daemon) -> io::Result<Self> {
+    pub fn start(plan: Plan, daemon: &DaemonCommand) -> io::Result<Self> {
         let mut deployment = Self::prepare(&plan)?;
         for (name, _) in &plan.hosts {
             let process = deployment.spawn(name, &plan, daemon)?;
@@ -67,12 +67,12 @@
         let servers = BackendStandIn::start(servers)?;
         let workers = plan.workers.iter().map(|(spec, _)| spec.clone()).collect();
         let workers = WorkerStandIn::start(workers)?;
-        let zones = Arc::new(Zones::new(plan.distance_us.unwrap_or(0)));
+        let zones = Arc::new(Topology::new(plan.distance_us.unwrap_or(0)));
         for (spec, server) in &plan.servers {
-            servers.settle(&spec.name, &server.zone, &zones);
+            servers.set_zone(&spec.name, &server.zone, &zones);
         }
         for (spec, worker) in &plan.workers {
-            workers.settle(&spec.name, &worker.zone, &zones);
+            workers.set_zone(&spec.name, &worker.zone, &zones);
         }
         let config = configure(plan, &servers, &workers)?;
         let platform = store.address();
@@ -89,15 +89,20 @@
     fn relay(&mut self, target: SocketAddr, zone: &str) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let address = listener.local_addr()?;
-        self.relays.push(Relay::start(listener, target, zone, &self.zones)?);
+        self.relays.push(ZoneRelay::start(listener, target, zone, &self.zones)?);
         Ok(address)
     }
 
     /// Starts an entry host, behind a relay when the plan has distances.
-    fn spawn(&mut self, name: &Name, plan: &Plan, daemon: &Daemon) -> io::Result<HostProcess> {
+    fn spawn(
+        &mut self,
+        name: &Name,
+        plan: &Plan,
+        daemon: &DaemonCommand,
+    ) -> io::Result<HostProcess> {
         let zone = Name::clone(&self.config.hosts[name].zone);
         let (http, peers) = (reserve()?, reserve()?);
-        self.zones.place(name, &zone);
+        self.zones.set_host_zone(name, &zone);
         let dialled = match plan.distance_us {
             Some(_) => self.relay(peers, &zone)?,
             None => peers,
@@ -121,13 +126,13 @@
     ///
     /// # Panics
     /// As the other cuts, when the plan has no distances and so no network.
-    pub fn cut(&self, zone: &str) {
+    pub fn isolate_zone(&self, zone: &str) {
         assert!(!self.relays.is_empty(), "no network, see Plan::distance_us");
-        self.zones.cut(zone);
+        self.zones.isolate(zone);
     }
 
     /// Cuts an availability zone off from the platform's store.
-    pub fn cut_platform(&self, zone: &str) {
+    pub fn isolate_from_store(&self, zone: &str) {
         assert!(!self.relays.is_empty(), "no network, see Plan::distance_us");
         self.zones.cut_pair(zone, PLATFORM);
     }
@@ -203,7 +208,7 @@
         if host.wait_ready(READY_S) {
             return Ok(());
         }
-        if host.runs() {
+        if host.is_running() {
             break;
         }
         host.restart()?;
--- a/endivestile_testkit/src/deploy/mod.rs
+++ b/endivestile_testkit/src/deploy/mod.rs
@@ -8,7 +8,7 @@
 
 pub use deployment::Deployment;
 pub use plan::Plan;
-pub use process::{Daemon, HostProcess};
+pub use process::{DaemonCommand, HostProcess};
 
 use std::thread;
 use std::time::{Duration, Instant};
--- a/endivestile_testkit/src/deploy/plan.rs
+++ b/endivestile_testkit/src/deploy/plan.rs
@@ -2,7 +2,7 @@
 
 use endivestile_config::model::{Host, Name, Rules, Server, Service, Team, Worker, Zone};
 
-use crate::Spec;
+use crate::MachineSpec;
 
 /// Service that [`Plan::new`] sets up on all backend servers.
 const SERVICE: &str = "orders";
@@ -11,13 +11,13 @@
 /// Tasks that this team may hold.
 const LIMIT: u32 = 100_000;
 
-/// Zones, hosts, machines and rules of a deployment to start.
+/// Topology, hosts, machines and rules of a deployment to start.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
     pub(crate) zones: Vec<Name>,
     pub(crate) hosts: Vec<(Name, Host)>,
-    pub(crate) servers: Vec<(Spec, Server)>,
-    pub(crate) workers: Vec<(Spec, Worker)>,
+    pub(crate) servers: Vec<(MachineSpec, Server)>,
+    pub(crate) workers: Vec<(MachineSpec, Worker)>,
     pub(crate) services: Vec<(Name, Service)>,
     pub(crate) teams: Vec<(Name, Team)>,
     pub(crate) rules: Rules,
@@ -46,7 +46,7 @@
     }
 
     /// Adds a backend server.
-    pub fn server(mut self, spec: Spec, zone: &str, rack: &str) -> Self {
+    pub fn server(mut self, spec: MachineSpec, zone: &str, rack: &str) -> Self {
         self.add_zone(zone);
         let server = Server {
             zone: Name::from(zone),
@@ -62,7 +62,7 @@
     /// Adds a worker of `cores` cores, `memory_mb` MiB and accelerators.
     pub fn worker(
         mut self,
-        spec: Spec,
+        spec: MachineSpec,
         zone: &str,
         rack: &str,
         (cores, memory_mb, accelerators): (u32, u32, u16),
--- a/endivestile_testkit/src/deploy/process.rs
+++ b/endivestile_testkit/src/deploy/process.rs
@@ -13,18 +13,18 @@
 use super::signal::Signal;
 use super::wait_for;
 use crate::lock::lock;
-use crate::net::Zones;
+use crate::net::Topology;
 
 /// How a daemon is started, before its own arguments.
 #[derive(Debug, Clone)]
-pub struct Daemon {
+pub struct DaemonCommand {
     /// Executable.
     pub program: PathBuf,
     /// First arguments.
     pub args: Vec<OsString>,
 }
 
-impl Daemon {
+impl DaemonCommand {
     /// Names an executable that takes the daemon's arguments itself.
     pub fn new(program: impl Into<PathBuf>) -> Self {
         Self { program: program.into(), args: vec![] }
@@ -49,13 +49,13 @@
     /// Address for callers.
     http: SocketAddr,
     /// How it is started.
-    daemon: Daemon,
+    daemon: DaemonCommand,
     /// Its settings.
     settings: Vec<String>,
     /// The process.
     child: Child,
-    /// Zones, which are told each new process.
-    zones: Arc<Zones>,
+    /// Topology, which are told each new process.
+    zones: Arc<Topology>,
     /// What it logged, over all restarts.
     log: Arc<Mutex<Vec<String>>>,
 }
@@ -68,13 +68,13 @@
     pub(crate) fn start(
         name: &str,
         http: SocketAddr,
-        daemon: &Daemon,
+        daemon: &DaemonCommand,
         settings: Vec<String>,
-        zones: &Arc<Zones>,
+        zones: &Arc<Topology>,
     ) -> io::Result<Self> {
         let log = Arc::default();
         let child = follow(daemon.spawn(&settings)?, &log);
-        zones.runs(name, child.id());
+        zones.set_host_pid(name, child.id());
         let (name, zones) = (name.to_owned(), Arc::clone(zones));
         Ok(Self { name, http, daemon: daemon.clone(), settings, child, zones, log })
     }
@@ -105,7 +105,7 @@
     }
 
     /// Tells whether a path answers with status 200 now.
-    pub fn answers(&self, path: &str) -> bool {
+    pub fn responds(&self, path: &str) -> bool {
         let agent: Agent = Agent::config_builder()
             .timeout_global(Some(std::time::Duration::from_secs(1)))
             .build()
@@ -114,7 +114,7 @@
     }
 
     /// Tells whether the process runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -122,8 +122,8 @@
     pub fn wait_ready(&mut self, limit_s: u64) -> bool {
         let mut ended = false;
         let ready = wait_for(limit_s, || {
-            ended = !self.runs();
-            ended || self.answers("/ready")
+            ended = !self.is_running();
+            ended || self.responds("/ready")
         });
         ready && !ended
     }
@@ -156,7 +156,7 @@
     }
 
     /// Waits for the end of the process; none when it took too long.
-    pub fn wait_end(&mut self, limit_s: u64) -> Option<ExitStatus> {
+    pub fn wait_exit(&mut self, limit_s: u64) -> Option<ExitStatus> {
         let mut status = None;
         wait_for(limit_s, || {
             status = self.child.try_wait().ok().flatten();
@@ -166,7 +166,7 @@
     }
 
     /// Adds a setting, in force from the next start on.
-    pub fn set(&mut self, assignment: &str) {
+    pub fn add_setting(&mut self, assignment: &str) {
         self.settings.push(assignment.to_owned());
     }
 
@@ -177,7 +177,7 @@
     pub fn restart(&mut self) -> io::Result<()> {
         self.kill();
         self.child = follow(self.daemon.spawn(&self.settings)?, &self.log);
-        self.zones.runs(&self.name, self.child.id());
+        self.zones.set_host_pid(&self.name, self.child.id());
         Ok(())
     }
 }
--- a/endivestile_testkit/src/fleet/story.rs
+++ b/endivestile_testkit/src/fleet/story.rs
@@ -11,7 +11,7 @@
 
 use super::worker::Behaviour;
 use super::world::FleetWorld;
-use crate::step::{Step, span_ms};
+use crate::step::{Step, parse_duration_ms};
 
 /// Milliseconds in which the hosts of a new world find each other.
 const SETTLE_MS: u64 = 3_000;
@@ -29,7 +29,7 @@
 /// Names the first line that is no step.
 pub fn tell_fleet(text: &str) -> Result<String, String> {
     let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
-    let first = Step::read(lines.next().unwrap_or_default());
+    let first = Step::from_line(lines.next().unwrap_or_default());
     if first.words.first() != Some(&"world") {
         return Err(format!("a story starts with `world`: {}", first.line));
     }
@@ -48,11 +48,11 @@
     if first.pairs.contains_key("remote") {
         world.remote(first.number("remote", 2)? as u32 * 1_000);
     }
-    world.register_over(first.span("register", 0)?);
+    world.register_over(first.duration_ms("register", 0)?);
     world.run(SETTLE_MS);
     let mut story = Story { world, out: String::new() };
     for line in lines {
-        let step = Step::read(line);
+        let step = Step::from_line(line);
         story.step(&step).map_err(|error| format!("{line}: {error}"))?;
     }
     Ok(story.out)
@@ -61,7 +61,7 @@
 impl Story {
     fn step(&mut self, step: &Step<'_>) -> Result<(), String> {
         match step.words[0] {
-            "run" => self.world.run(span_ms(step.word(1)?)?),
+            "run" => self.world.run(parse_duration_ms(step.word(1)?)?),
             "submit" => self.submit(step)?,
             "leave" => self.world.leave(step.word(1)?),
             "answers" => self.answers(),
@@ -73,7 +73,7 @@
                 let holds = std::mem::take(&mut self.world.seen.holds);
                 let _ = writeln!(self.out, "holds: {holds}");
             }
-            "later" => self.later(span_ms(step.word(1)?)?),
+            "later" => self.later(parse_duration_ms(step.word(1)?)?),
             "runs" => {
                 let runs: u32 = self.world.seen.starts.values().map(|count| *count as u32).sum();
                 let _ = writeln!(self.out, "runs: {runs}");
@@ -101,14 +101,14 @@
             "stop" => self.world.stop(&name(1)?),
             "cut" => self.world.net.cut(step.word(1)?, step.word(2)?),
             "cost" => {
-                let cost_us = span_ms(step.word(2)?)? * 1_000;
+                let cost_us = parse_duration_ms(step.word(2)?)? * 1_000;
                 let host = self.world.hosts.get_mut(&name(1)?).ok_or("no such host")?;
                 host.cost_us = cost_us;
             }
             "mute" => self.world.net.mute(step.word(1)?, step.word(2)?),
             "heal" => self.world.net.heal(),
-            "lose" => self.world.net.loss = step.parse(1)?,
-            "jitter" => self.world.net.jitter_us = span_ms(step.word(1)?)? * 1_000,
+            "lose" => self.world.net.loss = step.parse_word(1)?,
+            "jitter" => self.world.net.jitter_us = parse_duration_ms(step.word(1)?)? * 1_000,
             "store" => self.store(step)?,
             "worker" => self.worker(step)?,
             "evacuate" => self.world.evacuate(&name(1)?, step.words.get(2) != Some(&"off")),
@@ -126,8 +126,8 @@
         match step.word(1)? {
             "down" => store.down = true,
             "up" => store.down = false,
-            "slow" => store.delay_us = span_ms(step.word(2)?)? * 1_000,
-            "loses" => store.losing = step.parse(2)?,
+            "slow" => store.delay_us = parse_duration_ms(step.word(2)?)? * 1_000,
+            "loses" => store.losing = step.parse_word(2)?,
             word => return Err(format!("down, up, slow or loses, not `{word}`")),
         }
         Ok(())
@@ -145,9 +145,9 @@
             "dark" => worker.dark = true,
             "errors" => worker.behaviour = Behaviour::Errors,
             "hangs" => worker.behaviour = Behaviour::Hangs,
-            "slow" => worker.behaviour = Behaviour::Slow(step.parse(3)?),
-            "late" => worker.behaviour = Behaviour::Late(span_ms(step.word(3)?)?),
-            "speed" => worker.speed = step.parse(3)?,
+            "slow" => worker.behaviour = Behaviour::Slow(step.parse_word(3)?),
+            "late" => worker.behaviour = Behaviour::Late(parse_duration_ms(step.word(3)?)?),
+            "speed" => worker.speed = step.parse_word(3)?,
             "crash" => worker.reborn(now),
             "drains" => worker.entry.leaving = true,
             "gone" => worker.entry.address = Name::from(""),
@@ -159,7 +159,7 @@
 
     fn submit(&mut self, step: &Step<'_>) -> Result<(), String> {
         let times = step.number("times", 1)?;
-        let every = step.span("every", 0)?;
+        let every = step.duration_ms("every", 0)?;
         for turn in 0..times {
             let suffix = if times == 1 { String::new() } else { format!("-{turn}") };
             self.submit_one(step, &suffix)?;
@@ -174,7 +174,7 @@
         let id = step.pairs.get("id").map_or_else(|| name.clone(), |id| format!("{id}{suffix}"));
         let work = step.number("ms", 100)?;
         let estimate = step.number("told", work)? as u32;
-        let deadline = step.span("deadline", DEADLINE_MS)?;
+        let deadline = step.duration_ms("deadline", DEADLINE_MS)?;
         let need =
             Need { cpu_milli: step.number("cpu", 14_000)? as u32, memory_mb: 64, accelerators: 0 };
         let steps = (0..step.number("steps", 1)?).map(|number| JobStep {
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -16,7 +16,7 @@
 use super::host::Host;
 use super::store::Store;
 use super::worker::{Worker, worker_entry};
-use crate::timeline::Timeline;
+use crate::event_queue::EventQueue;
 use crate::world::net::{Net, STORE};
 
 /// Time for an answer of the store, in microseconds.
@@ -99,7 +99,7 @@
     pub(crate) trace: Vec<String>,
     pub(crate) rng: SmallRng,
     pub(crate) waiting: BTreeMap<u64, Name>,
-    timeline: Timeline<Happening>,
+    timeline: EventQueue<Happening>,
 }
 
 impl FleetWorld {
@@ -142,7 +142,7 @@
             trace: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             waiting: BTreeMap::new(),
-            timeline: Timeline::new(),
+            timeline: EventQueue::new(),
         };
         for zone in zones {
             for (index, cpu_milli) in (1..).zip(hosts) {
@@ -167,7 +167,7 @@
     /// Lets `millis` milliseconds pass.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        while let Some((at, happening)) = self.timeline.next(end) {
+        while let Some((at, happening)) = self.timeline.pop_until(end) {
             self.now = at;
             self.happen(happening);
         }
@@ -211,7 +211,7 @@
     }
 
     pub(crate) fn at(&mut self, at: u64, happening: Happening) {
-        self.timeline.plan(at.max(self.now), happening);
+        self.timeline.push(at.max(self.now), happening);
     }
 
     fn happen(&mut self, happening: Happening) {
--- a/endivestile_testkit/src/lib.rs
+++ b/endivestile_testkit/src/lib.rs
@@ -5,6 +5,7 @@
 
 mod caller;
 mod deploy;
+mod event_queue;
 mod fleet;
 mod lock;
 mod machine;
@@ -13,15 +14,14 @@
 mod soak;
 mod step;
 mod store;
-mod timeline;
 mod timer;
 mod world;
 
 pub use caller::{Caller, Reply};
-pub use deploy::{Daemon, Deployment, HostProcess, Plan, wait_for};
+pub use deploy::{DaemonCommand, Deployment, HostProcess, Plan, wait_for};
 pub use fleet::{FleetWorld, Kind, Served, tell_fleet};
-pub use machine::{BackendStandIn, Fault, Spec, Start, WorkerStandIn, echo};
+pub use machine::{BackendStandIn, MachineFault, MachineSpec, TaskStart, WorkerStandIn, echo};
 pub use platform::{PlatformHost, PlatformSignal, PlatformStandIn, WorkerFault};
 pub use soak::{Soak, SoakReport};
-pub use store::{Counts, StoreStandIn};
+pub use store::{CallCounts, StoreStandIn};
 pub use world::{CallLog, Mode, Started, Submit, WALL_S, World, tell};
--- a/endivestile_testkit/src/machine/backend.rs
+++ b/endivestile_testkit/src/machine/backend.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::park::Park;
-use super::{Fault, Spec, Start};
-use crate::net::Zones;
+use super::machine_set::MachineSet;
+use super::{MachineFault, MachineSpec, TaskStart};
+use crate::net::Topology;
 
 /// Backend servers on ephemeral ports of 127.0.0.1.
 ///
@@ -16,7 +16,7 @@
 /// Dropping it closes all ports.
 #[derive(Debug)]
 pub struct BackendStandIn {
-    park: Park,
+    machines: MachineSet,
 }
 
 impl BackendStandIn {
@@ -24,13 +24,13 @@
     ///
     /// # Errors
     /// Those of the listeners and the thread.
-    pub fn start(specs: Vec<Spec>) -> io::Result<Self> {
-        Ok(Self { park: Park::start(specs)? })
+    pub fn start(specs: Vec<MachineSpec>) -> io::Result<Self> {
+        Ok(Self { machines: MachineSet::start(specs)? })
     }
 
     /// Returns the names of the servers.
     pub fn names(&self) -> Vec<&str> {
-        self.park.names()
+        self.machines.names()
     }
 
     /// Returns the address of a server.
@@ -38,71 +38,71 @@
     /// # Panics
     /// As every call that names a server, when there is none of that name.
     pub fn address(&self, name: &str) -> SocketAddr {
-        self.park.address(name)
+        self.machines.address(name)
     }
 
     /// Tells a machine where it stands among the zones.
-    pub(crate) fn settle(&self, name: &str, zone: &str, zones: &Arc<Zones>) {
-        self.park.settle(name, zone, zones);
+    pub(crate) fn set_zone(&self, name: &str, zone: &str, zones: &Arc<Topology>) {
+        self.machines.set_zone(name, zone, zones);
     }
 
     /// Sets a server's fault.
-    pub fn set_fault(&self, name: &str, fault: Fault) {
-        self.park.set_fault(name, fault);
+    pub fn set_fault(&self, name: &str, fault: MachineFault) {
+        self.machines.set_fault(name, fault);
     }
 
     /// Sets the speed of tasks that start from now on.
     pub fn set_speed(&self, name: &str, speed: f64) {
-        self.park.set_speed(name, speed);
+        self.machines.set_speed(name, speed);
     }
 
     /// Cuts the open connections of a server, its idle ones too.
-    pub fn cut(&self, name: &str) {
-        self.park.machine(name).cut();
+    pub fn close_connections(&self, name: &str) {
+        self.machines.machine(name).close_connections();
     }
 
     /// Returns all starts in the order of time.
-    pub fn starts(&self) -> Vec<Start> {
-        self.park.starts()
+    pub fn starts(&self) -> Vec<TaskStart> {
+        self.machines.starts()
     }
 
     /// Forgets the starts so far.
-    pub fn forget(&self) {
-        self.park.forget();
+    pub fn clear_starts(&self) {
+        self.machines.clear_starts();
     }
 
     /// Returns how often the work of this key was started.
-    pub fn count(&self, work: &str) -> usize {
-        self.park.count(work)
+    pub fn starts_of(&self, work: &str) -> usize {
+        self.machines.starts_of(work)
     }
 
     /// Returns the works that were started more than once, with their counts.
-    pub fn doubled(&self) -> Vec<(String, usize)> {
-        self.park.doubled()
+    pub fn duplicate_starts(&self) -> Vec<(String, usize)> {
+        self.machines.duplicate_starts()
     }
 
     /// Returns the starts at one server.
-    pub fn started(&self, name: &str) -> usize {
-        self.park.started(name)
+    pub fn starts_at(&self, name: &str) -> usize {
+        self.machines.starts_at(name)
     }
 
     /// Returns the starts at all servers, forgotten ones included.
-    pub fn total(&self) -> u64 {
-        self.park.total()
+    pub fn total_starts(&self) -> u64 {
+        self.machines.total_starts()
     }
 
     /// Returns the most tasks that ran at once on a server.
-    pub fn peak(&self, name: &str) -> usize {
-        self.park.peak(name)
+    pub fn peak_running(&self, name: &str) -> usize {
+        self.machines.peak_running(name)
     }
 
     /// Returns the tasks that run now on all servers.
     pub fn running(&self) -> usize {
-        self.park.running()
+        self.machines.running()
     }
 
     /// Returns the calls that servers refused as busy or leaving.
-    pub fn denied(&self) -> u64 {
-        self.park.denied()
+    pub fn rejections(&self) -> u64 {
+        self.machines.rejections()
     }
 }
--- a/endivestile_testkit/src/machine/run.rs
+++ b/endivestile_testkit/src/machine/connection.rs
@@ -10,10 +10,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::fault::Fault;
+use super::fault::MachineFault;
 use super::http::{self, Call, Reply};
 use super::start::echo;
-use super::state::{Deny, Machine};
+use super::state::{Machine, Rejection};
 use super::worker;
 use crate::lock::lock;
 use crate::timer;
@@ -49,7 +49,7 @@
             changed = port.changed() => if changed.is_err() { return },
             Some(stream) = accept(listener.as_ref()) => {
                 let cut = machine.port.subscribe();
-                tokio::spawn(connection(Arc::clone(&machine), stream, cut, birth));
+                tokio::spawn(serve_connection(Arc::clone(&machine), stream, cut, birth));
             }
         }
     }
@@ -63,7 +63,7 @@
     }
 }
 
-async fn connection(
+async fn serve_connection(
     machine: Arc<Machine>,
     stream: TcpStream,
     mut cut: watch::Receiver<(u64, bool)>,
@@ -121,10 +121,10 @@
 
 /// Waits for what lies between an entry host and the machine: a cut, then the distance.
 async fn pass(machine: &Machine, caller: &str) {
-    while machine.is_cut_from(caller) {
-        timer::until(Instant::now() + Duration::from_millis(CUT_LOOK_MS)).await;
+    while machine.is_cut_off_from(caller) {
+        timer::sleep_until(Instant::now() + Duration::from_millis(CUT_LOOK_MS)).await;
     }
-    timer::until(Instant::now() + machine.away(caller)).await;
+    timer::sleep_until(Instant::now() + machine.distance_from(caller)).await;
 }
 
 /// Runs the task of a call, or denies it, with the machine's fault.
@@ -143,16 +143,16 @@
     // The task runs on when its caller goes away, as on a real machine.
     let task = tokio::spawn(run(Arc::clone(machine), number, text));
     match fault {
-        Fault::Close => return Carry::Nothing,
-        Fault::Silent => return Carry::Silence,
+        MachineFault::Close => return Carry::Nothing,
+        MachineFault::Silent => return Carry::Silence,
         _ => {}
     }
     let Ok(reply) = task.await else { return Carry::Nothing };
     match fault {
-        Fault::Status(status) => Carry::Whole(Reply::new(status, "failed")),
-        Fault::Half => Carry::Half(reply),
-        Fault::Late(ms) => {
-            timer::until(Instant::now() + Duration::from_millis(ms)).await;
+        MachineFault::Status(status) => Carry::Whole(Reply::new(status, "failed")),
+        MachineFault::Truncate => Carry::Half(reply),
+        MachineFault::Delay(ms) => {
+            timer::sleep_until(Instant::now() + Duration::from_millis(ms)).await;
             Carry::Whole(reply)
         }
         _ => Carry::Whole(reply),
@@ -162,27 +162,27 @@
 /// Runs a task to its end, its stop or the end of its lease.
 async fn run(machine: Arc<Machine>, number: u64, text: String) -> Reply {
     while let Some(running) = machine.running(number) {
-        let next = running.next();
+        let next = running.next_event();
         if running.stopped || next <= Instant::now() {
             break;
         }
         tokio::select! {
-            () = timer::until(next) => {}
+            () = timer::sleep_until(next) => {}
             () = running.changed.notified() => {}
         }
     }
     let ended = machine.finish(number);
     match ended {
         Some(running) if running.stopped => Reply::new(410, "stopped"),
-        Some(running) if running.next() < running.ends => Reply::new(410, "lease ended"),
+        Some(running) if running.next_event() < running.ends => Reply::new(410, "lease ended"),
         _ => Reply::new(200, echo(&text)),
     }
 }
 
-fn denial(deny: Deny) -> Reply {
+fn denial(deny: Rejection) -> Reply {
     let reason = match deny {
-        Deny::Busy => "busy",
-        Deny::Leaving => "leaving",
+        Rejection::Busy => "busy",
+        Rejection::Leaving => "leaving",
     };
     Reply { status: 503, header: Some((NOT_RUN_HEADER, reason)), body: reason.to_owned() }
 }
--- a/endivestile_testkit/src/machine/fault.rs
+++ b/endivestile_testkit/src/machine/fault.rs
@@ -2,7 +2,7 @@
 
 /// What goes wrong at a machine, until another fault is set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Fault {
+pub enum MachineFault {
     /// Nothing.
     #[default]
     None,
@@ -11,9 +11,9 @@
     /// Takes the task, closes the connection after reading the request, and runs it.
     Close,
     /// Runs the task, sends half of the answer and closes the connection.
-    Half,
+    Truncate,
     /// Runs the task and answers this many milliseconds late.
-    Late(u64),
+    Delay(u64),
     /// Takes the task and fails it at once with this status.
     Status(u16),
     /// Says that it is full and starts nothing.
--- a/endivestile_testkit/src/machine/park.rs
+++ b/endivestile_testkit/src/machine/machine_set.rs
@@ -10,26 +10,26 @@
 use tokio::runtime::Builder;
 use tokio::sync::oneshot;
 
-use super::start::{Start, doubled};
-use super::state::{Machine, Spec};
-use super::{Fault, run};
+use super::start::{TaskStart, repeated};
+use super::state::{Machine, MachineSpec};
+use super::{MachineFault, connection};
 use crate::lock::lock;
-use crate::net::Zones;
+use crate::net::Topology;
 
 /// Machines by name, served by one thread.
 #[derive(Debug)]
-pub(crate) struct Park {
+pub(crate) struct MachineSet {
     machines: BTreeMap<String, Arc<Machine>>,
     end: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Park {
+impl MachineSet {
     /// Starts the machines, each on an ephemeral port.
     ///
     /// # Errors
     /// Those of the listeners and the thread.
-    pub(crate) fn start(specs: Vec<Spec>) -> io::Result<Self> {
+    pub(crate) fn start(specs: Vec<MachineSpec>) -> io::Result<Self> {
         let birth = Instant::now();
         let mut machines = BTreeMap::new();
         let mut ports = Vec::new();
@@ -70,13 +70,13 @@
     }
 
     /// Tells a machine where it stands among the zones.
-    pub(crate) fn settle(&self, name: &str, zone: &str, zones: &Arc<Zones>) {
+    pub(crate) fn set_zone(&self, name: &str, zone: &str, zones: &Arc<Topology>) {
         // Told once, by the deployment that owns the zones.
         let _ = self.machine(name).site.set((zone.to_owned(), Arc::clone(zones)));
     }
 
     /// Sets a fault.
-    pub(crate) fn set_fault(&self, name: &str, fault: Fault) {
+    pub(crate) fn set_fault(&self, name: &str, fault: MachineFault) {
         self.machine(name).set_fault(fault);
     }
 
@@ -86,22 +86,22 @@
     }
 
     /// Returns all starts in the order of time.
-    pub(crate) fn starts(&self) -> Vec<Start> {
+    pub(crate) fn starts(&self) -> Vec<TaskStart> {
         let each = self.machines.values().map(|machine| lock(&machine.state).starts.clone());
-        let mut starts: Vec<Start> = each.flatten().collect();
+        let mut starts: Vec<TaskStart> = each.flatten().collect();
         starts.sort_by_key(|start| start.at_us);
         starts
     }
 
     /// Forgets the starts so far.
-    pub(crate) fn forget(&self) {
+    pub(crate) fn clear_starts(&self) {
         for machine in self.machines.values() {
             lock(&machine.state).starts.clear();
         }
     }
 
     /// Returns how often the work of this key was started.
-    pub(crate) fn count(&self, work: &str) -> usize {
+    pub(crate) fn starts_of(&self, work: &str) -> usize {
         let each = self.machines.values().map(|machine| {
             lock(&machine.state).starts.iter().filter(|start| start.work == work).count()
         });
@@ -109,22 +109,22 @@
     }
 
     /// Returns the works that were started more than once, with their counts.
-    pub(crate) fn doubled(&self) -> Vec<(String, usize)> {
-        doubled(self.starts().iter().map(|start| start.work.as_str()))
+    pub(crate) fn duplicate_starts(&self) -> Vec<(String, usize)> {
+        repeated(self.starts().iter().map(|start| start.work.as_str()))
     }
 
     /// Returns the starts of one machine.
-    pub(crate) fn started(&self, name: &str) -> usize {
+    pub(crate) fn starts_at(&self, name: &str) -> usize {
         lock(&self.machine(name).state).starts.len()
     }
 
     /// Returns the starts at all machines, forgotten ones included.
-    pub(crate) fn total(&self) -> u64 {
+    pub(crate) fn total_starts(&self) -> u64 {
         self.machines.values().map(|machine| lock(&machine.state).total).sum()
     }
 
     /// Returns the most tasks that ran at once on a machine.
-    pub(crate) fn peak(&self, name: &str) -> usize {
+    pub(crate) fn peak_running(&self, name: &str) -> usize {
         lock(&self.machine(name).state).peak
     }
 
@@ -134,12 +134,12 @@
     }
 
     /// Returns the calls refused as busy or leaving on all machines.
-    pub(crate) fn denied(&self) -> u64 {
+    pub(crate) fn rejections(&self) -> u64 {
         self.machines.values().map(|machine| lock(&machine.state).denied).sum()
     }
 }
 
-impl Drop for Park {
+impl Drop for MachineSet {
     fn drop(&mut self) {
         if let Some(end) = self.end.take() {
             // A thread that has failed already needs no sign.
@@ -161,7 +161,7 @@
     runtime.block_on(async move {
         for (machine, listener) in ports {
             let listener = tokio::net::TcpListener::from_std(listener)?;
-            tokio::spawn(run::serve(machine, listener, birth));
+            tokio::spawn(connection::serve(machine, listener, birth));
         }
         // Both the sign and a dropped sender mean the end.
         let _ = ended.await;
--- a/endivestile_testkit/src/machine/mod.rs
+++ b/endivestile_testkit/src/machine/mod.rs
@@ -5,16 +5,16 @@
 //! has to close in the middle of an answer.
 
 mod backend;
+mod connection;
 mod fault;
 mod http;
-mod park;
-mod run;
+mod machine_set;
 mod start;
 mod state;
 mod worker;
 
 pub use backend::BackendStandIn;
-pub use fault::Fault;
-pub use start::{Start, echo};
-pub use state::Spec;
+pub use fault::MachineFault;
+pub use start::{TaskStart, echo};
+pub use state::MachineSpec;
 pub use worker::WorkerStandIn;
--- a/endivestile_testkit/src/machine/start.rs
+++ b/endivestile_testkit/src/machine/start.rs
@@ -7,7 +7,7 @@
 
 /// One start of a task at a machine.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Start {
+pub struct TaskStart {
     /// Name of the machine.
     pub machine: Arc<str>,
     /// Key of the task as the system named it, empty when the call carried none.
@@ -44,7 +44,7 @@
 }
 
 /// Returns the keys that occur more than once, with their counts.
-pub(crate) fn doubled<'a>(keys: impl Iterator<Item = &'a str>) -> Vec<(String, usize)> {
+pub(crate) fn repeated<'a>(keys: impl Iterator<Item = &'a str>) -> Vec<(String, usize)> {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     for key in keys {
         *counts.entry(key).or_default() += 1;
--- a/endivestile_testkit/src/machine/state.rs
+++ b/endivestile_testkit/src/machine/state.rs
@@ -10,18 +10,18 @@
 use rand::{Rng, SeedableRng};
 use tokio::sync::{Notify, watch};
 
-use super::fault::{Fault, STRAGGLE};
-use super::start::{Start, Work};
+use super::fault::{MachineFault, STRAGGLE};
+use super::start::{TaskStart, Work};
 use crate::deploy::wait_for;
 use crate::lock::lock;
-use crate::net::Zones;
+use crate::net::Topology;
 
 /// Longest wait for a port to open or close, in seconds.
 const PORT_S: u64 = 10;
 
 /// A machine to stand in for.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Spec {
+pub struct MachineSpec {
     /// Name, as in the inventory.
     pub name: String,
     /// Tasks that it runs at once.
@@ -34,7 +34,7 @@
     pub default_ms: f64,
 }
 
-impl Spec {
+impl MachineSpec {
     /// Makes a machine of 8 slots, 64 connections and speed 1, whose tasks take no time by default.
     pub fn new(name: impl Into<String>) -> Self {
         Self { name: name.into(), slots: 8, connections: 64, speed: 1.0, default_ms: 0.0 }
@@ -53,7 +53,7 @@
 
 /// A task that runs.
 #[derive(Debug, Clone)]
-pub(crate) struct Running {
+pub(crate) struct RunningTask {
     /// When it began.
     pub(crate) began: Instant,
     /// When it will have run to its end.
@@ -66,16 +66,16 @@
     pub(crate) changed: Arc<Notify>,
 }
 
-impl Running {
+impl RunningTask {
     /// Returns the instant at which something happens next.
-    pub(crate) fn next(&self) -> Instant {
+    pub(crate) fn next_event(&self) -> Instant {
         self.lease.map_or(self.ends, |lease| lease.min(self.ends))
     }
 }
 
 /// Why a machine does not start a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Deny {
+pub(crate) enum Rejection {
     /// All slots are taken.
     Busy,
     /// It is leaving.
@@ -96,21 +96,21 @@
     /// What changes.
     pub(crate) state: Mutex<State>,
     /// Description.
-    pub(crate) spec: Spec,
+    pub(crate) spec: MachineSpec,
     /// Where it stands among the zones, once it is told.
-    pub(crate) site: OnceLock<(String, Arc<Zones>)>,
+    pub(crate) site: OnceLock<(String, Arc<Topology>)>,
 }
 
 /// What changes of a machine.
 #[derive(Debug)]
 pub(crate) struct State {
-    pub(crate) fault: Fault,
+    pub(crate) fault: MachineFault,
     pub(crate) speed: f64,
     pub(crate) connections: usize,
     pub(crate) peak: usize,
-    pub(crate) tasks: HashMap<u64, (String, Running)>,
+    pub(crate) tasks: HashMap<u64, (String, RunningTask)>,
     pub(crate) usage: VecDeque<(Instant, usize)>,
-    pub(crate) starts: Vec<Start>,
+    pub(crate) starts: Vec<TaskStart>,
     pub(crate) total: u64,
     pub(crate) denied: u64,
     last: u64,
@@ -119,9 +119,9 @@
 
 impl Machine {
     /// Makes a machine that listens on `address`; `seed` draws its stragglers.
-    pub(crate) fn new(spec: Spec, address: SocketAddr, seed: u64) -> Self {
+    pub(crate) fn new(spec: MachineSpec, address: SocketAddr, seed: u64) -> Self {
         let state = State {
-            fault: Fault::None,
+            fault: MachineFault::None,
             speed: spec.speed,
             connections: 0,
             peak: 0,
@@ -146,22 +146,22 @@
     }
 
     /// Returns the one-way distance from an entry host.
-    pub(crate) fn away(&self, host: &str) -> Duration {
-        let us = self.site.get().map_or(0, |(zone, zones)| zones.distance_us(host, zone));
+    pub(crate) fn distance_from(&self, host: &str) -> Duration {
+        let us = self.site.get().map_or(0, |(zone, zones)| zones.host_distance_us(host, zone));
         Duration::from_micros(us)
     }
 
     /// Tells whether an entry host is cut off from the machine's zone.
-    pub(crate) fn is_cut_from(&self, host: &str) -> bool {
-        self.site.get().is_some_and(|(zone, zones)| zones.is_cut_from(host, zone))
+    pub(crate) fn is_cut_off_from(&self, host: &str) -> bool {
+        self.site.get().is_some_and(|(zone, zones)| zones.is_cut_off(host, zone))
     }
 
     /// Sets a fault; one that closes the port cuts the open connections too.
     /// Returns once the port is as the fault says: a call that came before would
     /// still be served.
-    pub(crate) fn set_fault(&self, fault: Fault) {
+    pub(crate) fn set_fault(&self, fault: MachineFault) {
         lock(&self.state).fault = fault;
-        let open = fault != Fault::Refuse;
+        let open = fault != MachineFault::Refuse;
         self.port.send_if_modified(|(generation, was)| {
             let changed = *was != open;
             *generation += u64::from(changed);
@@ -172,7 +172,7 @@
     }
 
     /// Cuts the open connections.
-    pub(crate) fn cut(&self) {
+    pub(crate) fn close_connections(&self) {
         self.port.send_modify(|(generation, _)| *generation += 1);
     }
 
@@ -183,14 +183,14 @@
         key: &str,
         text: &str,
         lease_ms: Option<u64>,
-    ) -> Result<(u64, Fault), Deny> {
+    ) -> Result<(u64, MachineFault), Rejection> {
         let mut state = lock(&self.state);
         let fault = state.fault;
         let full = state.tasks.len() >= self.spec.slots;
         let deny = match fault {
-            Fault::Leaving => Some(Deny::Leaving),
-            Fault::Busy => Some(Deny::Busy),
-            _ => full.then_some(Deny::Busy),
+            MachineFault::Leaving => Some(Rejection::Leaving),
+            MachineFault::Busy => Some(Rejection::Busy),
+            _ => full.then_some(Rejection::Busy),
         };
         if let Some(deny) = deny {
             state.denied += 1;
@@ -200,7 +200,7 @@
         let service_us = state.service_us(&work, self.spec.default_ms);
         let began = Instant::now();
         let at_us = began.duration_since(birth).as_micros() as u64;
-        state.starts.push(Start {
+        state.starts.push(TaskStart {
             machine: Arc::clone(&self.name),
             task: key.to_owned(),
             work: work.key.unwrap_or_else(|| text.to_owned()),
@@ -208,7 +208,7 @@
             service_us,
         });
         state.total += 1;
-        let running = Running {
+        let running = RunningTask {
             began,
             ends: began + Duration::from_micros(service_us),
             lease: lease_ms.map(|ms| began + Duration::from_millis(ms)),
@@ -219,7 +219,7 @@
     }
 
     /// Frees the slot of a task; returns how it stood, none when it was not running.
-    pub(crate) fn finish(&self, number: u64) -> Option<Running> {
+    pub(crate) fn finish(&self, number: u64) -> Option<RunningTask> {
         let mut state = lock(&self.state);
         let (_, running) = state.tasks.remove(&number)?;
         state.note_usage();
@@ -227,12 +227,12 @@
     }
 
     /// Returns how a running task stands.
-    pub(crate) fn running(&self, number: u64) -> Option<Running> {
+    pub(crate) fn running(&self, number: u64) -> Option<RunningTask> {
         lock(&self.state).tasks.get(&number).map(|(_, running)| running.clone())
     }
 
     /// Changes the running tasks of a key; returns how many there are.
-    pub(crate) fn change(&self, key: &str, mut change: impl FnMut(&mut Running)) -> usize {
+    pub(crate) fn update(&self, key: &str, mut change: impl FnMut(&mut RunningTask)) -> usize {
         let mut state = lock(&self.state);
         let mut count = 0;
         for (name, running) in state.tasks.values_mut() {
@@ -256,7 +256,7 @@
 const USAGE_CHANGES: usize = 10_000;
 
 impl State {
-    fn insert(&mut self, key: &str, running: Running) -> u64 {
+    fn insert(&mut self, key: &str, running: RunningTask) -> u64 {
         self.last += 1;
         self.tasks.insert(self.last, (key.to_owned(), running));
         self.peak = self.peak.max(self.tasks.len());
@@ -274,8 +274,8 @@
     fn service_us(&mut self, work: &Work, default_ms: f64) -> u64 {
         let ms = work.ms.unwrap_or(default_ms) / self.speed;
         let slow = match self.fault {
-            Fault::Straggle(percent) => self.rng.random_range(0..100) < percent,
-            Fault::Status(_) => return 0,
+            MachineFault::Straggle(percent) => self.rng.random_range(0..100) < percent,
+            MachineFault::Status(_) => return 0,
             _ => false,
         };
         (ms * if slow { STRAGGLE } else { 1.0 } * 1_000.0) as u64
--- a/endivestile_testkit/src/machine/worker.rs
+++ b/endivestile_testkit/src/machine/worker.rs
@@ -9,10 +9,10 @@
 use serde_json::json;
 
 use super::http::{Call, Reply};
-use super::park::Park;
-use super::state::{Machine, Running};
-use super::{Fault, Spec, Start};
-use crate::net::Zones;
+use super::machine_set::MachineSet;
+use super::state::{Machine, RunningTask};
+use super::{MachineFault, MachineSpec, TaskStart};
+use crate::net::Topology;
 
 /// How old the usage is that a worker reports, in milliseconds.
 const USAGE_LAG_MS: u64 = 500;
@@ -28,7 +28,7 @@
 /// tells how far it is, and `GET /v1/usage` tells the slots taken half a second ago.
 #[derive(Debug)]
 pub struct WorkerStandIn {
-    park: Park,
+    machines: MachineSet,
 }
 
 impl WorkerStandIn {
@@ -36,13 +36,13 @@
     ///
     /// # Errors
     /// Those of the listeners and the thread.
-    pub fn start(specs: Vec<Spec>) -> io::Result<Self> {
-        Ok(Self { park: Park::start(specs)? })
+    pub fn start(specs: Vec<MachineSpec>) -> io::Result<Self> {
+        Ok(Self { machines: MachineSet::start(specs)? })
     }
 
     /// Returns the names of the workers.
     pub fn names(&self) -> Vec<&str> {
-        self.park.names()
+        self.machines.names()
     }
 
     /// Returns the address of a worker.
@@ -50,52 +50,52 @@
     /// # Panics
     /// As every call that names a worker, when there is none of that name.
     pub fn address(&self, name: &str) -> SocketAddr {
-        self.park.address(name)
+        self.machines.address(name)
     }
 
     /// Tells a machine where it stands among the zones.
-    pub(crate) fn settle(&self, name: &str, zone: &str, zones: &Arc<Zones>) {
-        self.park.settle(name, zone, zones);
+    pub(crate) fn set_zone(&self, name: &str, zone: &str, zones: &Arc<Topology>) {
+        self.machines.set_zone(name, zone, zones);
     }
 
     /// Sets a worker's fault.
-    pub fn set_fault(&self, name: &str, fault: Fault) {
-        self.park.set_fault(name, fault);
+    pub fn set_fault(&self, name: &str, fault: MachineFault) {
+        self.machines.set_fault(name, fault);
     }
 
     /// Sets the speed of tasks that start from now on.
     pub fn set_speed(&self, name: &str, speed: f64) {
-        self.park.set_speed(name, speed);
+        self.machines.set_speed(name, speed);
     }
 
     /// Cuts the open connections of a worker, its idle ones too.
-    pub fn cut(&self, name: &str) {
-        self.park.machine(name).cut();
+    pub fn close_connections(&self, name: &str) {
+        self.machines.machine(name).close_connections();
     }
 
     /// Returns all starts in the order of time.
-    pub fn starts(&self) -> Vec<Start> {
-        self.park.starts()
+    pub fn starts(&self) -> Vec<TaskStart> {
+        self.machines.starts()
     }
 
     /// Returns how often the work of this key was started.
-    pub fn count(&self, work: &str) -> usize {
-        self.park.count(work)
+    pub fn starts_of(&self, work: &str) -> usize {
+        self.machines.starts_of(work)
     }
 
     /// Returns the works that were started more than once, with their counts.
-    pub fn doubled(&self) -> Vec<(String, usize)> {
-        self.park.doubled()
+    pub fn duplicate_starts(&self) -> Vec<(String, usize)> {
+        self.machines.duplicate_starts()
     }
 
     /// Returns the most tasks that ran at once on a worker.
-    pub fn peak(&self, name: &str) -> usize {
-        self.park.peak(name)
+    pub fn peak_running(&self, name: &str) -> usize {
+        self.machines.peak_running(name)
     }
 
     /// Returns the tasks that run now on all workers.
     pub fn running(&self) -> usize {
-        self.park.running()
+        self.machines.running()
     }
 }
 
@@ -107,15 +107,15 @@
     let rest = call.path.strip_prefix(TASKS)?;
     let (key, verb) = rest.split_once('/').unwrap_or((rest, ""));
     let found = match (call.method.as_str(), verb) {
-        ("DELETE", "") => machine.change(key, |running| running.stopped = true),
+        ("DELETE", "") => machine.update(key, |running| running.stopped = true),
         ("POST", "lease") => {
             let ms = call.header(LEASE_HEADER)?.parse().ok()?;
             let lease = Instant::now() + Duration::from_millis(ms);
-            machine.change(key, |running| running.lease = Some(lease))
+            machine.update(key, |running| running.lease = Some(lease))
         }
         ("POST", "throttle") => {
             let percent: u32 = call.text().trim().parse().ok()?;
-            machine.change(key, |running| throttle(running, percent))
+            machine.update(key, |running| throttle(running, percent))
         }
         ("POST", "checkpoint") => return Some(checkpoint(machine, key)),
         _ => return Some(Reply::new(404, "no such path")),
@@ -135,7 +135,7 @@
 }
 
 /// Lets what is left of a task run at `percent` of its speed.
-fn throttle(running: &mut Running, percent: u32) {
+fn throttle(running: &mut RunningTask, percent: u32) {
     let now = Instant::now();
     let left = running.ends.saturating_duration_since(now);
     running.ends = now + left * 100 / percent.clamp(1, 100);
@@ -144,7 +144,7 @@
 fn checkpoint(machine: &Machine, key: &str) -> Reply {
     let now = Instant::now();
     let mut done = None;
-    machine.change(key, |running| {
+    machine.update(key, |running| {
         let whole = running.ends.saturating_duration_since(running.began).as_micros().max(1);
         let ran = now.saturating_duration_since(running.began).as_micros();
         done = Some((ran * 100 / whole).min(100) as u64);
--- a/endivestile_testkit/src/net/owner.rs
+++ b/endivestile_testkit/src/net/client_process.rs
@@ -7,7 +7,7 @@
 ///
 /// The kernel's table of sockets names the socket's inode, and the process's
 /// open files name it too; nothing else tells who dialled.
-pub(crate) fn owner(from: SocketAddr, to: SocketAddr, pids: &[u32]) -> Option<u32> {
+pub(crate) fn client_pid(from: SocketAddr, to: SocketAddr, pids: &[u32]) -> Option<u32> {
     let (SocketAddr::V4(from), SocketAddr::V4(to)) = (from, to) else { return None };
     let table = fs::read_to_string("/proc/net/tcp").ok()?;
     let pair = format!("{} {}", hex(from), hex(to));
--- a/endivestile_testkit/src/net/mod.rs
+++ b/endivestile_testkit/src/net/mod.rs
@@ -1,8 +1,8 @@
 //! The network between availability zones: distances and cuts.
 
-mod owner;
+mod client_process;
 mod relay;
-mod zones;
+mod topology;
 
-pub(crate) use relay::Relay;
-pub(crate) use zones::Zones;
+pub(crate) use relay::ZoneRelay;
+pub(crate) use topology::Topology;
--- a/endivestile_testkit/src/net/relay.rs
+++ b/endivestile_testkit/src/net/relay.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::Zones;
-use super::owner::owner;
+use super::Topology;
+use super::client_process::client_pid;
 
 /// Bytes read at once.
 const CHUNK: usize = 64 << 10;
@@ -22,14 +22,14 @@
 /// While a cut lasts, connections stay open and nothing passes, as on a network
 /// that drops packets; what was sent passes after the cut.
 #[derive(Debug)]
-pub(crate) struct Relay {
+pub(crate) struct ZoneRelay {
     /// Address to dial instead of the host's.
     address: SocketAddr,
     /// Whether its end has come.
     ended: Arc<AtomicBool>,
 }
 
-impl Relay {
+impl ZoneRelay {
     /// Starts a relay on `listener` to `target`, which is in `zone`.
     ///
     /// # Errors
@@ -38,7 +38,7 @@
         listener: TcpListener,
         target: SocketAddr,
         zone: &str,
-        zones: &Arc<Zones>,
+        zones: &Arc<Topology>,
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
         let ended = Arc::new(AtomicBool::new(false));
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for ZoneRelay {
     fn drop(&mut self) {
         self.ended.store(true, Ordering::Relaxed);
         // Wakes the thread that accepts; if that fails, it has ended already.
@@ -66,7 +66,7 @@
 struct Line {
     target: SocketAddr,
     zone: String,
-    zones: Arc<Zones>,
+    zones: Arc<Topology>,
     ended: Arc<AtomicBool>,
 }
 
@@ -84,9 +84,10 @@
 }
 
 fn connect(line: &Line, near: TcpStream) -> io::Result<()> {
-    let from = owner(near.peer_addr()?, near.local_addr()?, &line.zones.pids());
-    let zone = from.and_then(|pid| line.zones.zone_of(pid)).unwrap_or_else(|| line.zone.clone());
-    if !line.zones.wait_open(&zone, &line.zone, || line.ended.load(Ordering::Relaxed)) {
+    let from = client_pid(near.peer_addr()?, near.local_addr()?, &line.zones.pids());
+    let zone =
+        from.and_then(|pid| line.zones.process_zone(pid)).unwrap_or_else(|| line.zone.clone());
+    if !line.zones.wait_connected(&zone, &line.zone, || line.ended.load(Ordering::Relaxed)) {
         return Ok(());
     }
     let far = TcpStream::connect(line.target)?;
@@ -100,7 +101,7 @@
 /// Carries one direction with one thread that reads and one that delays and writes.
 fn pump(line: Line, zone: &str, from: TcpStream, to: TcpStream) {
     let (sender, receiver) = channel();
-    let delay = Duration::from_micros(line.zones.between_us(zone, &line.zone));
+    let delay = Duration::from_micros(line.zones.zone_distance_us(zone, &line.zone));
     let zone = zone.to_owned();
     thread::spawn(move || read(from, &sender, delay));
     thread::spawn(move || write(&line, &zone, to, &receiver));
@@ -120,7 +121,8 @@
 fn write(line: &Line, zone: &str, mut to: TcpStream, receiver: &Receiver<Parcel>) {
     for (at, bytes) in receiver {
         thread::sleep(at.saturating_duration_since(Instant::now()));
-        let open = line.zones.wait_open(zone, &line.zone, || line.ended.load(Ordering::Relaxed));
+        let open =
+            line.zones.wait_connected(zone, &line.zone, || line.ended.load(Ordering::Relaxed));
         if !open || to.write_all(&bytes).is_err() {
             break;
         }
--- a/endivestile_testkit/src/net/zones.rs
+++ b/endivestile_testkit/src/net/topology.rs
@@ -9,16 +9,16 @@
 /// How long a stopped relay waits before it looks whether its end has come, in milliseconds.
 const LOOK_MS: u64 = 100;
 
-/// Zones of hosts, distances and cuts between zones.
+/// Topology of hosts, distances and cuts between zones.
 #[derive(Debug, Default)]
-pub(crate) struct Zones {
+pub(crate) struct Topology {
     state: Mutex<State>,
     healed: Condvar,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Zones by host.
+    /// Topology by host.
     hosts: HashMap<String, String>,
     /// Hosts by process id.
     pids: HashMap<u32, String>,
@@ -28,7 +28,7 @@
     cuts: HashSet<(String, String)>,
 }
 
-impl Zones {
+impl Topology {
     /// Makes zones that are `distance_us` microseconds apart, one way.
     pub(crate) fn new(distance_us: u64) -> Self {
         let state = State { distance_us, ..State::default() };
@@ -36,12 +36,12 @@
     }
 
     /// Notes the zone of a host.
-    pub(crate) fn place(&self, host: &str, zone: &str) {
+    pub(crate) fn set_host_zone(&self, host: &str, zone: &str) {
         lock(&self.state).hosts.insert(host.to_owned(), zone.to_owned());
     }
 
     /// Notes that a host runs as this process now.
-    pub(crate) fn runs(&self, host: &str, pid: u32) {
+    pub(crate) fn set_host_pid(&self, host: &str, pid: u32) {
         let mut state = lock(&self.state);
         state.pids.retain(|_, name| name != host);
         state.pids.insert(pid, host.to_owned());
@@ -53,25 +53,25 @@
     }
 
     /// Returns the zone of a process.
-    pub(crate) fn zone_of(&self, pid: u32) -> Option<String> {
+    pub(crate) fn process_zone(&self, pid: u32) -> Option<String> {
         let state = lock(&self.state);
         state.pids.get(&pid).and_then(|host| state.hosts.get(host)).cloned()
     }
 
     /// Returns the one-way distance from a host to a zone, in microseconds.
-    pub(crate) fn distance_us(&self, host: &str, zone: &str) -> u64 {
+    pub(crate) fn host_distance_us(&self, host: &str, zone: &str) -> u64 {
         let state = lock(&self.state);
         let near = state.hosts.get(host).is_none_or(|own| own == zone);
         if near { 0 } else { state.distance_us }
     }
 
     /// Returns the one-way distance between two zones, in microseconds.
-    pub(crate) fn between_us(&self, a: &str, b: &str) -> u64 {
+    pub(crate) fn zone_distance_us(&self, a: &str, b: &str) -> u64 {
         if a == b { 0 } else { lock(&self.state).distance_us }
     }
 
     /// Cuts a zone off from all others.
-    pub(crate) fn cut(&self, zone: &str) {
+    pub(crate) fn isolate(&self, zone: &str) {
         let mut state = lock(&self.state);
         let all: HashSet<String> = state.hosts.values().cloned().collect();
         for other in all.into_iter().filter(|other| other != zone) {
@@ -91,14 +91,14 @@
     }
 
     /// Tells whether a host is cut off from a zone.
-    pub(crate) fn is_cut_from(&self, host: &str, zone: &str) -> bool {
+    pub(crate) fn is_cut_off(&self, host: &str, zone: &str) -> bool {
         let state = lock(&self.state);
         let own = state.hosts.get(host).cloned().unwrap_or_default();
         state.cuts.contains(&(own, zone.to_owned()))
     }
 
     /// Waits while two zones are cut off from each other; false when `ended` says to give up.
-    pub(crate) fn wait_open(&self, a: &str, b: &str, ended: impl Fn() -> bool) -> bool {
+    pub(crate) fn wait_connected(&self, a: &str, b: &str, ended: impl Fn() -> bool) -> bool {
         let pair = (a.to_owned(), b.to_owned());
         let mut state = lock(&self.state);
         while state.cuts.contains(&pair) {
--- a/endivestile_testkit/src/platform/host.rs
+++ b/endivestile_testkit/src/platform/host.rs
@@ -5,8 +5,8 @@
 use std::process::ExitStatus;
 use std::sync::Arc;
 
-use crate::deploy::{Daemon, HostProcess};
-use crate::net::Zones;
+use crate::deploy::{DaemonCommand, HostProcess};
+use crate::net::Topology;
 
 /// Address that binds any free port.
 const ANY_PORT: &str = "127.0.0.1:0";
@@ -23,7 +23,7 @@
     /// # Errors
     /// Those of the start.
     pub fn start(
-        daemon: &Daemon,
+        daemon: &DaemonCommand,
         store: SocketAddr,
         name: &str,
         zone: &str,
@@ -40,20 +40,20 @@
         ];
         settings.extend_from_slice(more);
         let unknown = SocketAddr::from(([127, 0, 0, 1], 0));
-        let zones = Arc::new(Zones::default());
+        let zones = Arc::new(Topology::default());
         let process = HostProcess::start(name, unknown, daemon, settings, &zones)?;
         Ok(Self { process })
     }
 
     /// Returns the value of `key` in the latest line that holds `part`.
-    pub fn told(&self, part: &str, key: &str) -> Option<String> {
+    pub fn log_value(&self, part: &str, key: &str) -> Option<String> {
         let log = self.process.log();
         let line = log.iter().rev().find(|line| line.contains(part))?;
         line.split(' ').find_map(|word| word.strip_prefix(key)).map(str::to_owned)
     }
 
     /// Returns how many lines hold `part`, over all restarts.
-    pub fn logged(&self, part: &str) -> usize {
+    pub fn count_lines(&self, part: &str) -> usize {
         self.process.log().iter().filter(|line| line.contains(part)).count()
     }
 
@@ -63,18 +63,18 @@
     }
 
     /// Returns the address for callers of the latest start; none before it listens.
-    pub fn http(&self) -> Option<SocketAddr> {
-        self.told("event=started", "http=")?.parse().ok()
+    pub fn http_address(&self) -> Option<SocketAddr> {
+        self.log_value("event=started", "http=")?.parse().ok()
     }
 
     /// Returns where its links listen since the latest start; none before they do.
-    pub fn links(&self) -> Option<SocketAddr> {
-        self.told("event=started", "links=")?.parse().ok()
+    pub fn link_address(&self) -> Option<SocketAddr> {
+        self.log_value("event=started", "links=")?.parse().ok()
     }
 
     /// Returns the address of its page of counts; none before it listens.
-    pub fn page(&self) -> Option<SocketAddr> {
-        self.told("event=page_served", "address=")?.parse().ok()
+    pub fn metrics_address(&self) -> Option<SocketAddr> {
+        self.log_value("event=page_served", "address=")?.parse().ok()
     }
 
     /// Sends a signal by its name.
@@ -93,13 +93,13 @@
     }
 
     /// Tells whether the process runs.
-    pub fn runs(&mut self) -> bool {
-        self.process.runs()
+    pub fn is_running(&mut self) -> bool {
+        self.process.is_running()
     }
 
     /// Waits for the end of the process; none when it took too long.
-    pub fn wait_end(&mut self, limit_s: u64) -> Option<ExitStatus> {
-        self.process.wait_end(limit_s)
+    pub fn wait_exit(&mut self, limit_s: u64) -> Option<ExitStatus> {
+        self.process.wait_exit(limit_s)
     }
 
     /// Kills the process at once.
--- a/endivestile_testkit/src/platform/mod.rs
+++ b/endivestile_testkit/src/platform/mod.rs
@@ -18,13 +18,13 @@
 
 use crate::lock::lock;
 use store::Keys;
-use workers::Fleet;
+use workers::WorkerSet;
 
 /// State that all connections share.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) keys: Mutex<Keys>,
-    pub(crate) workers: Mutex<Fleet>,
+    pub(crate) workers: Mutex<WorkerSet>,
 }
 
 /// The stand-in; it lives until the test's process ends.
@@ -49,7 +49,7 @@
     }
 
     /// Returns the store's address.
-    pub fn store(&self) -> SocketAddr {
+    pub fn store_address(&self) -> SocketAddr {
         self.store
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Has a zone evacuated, or takes it back, as an operator does.
-    pub fn evacuate(&self, zone: &str, evacuated: bool) {
+    pub fn set_evacuated(&self, zone: &str, evacuated: bool) {
         let key = format!("op/evacuate/{zone}");
         let mut keys = lock(&self.shared.keys);
         if evacuated {
@@ -93,13 +93,13 @@
     }
 
     /// Turns every call to the store away, or serves them again.
-    pub fn refuse(&self, refuse: bool) {
+    pub fn set_refusing(&self, refuse: bool) {
         lock(&self.shared.keys).refusing = refuse;
     }
 
     /// Makes a worker misbehave, or behave again.
-    pub fn fault(&self, worker: &str, fault: WorkerFault) {
-        lock(&self.shared.workers).fault(worker, fault);
+    pub fn set_fault(&self, worker: &str, fault: WorkerFault) {
+        lock(&self.shared.workers).set_fault(worker, fault);
     }
 
     /// Returns how many runs each worker has started.
@@ -113,25 +113,25 @@
     }
 
     /// Returns how many tasks of a job have ended well.
-    pub fn done_of(&self, id: &str) -> usize {
-        lock(&self.shared.workers).done_of(id)
+    pub fn tasks_done(&self, id: &str) -> usize {
+        lock(&self.shared.workers).tasks_done(id)
     }
 
     /// Returns the addresses at which the workers listen.
-    pub fn workers(&self) -> Vec<(String, SocketAddr)> {
+    pub fn worker_addresses(&self) -> Vec<(String, SocketAddr)> {
         lock(&self.shared.workers).addresses()
     }
 
     /// Registers a worker anew, at another address by which it can be reached.
-    pub fn reroute(&self, worker: &str, address: SocketAddr) {
+    pub fn set_address(&self, worker: &str, address: SocketAddr) {
         let zone = worker.split('-').next().unwrap_or_default();
         self.register(zone, worker, address, "ready");
     }
 
     /// Registers a worker anew, as one that leaves or that has changed its mind.
-    pub fn leaves(&self, worker: &str, leaves: bool) {
+    pub fn set_leaving(&self, worker: &str, leaves: bool) {
         let zone = worker.split('-').next().unwrap_or_default();
-        let all = self.workers();
+        let all = self.worker_addresses();
         if let Some((_, address)) = all.iter().find(|(id, _)| id == worker) {
             self.register(zone, worker, *address, if leaves { "draining" } else { "ready" });
         }
--- a/endivestile_testkit/src/platform/workers.rs
+++ b/endivestile_testkit/src/platform/workers.rs
@@ -39,7 +39,7 @@
 
 /// All workers.
 #[derive(Debug)]
-pub(crate) struct Fleet {
+pub(crate) struct WorkerSet {
     start: Instant,
     workers: BTreeMap<String, Worker>,
     starts: BTreeMap<String, u64>,
@@ -49,7 +49,7 @@
     pub(crate) breaches: Vec<String>,
 }
 
-impl Default for Fleet {
+impl Default for WorkerSet {
     fn default() -> Self {
         Self {
             start: Instant::now(),
@@ -61,7 +61,7 @@
     }
 }
 
-impl Fleet {
+impl WorkerSet {
     fn now(&self) -> u64 {
         self.start.elapsed().as_micros() as u64
     }
@@ -82,7 +82,7 @@
     }
 
     /// Makes a worker misbehave.
-    pub(crate) fn fault(&mut self, id: &str, fault: WorkerFault) {
+    pub(crate) fn set_fault(&mut self, id: &str, fault: WorkerFault) {
         let now = self.now();
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.advance(now);
@@ -105,7 +105,7 @@
     }
 
     /// Returns how many tasks of a job have ended well.
-    pub(crate) fn done_of(&self, id: &str) -> usize {
+    pub(crate) fn tasks_done(&self, id: &str) -> usize {
         self.jobs.get(id).map_or(0, |(_, done)| done.len())
     }
 
@@ -187,14 +187,14 @@
         Some(held)
     }
 
-    fn dark(&self, id: &str) -> bool {
+    fn is_silent(&self, id: &str) -> bool {
         self.workers.get(id).is_none_or(|worker| worker.dark)
     }
 }
 
 /// Answers a call to a worker.
 pub(crate) async fn answer(shared: &Arc<Shared>, id: &str, call: &Call) -> Answer {
-    if lock(&shared.workers).dark(id) {
+    if lock(&shared.workers).is_silent(id) {
         return None;
     }
     if call.life.as_deref().is_some_and(|life| life != id) {
--- a/endivestile_testkit/src/soak/caller.rs
+++ b/endivestile_testkit/src/soak/connection.rs
@@ -6,7 +6,7 @@
 
 /// What a caller saw of one sending of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Sending {
+pub(crate) struct Attempt {
     /// The job's id.
     pub(crate) id: String,
     /// Tasks of the job.
@@ -25,12 +25,12 @@
 
 /// A connection that a caller keeps using.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct Connection {
     reader: BufReader<TcpStream>,
     address: SocketAddr,
 }
 
-impl Line {
+impl Connection {
     /// Opens a connection.
     ///
     /// # Errors
@@ -42,7 +42,7 @@
     }
 
     /// Returns whether it goes to an address.
-    pub(crate) fn goes_to(&self, address: SocketAddr) -> bool {
+    pub(crate) fn is_to(&self, address: SocketAddr) -> bool {
         self.address == address
     }
 
--- a/endivestile_testkit/src/soak/fault.rs
+++ b/endivestile_testkit/src/soak/fault.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-use super::relay::Harm;
+use super::relay::Impairment;
 
 /// Something that goes wrong for a while.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -17,11 +17,11 @@
     /// A host is told that its settings have changed.
     Reload(usize),
     /// The way of all others to a host's links is harmed.
-    Links(usize, Harm),
+    Links(usize, Impairment),
     /// The way from a host to the store is harmed.
-    Store(usize, Harm),
+    Store(usize, Impairment),
     /// The way from all hosts to a worker is harmed.
-    Worker(usize, Harm),
+    Worker(usize, Impairment),
     /// A worker fails all that it starts.
     Errors(usize),
     /// What a worker starts makes no progress.
@@ -34,7 +34,7 @@
 
 /// A fault and its time, in milliseconds from the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Planned {
+pub(crate) struct PlannedFault {
     /// The fault.
     pub(crate) fault: Fault,
     /// When it begins.
@@ -50,12 +50,17 @@
 const GAP_MS: std::ops::Range<u64> = 150..1_200;
 
 /// Draws the faults of a run that begin within `ms` milliseconds.
-pub(crate) fn plan(rng: &mut SmallRng, ms: u64, hosts: usize, workers: usize) -> Vec<Planned> {
+pub(crate) fn plan_faults(
+    rng: &mut SmallRng,
+    ms: u64,
+    hosts: usize,
+    workers: usize,
+) -> Vec<PlannedFault> {
     let mut plan = Vec::new();
     let mut at = rng.random_range(GAP_MS);
     while at < ms {
         let lasts = rng.random_range(100..MAX_MS);
-        plan.push(Planned { fault: draw(rng, hosts, workers), from: at, until: at + lasts });
+        plan.push(PlannedFault { fault: draw(rng, hosts, workers), from: at, until: at + lasts });
         // Some come at the same moment.
         if rng.random_range(0..5) > 0 {
             at += rng.random_range(GAP_MS);
@@ -65,13 +70,13 @@
 }
 
 /// Draws the evacuations of a run that begin within `ms` milliseconds.
-pub(crate) fn evacuations(rng: &mut SmallRng, ms: u64, zones: usize) -> Vec<Planned> {
+pub(crate) fn plan_evacuations(rng: &mut SmallRng, ms: u64, zones: usize) -> Vec<PlannedFault> {
     let mut plan = Vec::new();
     let mut at = rng.random_range(GAP_MS);
     while at < ms {
         let until = at + rng.random_range(100..MAX_MS);
         let fault = Fault::Evacuate(rng.random_range(0..zones));
-        plan.push(Planned { fault, from: at, until });
+        plan.push(PlannedFault { fault, from: at, until });
         at = until + rng.random_range(GAP_MS);
     }
     plan
@@ -94,12 +99,12 @@
     }
 }
 
-fn harm(rng: &mut SmallRng) -> Harm {
+fn harm(rng: &mut SmallRng) -> Impairment {
     match rng.random_range(0..5) {
-        0 => Harm::Delay(rng.random_range(5..400)),
-        1 => Harm::Silence,
-        2 => Harm::SilenceThere,
-        3 => Harm::SilenceBack,
-        _ => Harm::Reset,
+        0 => Impairment::Delay(rng.random_range(5..400)),
+        1 => Impairment::Silence,
+        2 => Impairment::SilenceThere,
+        3 => Impairment::SilenceBack,
+        _ => Impairment::Reset,
     }
 }
--- a/endivestile_testkit/src/soak/load.rs
+++ b/endivestile_testkit/src/soak/load.rs
@@ -8,16 +8,16 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::caller::{Line, Sending};
+use super::connection::{Attempt, Connection};
 use crate::lock::lock;
 use crate::platform::PlatformHost;
 
 /// How long callers wait for an answer.
 pub(crate) const DEADLINE: Duration = Duration::from_millis(2_500);
 /// How much later than its deadline an answer may come before a caller gives up.
-pub(crate) const SLACK: Duration = Duration::from_millis(800);
+pub(crate) const ANSWER_GRACE: Duration = Duration::from_millis(800);
 /// Time after which a caller without an answer sends its job again.
-const RESEND: Duration = Duration::from_millis(1_300);
+const RETRY_DELAY: Duration = Duration::from_millis(1_300);
 
 fn body(tasks: usize, ms: u64) -> String {
     let step = serde_json::json!({
@@ -37,12 +37,12 @@
     id: &str,
     tasks: usize,
     ms: u64,
-) -> Option<Sending> {
-    let address = lock(host).http()?;
-    let mut line = Line::open(address, DEADLINE).ok()?;
+) -> Option<Attempt> {
+    let address = lock(host).http_address()?;
+    let mut line = Connection::open(address, DEADLINE).ok()?;
     let begun = Instant::now();
-    let answer = line.send(id, &body(tasks, ms), DEADLINE, DEADLINE + SLACK).ok();
-    Some(Sending {
+    let answer = line.send(id, &body(tasks, ms), DEADLINE, DEADLINE + ANSWER_GRACE).ok();
+    Some(Attempt {
         id: id.to_owned(),
         tasks,
         status: answer.as_ref().map(|(status, _)| *status),
@@ -55,14 +55,14 @@
 
 /// Sends one job after the other until the faults are over, and each again, to
 /// another host, when no answer came.
-pub(crate) fn call(
+pub(crate) fn run_caller(
     hosts: &[Arc<Mutex<PlatformHost>>],
     seed: u64,
     over: &AtomicBool,
     serial: &AtomicU64,
-) -> Vec<Sending> {
+) -> Vec<Attempt> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut line: Option<Line> = None;
+    let mut line: Option<Connection> = None;
     let mut sendings = Vec::new();
     while !over.load(Ordering::Relaxed) {
         let id = format!("{:016x}", serial.fetch_add(1, Ordering::Relaxed));
@@ -75,7 +75,7 @@
             if answered {
                 break;
             }
-            thread::sleep(RESEND);
+            thread::sleep(RETRY_DELAY);
         }
         thread::sleep(Duration::from_millis(rng.random_range(5..60)));
     }
@@ -86,13 +86,13 @@
 fn send_kept(
     hosts: &[Arc<Mutex<PlatformHost>>],
     at: usize,
-    kept: &mut Option<Line>,
+    kept: &mut Option<Connection>,
     id: &str,
     tasks: usize,
     ms: u64,
-) -> Sending {
+) -> Attempt {
     let begun = Instant::now();
-    let none = Sending {
+    let none = Attempt {
         id: id.to_owned(),
         tasks,
         status: None,
@@ -101,16 +101,16 @@
         ended: begun,
         host: at,
     };
-    let Some(address) = lock(&hosts[at]).http() else { return none };
-    let line = kept.take().filter(|line| line.goes_to(address));
-    let line = line.or_else(|| Line::open(address, DEADLINE).ok());
+    let Some(address) = lock(&hosts[at]).http_address() else { return none };
+    let line = kept.take().filter(|line| line.is_to(address));
+    let line = line.or_else(|| Connection::open(address, DEADLINE).ok());
     let Some(mut line) = line else { return none };
-    match line.send(id, &body(tasks, ms), DEADLINE, DEADLINE + SLACK) {
+    match line.send(id, &body(tasks, ms), DEADLINE, DEADLINE + ANSWER_GRACE) {
         Ok((status, body)) => {
             *kept = Some(line);
             let completed = status == 200 && told_completed(&body);
-            Sending { status: Some(status), completed, ended: Instant::now(), ..none }
+            Attempt { status: Some(status), completed, ended: Instant::now(), ..none }
         }
-        Err(_) => Sending { ended: Instant::now(), ..none },
+        Err(_) => Attempt { ended: Instant::now(), ..none },
     }
 }
--- a/endivestile_testkit/src/soak/mod.rs
+++ b/endivestile_testkit/src/soak/mod.rs
@@ -4,7 +4,7 @@
 //! The promises are checked by what callers and workers see, never by what the
 //! hosts say of themselves.
 
-mod caller;
+mod connection;
 mod fault;
 mod load;
 mod relay;
--- a/endivestile_testkit/src/soak/relay.rs
+++ b/endivestile_testkit/src/soak/relay.rs
@@ -19,7 +19,7 @@
 
 /// What a relay does to what passes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Harm {
+pub(crate) enum Impairment {
     /// Nothing.
     None,
     /// Holds each piece up for so many milliseconds.
@@ -34,7 +34,7 @@
     Reset,
 }
 
-impl Harm {
+impl Impairment {
     fn silences(self, there: bool) -> bool {
         match self {
             Self::Silence => true,
@@ -47,14 +47,14 @@
 
 /// Carries connections to one address.
 #[derive(Debug, Clone)]
-pub(crate) struct Relay {
+pub(crate) struct FaultRelay {
     /// Address to dial instead of the target's.
     pub(crate) address: SocketAddr,
-    harm: watch::Sender<Harm>,
+    harm: watch::Sender<Impairment>,
     target: Arc<Mutex<Option<SocketAddr>>>,
 }
 
-impl Relay {
+impl FaultRelay {
     /// Starts a relay; without a target it breaks connections off.
     ///
     /// # Errors
@@ -63,7 +63,7 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let (harm, harms) = watch::channel(Harm::None);
+        let (harm, harms) = watch::channel(Impairment::None);
         let target = Arc::new(Mutex::new(target));
         let shared = Arc::clone(&target);
         spawn(async move {
@@ -77,20 +77,24 @@
     }
 
     /// Sets what happens to what passes from now on.
-    pub(crate) fn set(&self, harm: Harm) {
+    pub(crate) fn set_impairment(&self, harm: Impairment) {
         self.harm.send_replace(harm);
     }
 
     /// Sets where later connections go.
-    pub(crate) fn aim(&self, target: Option<SocketAddr>) {
+    pub(crate) fn set_target(&self, target: Option<SocketAddr>) {
         *lock(&self.target) = target;
     }
 }
 
 /// Carries one connection. One that is dialled in silence waits for its end.
-async fn carry(near: TcpStream, target: Option<SocketAddr>, mut harms: watch::Receiver<Harm>) {
+async fn carry(
+    near: TcpStream,
+    target: Option<SocketAddr>,
+    mut harms: watch::Receiver<Impairment>,
+) {
     let open = harms.wait_for(|harm| !harm.silences(true)).await.map(|harm| *harm);
-    let Some(target) = target.filter(|_| open.is_ok_and(|harm| harm != Harm::Reset)) else {
+    let Some(target) = target.filter(|_| open.is_ok_and(|harm| harm != Impairment::Reset)) else {
         return reset(&near);
     };
     let Ok(far) = TcpStream::connect(target).await else { return reset(&near) };
@@ -102,7 +106,7 @@
     let back = pump(far_in, near_out, harms.clone(), false);
     tokio::select! {
         () = async { tokio::join!(there, back); } => {}
-        _ = harms.wait_for(|harm| *harm == Harm::Reset) => {}
+        _ = harms.wait_for(|harm| *harm == Impairment::Reset) => {}
     }
 }
 
@@ -114,7 +118,7 @@
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut harms: watch::Receiver<Harm>,
+    mut harms: watch::Receiver<Impairment>,
     there: bool,
 ) {
     let mut chunk = vec![0; CHUNK];
@@ -122,7 +126,7 @@
         let Ok(harm) = harms.wait_for(|harm| !harm.silences(there)).await.map(|harm| *harm) else {
             break;
         };
-        if let Harm::Delay(ms) = harm {
+        if let Impairment::Delay(ms) = harm {
             sleep(Duration::from_millis(ms)).await;
         }
         if to.write_all(&chunk[..count]).await.is_err() {
--- a/endivestile_testkit/src/soak/run.rs
+++ b/endivestile_testkit/src/soak/run.rs
@@ -9,11 +9,11 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::caller::Sending;
-use super::fault::{Fault, Planned, evacuations, plan};
-use super::load::{DEADLINE, SLACK, call, send_once};
-use super::relay::{Harm, Relay};
-use crate::deploy::{Daemon, wait_for};
+use super::connection::Attempt;
+use super::fault::{Fault, PlannedFault, plan_evacuations, plan_faults};
+use super::load::{ANSWER_GRACE, DEADLINE, run_caller, send_once};
+use super::relay::{FaultRelay, Impairment};
+use crate::deploy::{DaemonCommand, wait_for};
 use crate::lock::lock;
 use crate::platform::{PlatformHost, PlatformSignal, PlatformStandIn, WorkerFault};
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub struct Soak {
     /// How hosts are started.
-    pub daemon: Daemon,
+    pub daemon: DaemonCommand,
     /// Decides the faults and the load.
     pub seed: u64,
     /// For how long faults come, in milliseconds.
@@ -68,9 +68,9 @@
     soak: Soak,
     platform: Arc<PlatformStandIn>,
     hosts: Vec<Arc<Mutex<PlatformHost>>>,
-    links: Vec<Relay>,
-    stores: Vec<Relay>,
-    workers: Vec<(String, Relay)>,
+    links: Vec<FaultRelay>,
+    stores: Vec<FaultRelay>,
+    workers: Vec<(String, FaultRelay)>,
     down: Vec<bool>,
     /// Hosts that were paused, from when until when.
     pauses: Vec<(usize, Instant, Option<Instant>)>,
@@ -99,15 +99,16 @@
         let platform = Arc::new(PlatformStandIn::start(&ZONES, soak.workers));
         platform.configure(1);
         let mut workers = Vec::new();
-        for (name, address) in platform.workers() {
-            let relay = Relay::start(Some(address))?;
-            platform.reroute(&name, relay.address);
+        for (name, address) in platform.worker_addresses() {
+            let relay = FaultRelay::start(Some(address))?;
+            platform.set_address(&name, relay.address);
             workers.push((name, relay));
         }
         let (mut hosts, mut links, mut stores) = (Vec::new(), Vec::new(), Vec::new());
         for zone in ZONES {
             for index in 1..=soak.hosts {
-                let (link, store) = (Relay::start(None)?, Relay::start(Some(platform.store()))?);
+                let (link, store) =
+                    (FaultRelay::start(None)?, FaultRelay::start(Some(platform.store_address()))?);
                 let more = [format!("host.advertise={}", link.address)];
                 let name = format!("{zone}{index}");
                 let host = PlatformHost::start(&soak.daemon, store.address, &name, zone, &more)?;
@@ -136,10 +137,10 @@
     /// Leads each relay of links to where its host listens now.
     fn aim_links(&self) -> io::Result<()> {
         for (host, link) in self.hosts.iter().zip(&self.links) {
-            if !wait_for(RECOVERY_S, || lock(host).links().is_some()) {
+            if !wait_for(RECOVERY_S, || lock(host).link_address().is_some()) {
                 return Err(io::Error::other("a host did not start"));
             }
-            link.aim(lock(host).links());
+            link.set_target(lock(host).link_address());
         }
         Ok(())
     }
@@ -165,7 +166,7 @@
     }
 
     /// Lets the faults come while callers call; returns what these saw.
-    fn under_load(&mut self) -> Vec<Sending> {
+    fn under_load(&mut self) -> Vec<Attempt> {
         let over = Arc::new(AtomicBool::new(false));
         let serial = Arc::new(AtomicU64::new(1));
         let callers: Vec<_> = (0..self.soak.callers)
@@ -173,7 +174,7 @@
                 let seed = self.soak.seed.wrapping_mul(1_009).wrapping_add(number as u64);
                 let hosts = self.hosts.clone();
                 let (over, serial) = (Arc::clone(&over), Arc::clone(&serial));
-                thread::spawn(move || call(&hosts, seed, &over, &serial))
+                thread::spawn(move || run_caller(&hosts, seed, &over, &serial))
             })
             .collect();
         self.play();
@@ -184,11 +185,12 @@
     /// Begins and ends the planned faults at their times.
     fn play(&mut self) {
         let mut rng = SmallRng::seed_from_u64(self.soak.seed);
-        let mut faults = plan(&mut rng, self.soak.faults_ms, self.hosts.len(), self.workers.len());
+        let mut faults =
+            plan_faults(&mut rng, self.soak.faults_ms, self.hosts.len(), self.workers.len());
         if self.soak.evacuations {
-            faults.extend(evacuations(&mut rng, self.soak.faults_ms, ZONES.len()));
+            faults.extend(plan_evacuations(&mut rng, self.soak.faults_ms, ZONES.len()));
         }
-        let mut steps: Vec<(u64, bool, Planned)> = Vec::new();
+        let mut steps: Vec<(u64, bool, PlannedFault)> = Vec::new();
         for planned in faults {
             steps.push((planned.from, true, planned));
             steps.push((planned.until, false, planned));
@@ -220,13 +222,13 @@
                 self.down[at] = true;
             }
             Fault::Reload(at) => self.signal(at, PlatformSignal::Reload),
-            Fault::Links(at, harm) => self.links[at].set(harm),
-            Fault::Store(at, harm) => self.stores[at].set(harm),
-            Fault::Worker(at, harm) => self.workers[at].1.set(harm),
-            Fault::Errors(at) => self.platform.fault(&self.workers[at].0, WorkerFault::Errors),
-            Fault::Hangs(at) => self.platform.fault(&self.workers[at].0, WorkerFault::Hangs),
-            Fault::Refuse => self.platform.refuse(true),
-            Fault::Evacuate(zone) => self.platform.evacuate(ZONES[zone], true),
+            Fault::Links(at, harm) => self.links[at].set_impairment(harm),
+            Fault::Store(at, harm) => self.stores[at].set_impairment(harm),
+            Fault::Worker(at, harm) => self.workers[at].1.set_impairment(harm),
+            Fault::Errors(at) => self.platform.set_fault(&self.workers[at].0, WorkerFault::Errors),
+            Fault::Hangs(at) => self.platform.set_fault(&self.workers[at].0, WorkerFault::Hangs),
+            Fault::Refuse => self.platform.set_refusing(true),
+            Fault::Evacuate(zone) => self.platform.set_evacuated(ZONES[zone], true),
         }
     }
 
@@ -239,21 +241,21 @@
             }
             Fault::Kill(at) | Fault::Stop(at) => self.restart(at),
             Fault::Reload(_) => {}
-            Fault::Links(at, _) => self.links[at].set(Harm::None),
-            Fault::Store(at, _) => self.stores[at].set(Harm::None),
-            Fault::Worker(at, _) => self.workers[at].1.set(Harm::None),
+            Fault::Links(at, _) => self.links[at].set_impairment(Impairment::None),
+            Fault::Store(at, _) => self.stores[at].set_impairment(Impairment::None),
+            Fault::Worker(at, _) => self.workers[at].1.set_impairment(Impairment::None),
             Fault::Errors(at) | Fault::Hangs(at) => {
-                self.platform.fault(&self.workers[at].0, WorkerFault::None);
+                self.platform.set_fault(&self.workers[at].0, WorkerFault::None);
             }
-            Fault::Refuse => self.platform.refuse(false),
-            Fault::Evacuate(zone) => self.platform.evacuate(ZONES[zone], false),
+            Fault::Refuse => self.platform.set_refusing(false),
+            Fault::Evacuate(zone) => self.platform.set_evacuated(ZONES[zone], false),
         }
     }
 
     /// Signals a host, unless its process has been ended by an earlier fault.
     fn signal(&mut self, at: usize, signal: PlatformSignal) {
         let mut host = lock(&self.hosts[at]);
-        if host.runs() {
+        if host.is_running() {
             host.signal(signal);
         } else if !self.down[at] {
             drop(host);
@@ -264,7 +266,7 @@
 
     fn restart(&mut self, at: usize) {
         let mut host = lock(&self.hosts[at]);
-        let before = host.logged("event=started");
+        let before = host.count_lines("event=started");
         if let Err(e) = host.restart() {
             drop(host);
             return self.broken(format!("host {at} was not started again: {e}"));
@@ -272,18 +274,20 @@
         drop(host);
         self.down[at] = false;
         let host = Arc::clone(&self.hosts[at]);
-        wait_for(RECOVERY_S, || lock(&host).logged("event=started") > before);
-        self.links[at].aim(lock(&host).links());
+        wait_for(RECOVERY_S, || lock(&host).count_lines("event=started") > before);
+        self.links[at].set_target(lock(&host).link_address());
     }
 
     /// Ends everything that is still wrong.
     fn heal(&mut self) {
         let relays = self.links.iter().chain(&self.stores);
-        relays.chain(self.workers.iter().map(|(_, relay)| relay)).for_each(|it| it.set(Harm::None));
-        self.platform.refuse(false);
-        ZONES.iter().for_each(|zone| self.platform.evacuate(zone, false));
+        relays
+            .chain(self.workers.iter().map(|(_, relay)| relay))
+            .for_each(|it| it.set_impairment(Impairment::None));
+        self.platform.set_refusing(false);
+        ZONES.iter().for_each(|zone| self.platform.set_evacuated(zone, false));
         for (name, _) in &self.workers {
-            self.platform.fault(name, WorkerFault::None);
+            self.platform.set_fault(name, WorkerFault::None);
         }
         for at in 0..self.hosts.len() {
             if self.down[at] {
@@ -307,25 +311,25 @@
     }
 
     /// Holds what callers saw against what workers saw.
-    fn judge(&mut self, sendings: &[Sending]) {
+    fn judge(&mut self, sendings: &[Attempt]) {
         let mut ids: Vec<&str> = sendings.iter().map(|sending| &*sending.id).collect();
         ids.dedup();
         self.report.jobs = ids.len();
         let told = self.platform.breaches();
         self.report.breaches.extend(told);
         for id in ids {
-            let of: Vec<&Sending> = sendings.iter().filter(|sending| sending.id == id).collect();
+            let of: Vec<&Attempt> = sendings.iter().filter(|sending| sending.id == id).collect();
             self.judge_job(id, &of);
         }
     }
 
-    fn judge_job(&mut self, id: &str, sendings: &[&Sending]) {
+    fn judge_job(&mut self, id: &str, sendings: &[&Attempt]) {
         let completed = sendings.iter().any(|sending| sending.completed);
-        let refused = |sending: &&&Sending| matches!(sending.status, Some(429 | 503));
+        let refused = |sending: &&&Attempt| matches!(sending.status, Some(429 | 503));
         self.report.completed += usize::from(completed);
         self.report.refused += sendings.iter().filter(refused).count();
         self.report.unanswered += sendings.iter().filter(|s| s.status.is_none()).count();
-        let (tasks, done) = (sendings[0].tasks, self.platform.done_of(id));
+        let (tasks, done) = (sendings[0].tasks, self.platform.tasks_done(id));
         if completed && done < tasks {
             self.broken(format!("{id} was told completed with {done} of {tasks} tasks done"));
         }
@@ -334,7 +338,7 @@
         }
         for sending in sendings {
             if sending.status.is_some()
-                && sending.ended > sending.begun + DEADLINE + SLACK
+                && sending.ended > sending.begun + DEADLINE + ANSWER_GRACE
                 && !self.paused(sending)
             {
                 self.broken(format!("{id} was answered after its deadline: {sending:?}"));
@@ -344,7 +348,7 @@
 
     /// Returns whether the host that took a job was paused meanwhile: it could
     /// not answer then.
-    fn paused(&self, sending: &Sending) -> bool {
+    fn paused(&self, sending: &Attempt) -> bool {
         let end = sending.ended;
         self.pauses.iter().any(|(at, from, until)| {
             *at == sending.host && *from < end && until.is_none_or(|until| until > sending.begun)
@@ -357,7 +361,7 @@
             self.signal(at, PlatformSignal::Stop);
         }
         for at in 0..self.hosts.len() {
-            let status = lock(&self.hosts[at]).wait_end(STOP_S);
+            let status = lock(&self.hosts[at]).wait_exit(STOP_S);
             if !status.is_some_and(|status| status.success()) {
                 self.broken(format!("host {at} did not stop: {status:?}"));
             }
--- a/endivestile_testkit/src/step.rs
+++ b/endivestile_testkit/src/step.rs
@@ -14,7 +14,7 @@
 
 impl<'a> Step<'a> {
     /// Reads a line.
-    pub(crate) fn read(line: &'a str) -> Self {
+    pub(crate) fn from_line(line: &'a str) -> Self {
         let mut words = Vec::new();
         let mut pairs = BTreeMap::new();
         for part in line.split_whitespace() {
@@ -37,7 +37,7 @@
     }
 
     /// Returns a plain word as a number.
-    pub(crate) fn parse<T: std::str::FromStr>(&self, at: usize) -> Result<T, String> {
+    pub(crate) fn parse_word<T: std::str::FromStr>(&self, at: usize) -> Result<T, String> {
         self.word(at)?.parse().map_err(|_| format!("word {at} is no number"))
     }
 
@@ -48,13 +48,13 @@
     }
 
     /// Returns the milliseconds of a key.
-    pub(crate) fn span(&self, key: &str, default: u64) -> Result<u64, String> {
-        self.pairs.get(key).map_or(Ok(default), |text| span_ms(text))
+    pub(crate) fn duration_ms(&self, key: &str, default: u64) -> Result<u64, String> {
+        self.pairs.get(key).map_or(Ok(default), |text| parse_duration_ms(text))
     }
 }
 
 /// Reads a span in milliseconds.
-pub(crate) fn span_ms(text: &str) -> Result<u64, String> {
+pub(crate) fn parse_duration_ms(text: &str) -> Result<u64, String> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1),
         None => (text.strip_suffix('s').ok_or("a span ends with ms or s")?, 1_000),
--- a/endivestile_testkit/src/store/fault.rs
+++ b/endivestile_testkit/src/store/fault.rs
@@ -8,16 +8,16 @@
     /// Whether calls hang until the store is up again.
     pub(crate) hang: bool,
     /// Delay of every call, in milliseconds.
-    pub(crate) slow_ms: u64,
+    pub(crate) delay_ms: u64,
     /// Writes that still lose their answers after they took effect.
-    pub(crate) lose: u32,
+    pub(crate) answers_to_lose: u32,
     /// Calls that are still refused without effect.
-    pub(crate) refuse: u32,
+    pub(crate) calls_to_refuse: u32,
 }
 
 /// What becomes of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum CallAction {
     /// It is served.
     Serve,
     /// It waits until the store is up again.
@@ -28,19 +28,19 @@
 
 impl Faults {
     /// Decides on one call that arrives now.
-    pub(crate) fn fate(&mut self) -> Fate {
+    pub(crate) fn next_action(&mut self) -> CallAction {
         if self.hang {
-            return Fate::Hang;
+            return CallAction::Hang;
         }
         if self.down {
-            return Fate::Refuse;
+            return CallAction::Refuse;
         }
-        if take(&mut self.refuse) { Fate::Refuse } else { Fate::Serve }
+        if take(&mut self.calls_to_refuse) { CallAction::Refuse } else { CallAction::Serve }
     }
 
     /// Tells whether the answer to a write that took effect is lost.
-    pub(crate) fn loses(&mut self) -> bool {
-        take(&mut self.lose)
+    pub(crate) fn loses_answer(&mut self) -> bool {
+        take(&mut self.answers_to_lose)
     }
 }
 
@@ -53,7 +53,7 @@
 
 /// Calls that reached the store, by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct CallCounts {
     /// Reads of a key or range.
     pub range: u64,
     /// Plain writes.
@@ -74,7 +74,7 @@
     pub events: u64,
 }
 
-impl Counts {
+impl CallCounts {
     /// Returns the calls of all kinds; a waiting watch counts as one.
     pub fn total(&self) -> u64 {
         self.range + self.put + self.delete + self.txn + self.watch + self.lease + self.keepalive
--- a/endivestile_testkit/src/store/tree.rs
+++ b/endivestile_testkit/src/store/keyspace.rs
@@ -31,7 +31,7 @@
 
 /// Keys, revisions, leases and watchers.
 #[derive(Debug, Default)]
-pub(crate) struct Tree {
+pub(crate) struct Keyspace {
     revision: i64,
     keys: BTreeMap<Vec<u8>, KeyValue>,
     leases: HashMap<i64, Lease>,
@@ -41,7 +41,7 @@
     watchers: Vec<Watcher>,
 }
 
-impl Tree {
+impl Keyspace {
     /// Returns the revision of the last change, an open one included.
     pub(crate) fn revision(&self) -> i64 {
         self.revision + i64::from(!self.pending.is_empty())
@@ -114,7 +114,7 @@
     }
 
     /// Renews a lease; returns its seconds, 0 when it is not known.
-    pub(crate) fn keep(&mut self, id: i64) -> i64 {
+    pub(crate) fn keep_alive(&mut self, id: i64) -> i64 {
         let Some(lease) = self.leases.get_mut(&id) else { return 0 };
         lease.renew();
         lease.ttl_s
@@ -122,7 +122,7 @@
 
     /// Renews all leases, as etcd does after a change of leader: no lease
     /// lapses because the store was down.
-    pub(crate) fn keep_all(&mut self) {
+    pub(crate) fn renew_all(&mut self) {
         self.leases.values_mut().for_each(Lease::renew);
     }
 
@@ -162,12 +162,12 @@
     }
 
     /// Returns the number of watches that wait.
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn open_watches(&self) -> usize {
         self.watchers.iter().filter(|watcher| !watcher.sender.is_closed()).count()
     }
 
     /// Cuts all watch streams with an error.
-    pub(crate) fn cut(&mut self) {
+    pub(crate) fn close_watches(&mut self) {
         for watcher in self.watchers.drain(..) {
             // A stream that its caller already closed needs no error.
             let _ = watcher.sender.send(Err(tonic::Status::unavailable("store is down")));
--- a/endivestile_testkit/src/store/service.rs
+++ b/endivestile_testkit/src/store/service.rs
@@ -20,8 +20,8 @@
 use tokio_stream::{Stream, StreamExt};
 use tonic::{Request, Response, Status, Streaming};
 
-use super::fault::{Counts, Fate};
-use super::tree::Tree;
+use super::fault::{CallAction, CallCounts};
+use super::keyspace::Keyspace;
 use super::watcher::{WatchSender, Watcher};
 use super::{Shared, txn};
 use crate::lock::lock;
@@ -40,7 +40,7 @@
 }
 
 impl StoreService {
-    fn count(&self, add: impl FnOnce(&mut Counts)) {
+    fn count(&self, add: impl FnOnce(&mut CallCounts)) {
         add(&mut lock(&self.shared.counts));
     }
 
@@ -48,16 +48,16 @@
     async fn admit(&self) -> Result<(), Status> {
         loop {
             let up = self.shared.up.notified();
-            let (fate, slow_ms) = {
+            let (fate, delay_ms) = {
                 let mut faults = lock(&self.shared.faults);
-                (faults.fate(), faults.slow_ms)
+                (faults.next_action(), faults.delay_ms)
             };
             match fate {
-                Fate::Hang => up.await,
-                Fate::Refuse => return Err(Status::unavailable("store refuses")),
-                Fate::Serve => {
-                    if slow_ms > 0 {
-                        tokio::time::sleep(Duration::from_millis(slow_ms)).await;
+                CallAction::Hang => up.await,
+                CallAction::Refuse => return Err(Status::unavailable("store refuses")),
+                CallAction::Serve => {
+                    if delay_ms > 0 {
+                        tokio::time::sleep(Duration::from_millis(delay_ms)).await;
                     }
                     return Ok(());
                 }
@@ -68,16 +68,16 @@
     /// Runs a write in a revision of its own, then loses its answer if the faults say so.
     async fn write<T>(
         &self,
-        run: impl FnOnce(&mut Tree) -> Result<T, Status>,
+        run: impl FnOnce(&mut Keyspace) -> Result<T, Status>,
     ) -> Result<Response<T>, Status> {
         self.admit().await?;
         let (result, sent) = {
-            let mut tree = lock(&self.shared.tree);
-            let result = run(&mut tree);
-            (result, tree.commit())
+            let mut keyspace = lock(&self.shared.keyspace);
+            let result = run(&mut keyspace);
+            (result, keyspace.commit())
         };
         self.count(|counts| counts.events += sent);
-        if lock(&self.shared.faults).loses() {
+        if lock(&self.shared.faults).loses_answer() {
             return Err(Status::unavailable("connection reset after the write"));
         }
         result.map(Response::new)
@@ -85,13 +85,13 @@
 
     fn create(&self, stream: u64, id: i64, request: WatchCreateRequest, sender: &WatchSender) {
         self.count(|counts| counts.watch += 1);
-        let mut tree = lock(&self.shared.tree);
-        let header = txn::header(&tree);
+        let mut keyspace = lock(&self.shared.keyspace);
+        let header = txn::header(&keyspace);
         let created = WatchResponse { header, watch_id: id, created: true, ..Default::default() };
         // The caller may already be gone; then the watch is dropped at the next event.
         let _ = sender.send(Ok(created));
         let WatchCreateRequest { key, range_end: end, start_revision, .. } = request;
-        tree.watch(Watcher { stream, id, key, end, sender: sender.clone() }, start_revision);
+        keyspace.watch(Watcher { stream, id, key, end, sender: sender.clone() }, start_revision);
     }
 
     /// Serves one watch stream until its caller closes it.
@@ -109,20 +109,20 @@
                     next += 1;
                 }
                 Some(RequestUnion::CancelRequest(request)) => {
-                    lock(&self.shared.tree).unwatch(stream, Some(request.watch_id));
+                    lock(&self.shared.keyspace).unwatch(stream, Some(request.watch_id));
                 }
                 None => {}
             }
         }
-        lock(&self.shared.tree).unwatch(stream, None);
+        lock(&self.shared.keyspace).unwatch(stream, None);
     }
 
     async fn keep(&self, id: i64) -> Result<LeaseKeepAliveResponse, Status> {
         self.count(|counts| counts.keepalive += 1);
         self.admit().await?;
-        let mut tree = lock(&self.shared.tree);
-        let ttl = tree.keep(id);
-        Ok(LeaseKeepAliveResponse { header: txn::header(&tree), id, ttl })
+        let mut keyspace = lock(&self.shared.keyspace);
+        let ttl = keyspace.keep_alive(id);
+        Ok(LeaseKeepAliveResponse { header: txn::header(&keyspace), id, ttl })
     }
 }
 
@@ -131,12 +131,12 @@
     async fn range(&self, req: Request<RangeRequest>) -> Result<Response<RangeResponse>, Status> {
         self.count(|counts| counts.range += 1);
         self.admit().await?;
-        Ok(Response::new(txn::range(&lock(&self.shared.tree), req.get_ref())))
+        Ok(Response::new(txn::range(&lock(&self.shared.keyspace), req.get_ref())))
     }
 
     async fn put(&self, req: Request<PutRequest>) -> Result<Response<PutResponse>, Status> {
         self.count(|counts| counts.put += 1);
-        self.write(|tree| txn::put(tree, req.into_inner())).await
+        self.write(|keyspace| txn::put(keyspace, req.into_inner())).await
     }
 
     async fn delete_range(
@@ -144,12 +144,12 @@
         req: Request<DeleteRangeRequest>,
     ) -> Result<Response<DeleteRangeResponse>, Status> {
         self.count(|counts| counts.delete += 1);
-        self.write(|tree| Ok(txn::delete(tree, req.get_ref()))).await
+        self.write(|keyspace| Ok(txn::delete(keyspace, req.get_ref()))).await
     }
 
     async fn txn(&self, req: Request<TxnRequest>) -> Result<Response<TxnResponse>, Status> {
         self.count(|counts| counts.txn += 1);
-        self.write(|tree| txn::txn(tree, req.into_inner())).await
+        self.write(|keyspace| txn::txn(keyspace, req.into_inner())).await
     }
 }
 
@@ -177,9 +177,9 @@
     ) -> Result<Response<LeaseGrantResponse>, Status> {
         self.count(|counts| counts.lease += 1);
         let LeaseGrantRequest { ttl, id } = req.into_inner();
-        self.write(|tree| {
-            let id = tree.grant(ttl, id);
-            let header = txn::header(tree);
+        self.write(|keyspace| {
+            let id = keyspace.grant(ttl, id);
+            let header = txn::header(keyspace);
             Ok(LeaseGrantResponse { header, id, ttl, ..Default::default() })
         })
         .await
@@ -191,10 +191,10 @@
     ) -> Result<Response<LeaseRevokeResponse>, Status> {
         self.count(|counts| counts.lease += 1);
         self.admit().await?;
-        let mut tree = lock(&self.shared.tree);
-        let sent = tree.revoke(req.get_ref().id);
+        let mut keyspace = lock(&self.shared.keyspace);
+        let sent = keyspace.revoke(req.get_ref().id);
         self.count(|counts| counts.events += sent);
-        Ok(Response::new(LeaseRevokeResponse { header: txn::header(&tree) }))
+        Ok(Response::new(LeaseRevokeResponse { header: txn::header(&keyspace) }))
     }
 
     async fn lease_keep_alive(
--- a/endivestile_testkit/src/store/stand_in.rs
+++ b/endivestile_testkit/src/store/stand_in.rs
@@ -15,7 +15,7 @@
 use tonic::transport::Server;
 
 use super::Shared;
-use super::fault::Counts;
+use super::fault::CallCounts;
 use super::service::StoreService;
 use crate::lock::lock;
 
@@ -62,20 +62,20 @@
         self.address
     }
 
-    /// Refuses every call and cuts the watches, until [`Self::up`].
-    pub fn down(&self) {
+    /// Refuses every call and cuts the watches, until [`Self::bring_up`].
+    pub fn take_down(&self) {
         lock(&self.shared.faults).down = true;
-        lock(&self.shared.tree).cut();
+        lock(&self.shared.keyspace).close_watches();
     }
 
-    /// Lets every call hang without an answer, watches stay silent, until [`Self::up`].
-    pub fn hang(&self) {
+    /// Lets every call hang without an answer, watches stay silent, until [`Self::bring_up`].
+    pub fn hang_calls(&self) {
         lock(&self.shared.faults).hang = true;
     }
 
-    /// Ends [`Self::down`] and [`Self::hang`]; every lease starts anew.
-    pub fn up(&self) {
-        lock(&self.shared.tree).keep_all();
+    /// Ends [`Self::take_down`] and [`Self::hang_calls`]; every lease starts anew.
+    pub fn bring_up(&self) {
+        lock(&self.shared.keyspace).renew_all();
         let mut faults = lock(&self.shared.faults);
         faults.down = false;
         faults.hang = false;
@@ -83,49 +83,49 @@
     }
 
     /// Delays every call by `ms` milliseconds, 0 to end that.
-    pub fn slow(&self, ms: u64) {
-        lock(&self.shared.faults).slow_ms = ms;
+    pub fn delay_calls(&self, ms: u64) {
+        lock(&self.shared.faults).delay_ms = ms;
     }
 
     /// Lets the next `count` writes take effect and lose their answers.
     pub fn lose_answers(&self, count: u32) {
-        lock(&self.shared.faults).lose = count;
+        lock(&self.shared.faults).answers_to_lose = count;
     }
 
     /// Refuses the next `count` calls without effect.
-    pub fn refuse(&self, count: u32) {
-        lock(&self.shared.faults).refuse = count;
+    pub fn refuse_calls(&self, count: u32) {
+        lock(&self.shared.faults).calls_to_refuse = count;
     }
 
     /// Returns the calls counted so far and the watches that wait now.
-    pub fn counts(&self) -> Counts {
-        let waiting = lock(&self.shared.tree).waiting() as u64;
-        Counts { waiting, ..*lock(&self.shared.counts) }
+    pub fn counts(&self) -> CallCounts {
+        let waiting = lock(&self.shared.keyspace).open_watches() as u64;
+        CallCounts { waiting, ..*lock(&self.shared.counts) }
     }
 
     /// Writes a key past the faults; returns its revision.
     pub fn put(&self, key: &str, value: impl Into<Vec<u8>>) -> i64 {
-        let mut tree = lock(&self.shared.tree);
-        tree.put(key.as_bytes().to_vec(), value.into(), 0);
-        tree.commit();
-        tree.revision()
+        let mut keyspace = lock(&self.shared.keyspace);
+        keyspace.put(key.as_bytes().to_vec(), value.into(), 0);
+        keyspace.commit();
+        keyspace.revision()
     }
 
     /// Deletes a key past the faults.
     pub fn delete(&self, key: &str) {
-        let mut tree = lock(&self.shared.tree);
-        tree.delete(key.as_bytes(), &[]);
-        tree.commit();
+        let mut keyspace = lock(&self.shared.keyspace);
+        keyspace.delete(key.as_bytes(), &[]);
+        keyspace.commit();
     }
 
     /// Reads a key past the faults.
     pub fn get(&self, key: &str) -> Option<Vec<u8>> {
-        lock(&self.shared.tree).get(key.as_bytes()).map(|kv| kv.value.clone())
+        lock(&self.shared.keyspace).get(key.as_bytes()).map(|kv| kv.value.clone())
     }
 
     /// Returns the keys and values under `prefix`, past the faults.
     pub fn list(&self, prefix: &str) -> Vec<(String, Vec<u8>)> {
-        let found = lock(&self.shared.tree).range(prefix.as_bytes(), &key::range_end(prefix));
+        let found = lock(&self.shared.keyspace).range(prefix.as_bytes(), &key::range_end(prefix));
         found
             .into_iter()
             .map(|kv| (String::from_utf8_lossy(&kv.key).into_owned(), kv.value))
@@ -133,7 +133,7 @@
     }
 
     /// Sets `live`, `leaving` or `gone` in the platform's list of hosts.
-    pub fn platform(&self, name: &str, state: &str) {
+    pub fn set_host_state(&self, name: &str, state: &str) {
         self.put(&format!("{}{name}", key::PLATFORM_HOSTS), state);
     }
 }
@@ -182,7 +182,7 @@
             faults.down || faults.hang
         };
         if !stopped {
-            let sent = lock(&shared.tree).expire(Instant::now());
+            let sent = lock(&shared.keyspace).expire(Instant::now());
             lock(&shared.counts).events += sent;
         }
     }
--- a/endivestile_testkit/src/store/txn.rs
+++ b/endivestile_testkit/src/store/txn.rs
@@ -11,68 +11,68 @@
 };
 use tonic::Status;
 
-use super::tree::Tree;
+use super::keyspace::Keyspace;
 
 /// Returns the header of an answer of now.
-pub(crate) fn header(tree: &Tree) -> Option<ResponseHeader> {
-    Some(ResponseHeader { revision: tree.revision(), ..Default::default() })
+pub(crate) fn header(keyspace: &Keyspace) -> Option<ResponseHeader> {
+    Some(ResponseHeader { revision: keyspace.revision(), ..Default::default() })
 }
 
 /// Reads a range.
-pub(crate) fn range(tree: &Tree, request: &RangeRequest) -> RangeResponse {
-    let mut kvs = tree.range(&request.key, &request.range_end);
+pub(crate) fn range(keyspace: &Keyspace, request: &RangeRequest) -> RangeResponse {
+    let mut kvs = keyspace.range(&request.key, &request.range_end);
     let count = kvs.len();
     if request.limit > 0 {
         kvs.truncate(request.limit as usize);
     }
-    RangeResponse { header: header(tree), more: kvs.len() < count, count: count as i64, kvs }
+    RangeResponse { header: header(keyspace), more: kvs.len() < count, count: count as i64, kvs }
 }
 
 /// Writes a key within the open revision.
 ///
 /// # Errors
 /// `NOT_FOUND` when the lease is not known.
-pub(crate) fn put(tree: &mut Tree, request: PutRequest) -> Result<PutResponse, Status> {
-    if !tree.put(request.key, request.value, request.lease) {
+pub(crate) fn put(keyspace: &mut Keyspace, request: PutRequest) -> Result<PutResponse, Status> {
+    if !keyspace.put(request.key, request.value, request.lease) {
         return Err(Status::not_found("etcdserver: requested lease not found"));
     }
-    Ok(PutResponse { header: header(tree) })
+    Ok(PutResponse { header: header(keyspace) })
 }
 
 /// Deletes a range within the open revision.
-pub(crate) fn delete(tree: &mut Tree, request: &DeleteRangeRequest) -> DeleteRangeResponse {
-    let deleted = tree.delete(&request.key, &request.range_end) as i64;
-    DeleteRangeResponse { header: header(tree), deleted }
+pub(crate) fn delete(keyspace: &mut Keyspace, request: &DeleteRangeRequest) -> DeleteRangeResponse {
+    let deleted = keyspace.delete(&request.key, &request.range_end) as i64;
+    DeleteRangeResponse { header: header(keyspace), deleted }
 }
 
 /// Runs a transaction within the open revision.
 ///
 /// # Errors
 /// Those of its operations; unlike etcd, operations before the failing one stay.
-pub(crate) fn txn(tree: &mut Tree, request: TxnRequest) -> Result<TxnResponse, Status> {
-    let succeeded = request.compare.iter().all(|compare| holds(tree, compare));
+pub(crate) fn txn(keyspace: &mut Keyspace, request: TxnRequest) -> Result<TxnResponse, Status> {
+    let succeeded = request.compare.iter().all(|compare| holds(keyspace, compare));
     let ops = if succeeded { request.success } else { request.failure };
     let mut responses = Vec::new();
     for op in ops {
-        responses.push(ResponseOp { response: apply(tree, op)? });
+        responses.push(ResponseOp { response: apply(keyspace, op)? });
     }
-    Ok(TxnResponse { header: header(tree), succeeded, responses })
+    Ok(TxnResponse { header: header(keyspace), succeeded, responses })
 }
 
-fn apply(tree: &mut Tree, op: RequestOp) -> Result<Option<Done>, Status> {
+fn apply(keyspace: &mut Keyspace, op: RequestOp) -> Result<Option<Done>, Status> {
     Ok(match op.request {
-        Some(Op::RequestRange(request)) => Some(Done::ResponseRange(range(tree, &request))),
-        Some(Op::RequestPut(request)) => Some(Done::ResponsePut(put(tree, request)?)),
+        Some(Op::RequestRange(request)) => Some(Done::ResponseRange(range(keyspace, &request))),
+        Some(Op::RequestPut(request)) => Some(Done::ResponsePut(put(keyspace, request)?)),
         Some(Op::RequestDeleteRange(request)) => {
-            Some(Done::ResponseDeleteRange(delete(tree, &request)))
+            Some(Done::ResponseDeleteRange(delete(keyspace, &request)))
         }
         None => None,
     })
 }
 
-fn holds(tree: &Tree, compare: &Compare) -> bool {
+fn holds(keyspace: &Keyspace, compare: &Compare) -> bool {
     let absent = KeyValue::default();
-    let kv = tree.get(&compare.key);
+    let kv = keyspace.get(&compare.key);
     let known = kv.unwrap_or(&absent);
     let order = match &compare.target_union {
         Some(TargetUnion::Version(version)) => known.version.cmp(version),
--- a/endivestile_testkit/src/timer.rs
+++ b/endivestile_testkit/src/timer.rs
@@ -37,7 +37,7 @@
 }
 
 /// Waits until `at`.
-pub(crate) async fn until(at: Instant) {
+pub(crate) async fn sleep_until(at: Instant) {
     static TIMER: OnceLock<Sender<(Instant, oneshot::Sender<()>)>> = OnceLock::new();
     if at <= Instant::now() {
         return;
--- a/endivestile_testkit/src/world.rs
+++ b/endivestile_testkit/src/world.rs
@@ -29,7 +29,7 @@
 use self::host::Machine;
 use self::net::Net;
 use self::platform::Platform;
-use crate::timeline::Timeline;
+use crate::event_queue::EventQueue;
 
 /// Seconds since 1970 at the start of every world.
 pub const WALL_S: u64 = 1_764_720_000;
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct World {
     now: u64,
-    timeline: Timeline<Happening>,
+    timeline: EventQueue<Happening>,
     configs: BTreeMap<u64, Arc<Config>>,
     machines: BTreeMap<Name, Machine>,
     backends: BTreeMap<Name, Backend>,
@@ -94,7 +94,7 @@
         let backends = Backend::all(&config);
         let mut world = Self {
             now: 0,
-            timeline: Timeline::new(),
+            timeline: EventQueue::new(),
             configs: BTreeMap::from([(config.revision, config.clone())]),
             machines: BTreeMap::new(),
             backends,
@@ -134,7 +134,7 @@
     /// Lets `millis` milliseconds pass.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        while let Some((at, happening)) = self.timeline.next(end) {
+        while let Some((at, happening)) = self.timeline.pop_until(end) {
             self.now = at;
             self.happen(happening);
         }
@@ -155,7 +155,7 @@
     }
 
     fn at(&mut self, at: u64, happening: Happening) {
-        self.timeline.plan(at.max(self.now), happening);
+        self.timeline.push(at.max(self.now), happening);
     }
 
     fn event_in(&mut self, micros: u64, host: &Name, birth: u64, event: Event) {
--- a/endivestile_testkit/src/world/story.rs
+++ b/endivestile_testkit/src/world/story.rs
@@ -11,7 +11,7 @@
 
 use super::call::millis;
 use super::{Mode, Submit, WALL_S, World};
-use crate::step::{Step, span_ms};
+use crate::step::{Step, parse_duration_ms};
 
 /// Milliseconds until a submission's deadline, unless the story says otherwise.
 const DEADLINE_MS: u64 = 30_000;
@@ -33,7 +33,7 @@
 /// Names the first line that is no step.
 pub fn tell(text: &str) -> Result<String, String> {
     let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
-    let first = Step::read(lines.next().unwrap_or_default());
+    let first = Step::from_line(lines.next().unwrap_or_default());
     if first.words.first() != Some(&"world") {
         return Err(format!("a story starts with `world`: {}", first.line));
     }
@@ -51,7 +51,7 @@
         counted: 0,
     };
     for line in lines {
-        let step = Step::read(line);
+        let step = Step::from_line(line);
         story.step(&step).map_err(|error| format!("{line}: {error}"))?;
     }
     Ok(story.out)
@@ -60,7 +60,7 @@
 impl Story {
     fn step(&mut self, step: &Step<'_>) -> Result<(), String> {
         match step.words[0] {
-            "run" => self.world.run(span_ms(step.word(1)?)?),
+            "run" => self.world.run(parse_duration_ms(step.word(1)?)?),
             "submit" => self.submit(step)?,
             "ask" => self.ask(step, Ask::Fetch)?,
             "cancel" => self.ask(step, Ask::Cancel)?,
@@ -99,8 +99,8 @@
             }
             "cut" => self.world.cut(step.word(1)?, step.word(2)?),
             "heal" => self.world.heal(),
-            "lose" => self.world.lose_frames(step.parse(1)?),
-            "jitter" => self.world.jitter(span_ms(step.word(1)?)?),
+            "lose" => self.world.lose_frames(step.parse_word(1)?),
+            "jitter" => self.world.jitter(parse_duration_ms(step.word(1)?)?),
             "store" => self.store(step)?,
             "server" => self.server(step)?,
             "list" => self.world.list(step.word(1)?, platform_state(step.word(2)?)?),
@@ -139,7 +139,7 @@
         let name = step.word(1)?.to_owned();
         let key = step.pairs.get("id").copied();
         let word = step.pairs.get("work").copied().or(key).unwrap_or(&name);
-        let every = step.span("every", 0)?;
+        let every = step.duration_ms("every", 0)?;
         for suffix in step.suffixes()? {
             let id = key.map(|key| self.id(&format!("{key}{suffix}"))).transpose()?;
             let submit = Submit {
@@ -148,8 +148,8 @@
                 word: format!("{word}{suffix}"),
                 team: Name::from(*step.pairs.get("team").unwrap_or(&"m")),
                 tasks: step.number("tasks", 1)? as usize,
-                deadline_ms: step.span("deadline", DEADLINE_MS)?,
-                declared_ms: step.span("declared", 0)? as u32,
+                deadline_ms: step.duration_ms("deadline", DEADLINE_MS)?,
+                declared_ms: step.duration_ms("declared", 0)? as u32,
                 need: step.need()?,
             };
             let call = self.world.submit(submit);
@@ -241,7 +241,7 @@
 
     /// Prints how many calls took longer than a span.
     fn slower(&mut self, step: &Step<'_>) -> Result<(), String> {
-        let span = span_ms(step.word(1)?)?;
+        let span = parse_duration_ms(step.word(1)?)?;
         let took = self.names.values().filter_map(|call| self.world.took_ms(*call));
         let count = took.filter(|took| *took > span).count();
         let _ = writeln!(self.out, "{count} calls took longer than {span} ms");
@@ -279,8 +279,8 @@
         match step.word(1)? {
             "down" => self.world.store_down(true),
             "up" => self.world.store_down(false),
-            "slow" => self.world.store_slow(span_ms(step.word(2)?)?),
-            "loses" => self.world.store_loses(step.parse(2)?),
+            "slow" => self.world.store_slow(parse_duration_ms(step.word(2)?)?),
+            "loses" => self.world.store_loses(step.parse_word(2)?),
             word => return Err(format!("store down, up, slow or loses, not `{word}`")),
         }
         Ok(())
@@ -295,7 +295,7 @@
             "fails" => self.world.behave(name, Mode::Fail),
             "hangs" => self.world.behave(name, Mode::Hang),
             "leaves" => self.world.behave(name, Mode::Leaving),
-            "takes" => self.world.speed(name, span_ms(step.word(3)?)?),
+            "takes" => self.world.speed(name, parse_duration_ms(step.word(3)?)?),
             word => return Err(format!("no behaviour `{word}`")),
         }
         Ok(())
@@ -381,7 +381,7 @@
         }
         let rules = Rules::default();
         let shards = self.number("shards", 8)? as u32;
-        let window_s = self.span("window", rules.window_s * 1_000)? / 1_000;
+        let window_s = self.duration_ms("window", rules.window_s * 1_000)? / 1_000;
         config.rules = Rules { shards, window_s, ..rules };
         Ok(config)
     }
--- a/endivestile_testkit/tests/machine.rs
+++ b/endivestile_testkit/tests/machine.rs
@@ -3,7 +3,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use endivestile_testkit::{BackendStandIn, Fault, Spec, WorkerStandIn, echo};
+use endivestile_testkit::{BackendStandIn, MachineFault, MachineSpec, WorkerStandIn, echo};
 use test_case::test_case;
 use ureq::Agent;
 
@@ -14,7 +14,7 @@
 }
 
 fn server() -> BackendStandIn {
-    BackendStandIn::start(vec![Spec::new("s1").slots(2)]).expect("start")
+    BackendStandIn::start(vec![MachineSpec::new("s1").slots(2)]).expect("start")
 }
 
 /// Returns status, `Not-Run` header and body.
@@ -36,7 +36,7 @@
 
 #[test]
 fn post_many_at_once() {
-    let specs = (0..10).map(|n| Spec::new(format!("s{n}")).slots(40)).collect();
+    let specs = (0..10).map(|n| MachineSpec::new(format!("s{n}")).slots(40)).collect();
     let servers = BackendStandIn::start(specs).expect("start");
     thread::scope(|scope| {
         for n in 0..400 {
@@ -50,34 +50,34 @@
         }
     });
     assert_eq!(servers.starts().len(), 400);
-    assert!(servers.doubled().is_empty());
+    assert!(servers.duplicate_starts().is_empty());
     assert_eq!(servers.running(), 0);
 }
 
-#[test_case(Fault::None, Some((200, "")), 1; "none")]
-#[test_case(Fault::Refuse, None, 0; "refuse")]
-#[test_case(Fault::Close, None, 1; "close")]
-#[test_case(Fault::Half, None, 1; "half")]
-#[test_case(Fault::Late(5), Some((200, "")), 1; "late")]
-#[test_case(Fault::Status(500), Some((500, "")), 1; "status")]
-#[test_case(Fault::Busy, Some((503, "busy")), 0; "busy")]
-#[test_case(Fault::Leaving, Some((503, "leaving")), 0; "leaving")]
-#[test_case(Fault::Straggle(100), Some((200, "")), 1; "straggle")]
-fn post_fault(fault: Fault, expected: Option<(u16, &str)>, starts: usize) {
+#[test_case(MachineFault::None, Some((200, "")), 1; "none")]
+#[test_case(MachineFault::Refuse, None, 0; "refuse")]
+#[test_case(MachineFault::Close, None, 1; "close")]
+#[test_case(MachineFault::Truncate, None, 1; "half")]
+#[test_case(MachineFault::Delay(5), Some((200, "")), 1; "late")]
+#[test_case(MachineFault::Status(500), Some((500, "")), 1; "status")]
+#[test_case(MachineFault::Busy, Some((503, "busy")), 0; "busy")]
+#[test_case(MachineFault::Leaving, Some((503, "leaving")), 0; "leaving")]
+#[test_case(MachineFault::Straggle(100), Some((200, "")), 1; "straggle")]
+fn post_fault(fault: MachineFault, expected: Option<(u16, &str)>, starts: usize) {
     // A backend server fails in one of its ways. Its caller sees an answer, an error status or a
     // broken connection, and the count of starts says whether the task ran.
     let servers = server();
     servers.set_fault("s1", fault);
     let url = format!("http://{}/order", servers.address("s1"));
-    if fault == Fault::Refuse {
+    if fault == MachineFault::Refuse {
         let address = servers.address("s1");
         wait(|| std::net::TcpStream::connect(address).is_err());
     }
     let answer = post(&agent(), &url, WORK).ok();
     let seen = answer.as_ref().map(|(status, reason, _)| (*status, reason.as_str()));
     assert_eq!(seen, expected);
-    assert_eq!(servers.count("k1"), starts);
-    servers.set_fault("s1", Fault::None);
+    assert_eq!(servers.starts_of("k1"), starts);
+    servers.set_fault("s1", MachineFault::None);
     wait(|| post(&agent(), &url, WORK).is_ok_and(|(status, ..)| status == 200));
 }
 
@@ -95,7 +95,10 @@
         let (status, reason, _) = post(&agent(), &url, WORK).expect("answer");
         assert_eq!((status, reason.as_str()), (503, "busy"));
     });
-    assert_eq!((servers.peak("s1"), servers.denied(), servers.count("k1")), (2, 1, 0));
+    assert_eq!(
+        (servers.peak_running("s1"), servers.rejections(), servers.starts_of("k1")),
+        (2, 1, 0)
+    );
 }
 
 #[test]
@@ -106,17 +109,17 @@
     thread::scope(|scope| {
         let call = scope.spawn(|| post(&agent(), &url, r#"{"key":"k2","ms":200}"#));
         wait(|| servers.running() == 1);
-        servers.cut("s1");
+        servers.close_connections("s1");
         assert!(call.join().expect("thread").is_err());
     });
-    assert_eq!((servers.running(), servers.count("k2")), (1, 1));
+    assert_eq!((servers.running(), servers.starts_of("k2")), (1, 1));
     wait(|| servers.running() == 0);
 }
 
 #[test]
 fn run_lease_ends() {
     // The holder of a lease does not renew it. The worker stops the task and says so.
-    let workers = WorkerStandIn::start(vec![Spec::new("w1")]).expect("start");
+    let workers = WorkerStandIn::start(vec![MachineSpec::new("w1")]).expect("start");
     let url = format!("http://{}/v1/run", workers.address("w1"));
     let call = agent().post(url).header("Task-Key", "t1").header("Lease-Ms", "50");
     let answer = call.send(r#"{"key":"k","ms":60000}"#).expect("answer");
@@ -126,7 +129,7 @@
 
 #[test]
 fn run_stop_and_usage() {
-    let workers = WorkerStandIn::start(vec![Spec::new("w1")]).expect("start");
+    let workers = WorkerStandIn::start(vec![MachineSpec::new("w1")]).expect("start");
     let base = format!("http://{}/v1", workers.address("w1"));
     thread::scope(|scope| {
         let call = scope.spawn(|| {
--- a/endivestile_testkit/tests/store.rs
+++ b/endivestile_testkit/tests/store.rs
@@ -102,7 +102,7 @@
         assert_eq!(seen, [(0, b"a/2".to_vec()), (1, b"b/1".to_vec()), (0, b"a/1".to_vec())]);
         assert_eq!(store.counts().waiting, 2);
         // The store goes down: the open watch breaks, so that the watcher notices.
-        store.down();
+        store.take_down();
         assert!(events.message().await.is_err());
         assert_eq!(store.counts().waiting, 0);
     });
@@ -131,18 +131,18 @@
     // written, and after the outage the same write works.
     run(|store, channel| async move {
         let mut kv = KvClient::new(channel);
-        store.down();
+        store.take_down();
         assert!(kv.put(put("a", "1")).await.is_err());
         assert_eq!(store.get("a"), None);
-        store.up();
+        store.bring_up();
         kv.put(put("a", "1")).await.expect("put");
-        store.hang();
+        store.hang_calls();
         let mut other = kv.clone();
         let hung = tokio::spawn(async move { other.put(put("a", "2")).await });
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert!(!hung.is_finished());
         assert_eq!(store.get("a"), Some(b"1".to_vec()));
-        store.up();
+        store.bring_up();
         // It is carried out once the service is back. A later write must wait for
         // it: of two under way at a time either may come last.
         hung.await.expect("no panic").expect("put");
