--- a/endivestile/tests/promise_config.rs
+++ b/endivestile/tests/promise_config.rs
@@ -13,7 +13,7 @@
 /// Returns the revision in force at each running host.
 fn revisions(deployment: &mut Deployment) -> Vec<u64> {
     let hosts =
-        deployment.hosts.iter_mut().filter_map(|host| host.runs().then_some(host.address()));
+        deployment.hosts.iter_mut().filter_map(|host| host.is_running().then_some(host.address()));
     let pages = hosts.filter_map(|address| caller(address).status().ok());
     pages.filter_map(|page| page["revision"].as_u64()).collect()
 }
@@ -71,7 +71,7 @@
     let works = works("spoilt", 2, 5);
     let reply =
         submit_until_final(&caller_of(&mut deployment, "b2"), &Caller::own_id("spoilt"), &works);
-    assert_eq!(reply.expect("a final answer").word(), "complete");
+    assert_eq!(reply.expect("a final answer").status_text(), "complete");
 }
 
 // The store is down, and only the running hosts have the operators' last change.
@@ -87,9 +87,9 @@
     let own = deployment.config().hosts["b2"].address.clone();
     let seeds: Vec<String> =
         seeds.into_iter().filter(|seed| *seed != format!("b2@{own}")).collect();
-    deployment.store.down();
+    deployment.store.take_down();
     let host = deployment.host("b2");
-    host.set(&format!("host.seeds={}", seeds.join(",")));
+    host.add_setting(&format!("host.seeds={}", seeds.join(",")));
     host.restart().expect("a process");
     assert!(host.wait_ready(WAIT_LIMIT_S), "ready without the store");
     wait_revision(&mut deployment, revision);
@@ -97,7 +97,7 @@
     let work = r#"{"key":"outage","ms":5}"#;
     let served = || restarted.request("orders", None, work).is_ok_and(|reply| reply.status == 200);
     assert!(wait_for(WAIT_LIMIT_S, served), "requests are served");
-    deployment.store.up();
+    deployment.store.bring_up();
     let next = deployment.reconfigure(|config| config.rules.queue_limit -= 1);
     wait_revision(&mut deployment, next);
 }
--- a/endivestile/tests/promise_once.rs
+++ b/endivestile/tests/promise_once.rs
@@ -4,12 +4,12 @@
 
 use std::thread;
 
-use endivestile_testkit::{Caller, Deployment, Fault, wait_for};
+use endivestile_testkit::{Caller, Deployment, MachineFault, wait_for};
 
 use promise::{WAIT_LIMIT_S, caller_of, home, others, plan, start, wait_taken_over, works};
 
 /// Sets the fault of every backend server.
-fn set_all(deployment: &Deployment, fault: Fault) {
+fn set_all(deployment: &Deployment, fault: MachineFault) {
     for name in deployment.servers.names() {
         deployment.servers.set_fault(name, fault);
     }
@@ -26,7 +26,7 @@
         let work = format!(r#"{{"key":"{key}","ms":5}}"#);
         let reply = caller.request("orders", Some(&Caller::own_id(&key)), &work);
         let reply = reply.expect("an answer");
-        let outcome = if reply.status == 200 { "complete".to_owned() } else { reply.word() };
+        let outcome = if reply.status == 200 { "complete".to_owned() } else { reply.status_text() };
         outcomes.push((key, outcome));
     }
     outcomes
@@ -37,12 +37,12 @@
 #[test]
 fn payment_server_closes() {
     let mut deployment = start(plan());
-    set_all(&deployment, Fault::Close);
+    set_all(&deployment, MachineFault::Close);
     let outcomes = pay(&mut deployment, "closes", 8);
     assert!(outcomes.iter().all(|(_, outcome)| outcome != "complete"), "{outcomes:?}");
     assert!(outcomes.iter().any(|(_, outcome)| outcome == "failed"), "{outcomes:?}");
     for (key, outcome) in outcomes {
-        let starts = deployment.servers.count(&key);
+        let starts = deployment.servers.starts_of(&key);
         assert!(starts <= 1, "{key} was paid {starts} times");
         assert!(outcome != "not run" || starts == 0, "{key} was reported as not run");
     }
@@ -54,10 +54,10 @@
 fn payment_server_refuses() {
     let mut deployment = start(plan());
     for server in ["a-s1", "b-s2"] {
-        deployment.servers.set_fault(server, Fault::Refuse);
+        deployment.servers.set_fault(server, MachineFault::Refuse);
     }
     for (key, outcome) in pay(&mut deployment, "refuses", 12) {
-        assert_eq!((outcome.as_str(), deployment.servers.count(&key)), ("complete", 1), "{key}");
+        assert_eq!((outcome.as_str(), deployment.servers.starts_of(&key)), ("complete", 1), "{key}");
     }
 }
 
@@ -67,14 +67,14 @@
 #[test]
 fn payment_all_busy() {
     let mut deployment = start(plan());
-    set_all(&deployment, Fault::Busy);
+    set_all(&deployment, MachineFault::Busy);
     let outcomes = pay(&mut deployment, "busy", 3);
     for (key, outcome) in outcomes {
         assert!(
             ["not run", "unknown", "failed"].contains(&outcome.as_str()),
             "{key} was reported as {outcome}"
         );
-        assert_eq!(deployment.servers.count(&key), 0, "{key}");
+        assert_eq!(deployment.servers.starts_of(&key), 0, "{key}");
     }
 }
 
@@ -85,13 +85,13 @@
     let mut deployment = start(plan());
     for round in 0..4 {
         for (key, outcome) in pay(&mut deployment, &format!("stale-{round}"), 8) {
-            let starts = deployment.servers.count(&key);
+            let starts = deployment.servers.starts_of(&key);
             assert!(starts <= 1, "{key} was paid {starts} times");
             assert!(outcome != "complete" || starts == 1, "{key} was reported as complete");
             assert!(outcome != "not run" || starts == 0, "{key} was reported as not run");
         }
         for name in deployment.servers.names() {
-            deployment.servers.cut(name);
+            deployment.servers.close_connections(name);
         }
     }
 }
@@ -112,8 +112,8 @@
             thread::spawn(move || {
                 let key = format!("away-{number}");
                 let works = works(&key, 2, 5);
-                let reply = caller.job("orders", &Caller::own_id(&key), &works);
-                (key, reply.expect("an answer").word())
+                let reply = caller.submit_job("orders", &Caller::own_id(&key), &works);
+                (key, reply.expect("an answer").status_text())
             })
         })
         .collect();
@@ -126,7 +126,7 @@
     assert!(wait_for(WAIT_LIMIT_S, || deployment.servers.running() == 0), "servers are idle");
     for (key, outcome) in outcomes {
         for task in 0..2 {
-            let starts = deployment.servers.count(&format!("{key}-{task}"));
+            let starts = deployment.servers.starts_of(&format!("{key}-{task}"));
             assert!(starts <= 1, "{key} started {starts} times");
             assert!(outcome != "not run" || starts == 0, "{key} was reported as not run");
             assert!(outcome != "complete" || starts == 1, "{key} was reported as complete");
--- a/endivestile/tests/promise_start.rs
+++ b/endivestile/tests/promise_start.rs
@@ -75,13 +75,13 @@
     let fronts = others(&deployment, &killed);
     let first = spawn_submission(caller_of(&mut deployment, &fronts[0]), &id, &works);
     wait_starts(&deployment, 2);
-    deployment.store.down();
+    deployment.store.take_down();
     deployment.host(&killed).kill();
     let outage_reply =
-        caller_of(&mut deployment, &fronts[1]).deadline_ms(8_000).job("orders", &id, &works);
+        caller_of(&mut deployment, &fronts[1]).deadline_ms(8_000).submit_job("orders", &id, &works);
     let outage_reply = outage_reply.expect("an answer during the outage");
-    assert!(["unknown", "failed"].contains(&outage_reply.word().as_str()), "{}", outage_reply.body);
-    deployment.store.up();
+    assert!(["unknown", "failed"].contains(&outage_reply.status_text().as_str()), "{}", outage_reply.body);
+    deployment.store.bring_up();
     wait_taken_over(&deployment, &id, &killed);
     let resubmitted = submit_until_final(&caller_of(&mut deployment, &fronts[2]), &id, &works)
         .expect("a final answer");
@@ -92,7 +92,7 @@
     let fresh = promise::works("next", 2, 20);
     let reply = submit_until_final(&caller_of(&mut deployment, &fronts[0]), &next, &fresh)
         .expect("a final answer");
-    assert_eq!(reply.word(), "complete");
+    assert_eq!(reply.status_text(), "complete");
     assert_once(&deployment);
 }
 
--- a/endivestile/tests/promise_stop.rs
+++ b/endivestile/tests/promise_stop.rs
@@ -57,7 +57,7 @@
 /// Waits until a host is not ready, so that the balancer turns away from it.
 fn wait_unready(deployment: &mut Deployment, name: &str) {
     let host = deployment.host(name);
-    assert!(wait_for(WAIT_LIMIT_S, || !host.answers("/ready")), "{name} is no longer ready");
+    assert!(wait_for(WAIT_LIMIT_S, || !host.responds("/ready")), "{name} is no longer ready");
 }
 
 // A host is stopped under load. The balancer turns away once the host is not
@@ -71,7 +71,7 @@
     deployment.host("a1").terminate();
     wait_unready(&mut deployment, "a1");
     assert_eq!(load.finish(), Vec::<String>::new());
-    let status = deployment.host("a1").wait_end(WAIT_LIMIT_S).expect("an end");
+    let status = deployment.host("a1").wait_exit(WAIT_LIMIT_S).expect("an end");
     assert!(status.success(), "{status}");
     assert_once(&deployment);
 }
@@ -92,24 +92,24 @@
         })
         .collect();
     promise::wait_starts(&deployment, 8);
-    deployment.store.down();
+    deployment.store.take_down();
     deployment.host("a1").terminate();
     wait_unready(&mut deployment, "a1");
     deployment.host("b1").terminate();
     for job in jobs {
         let reply = job.join().expect("a caller").expect("the connection held");
-        assert_eq!(reply.word(), "complete", "{}", reply.body);
+        assert_eq!(reply.status_text(), "complete", "{}", reply.body);
     }
-    deployment.store.up();
+    deployment.store.bring_up();
     for name in names {
-        let status = deployment.host(name).wait_end(WAIT_LIMIT_S).expect("an end");
+        let status = deployment.host(name).wait_exit(WAIT_LIMIT_S).expect("an end");
         assert!(status.success(), "{name}: {status}");
     }
     let id = Caller::own_id("after");
     let after = works("after", 2, 10);
     let reply =
         submit_until_final(&caller_of(&mut deployment, "a2"), &id, &after).expect("a final answer");
-    assert_eq!(reply.word(), "complete");
+    assert_eq!(reply.status_text(), "complete");
     assert_once(&deployment);
 }
 
@@ -135,22 +135,22 @@
     assert!(wait_for(WAIT_LIMIT_S, transferred), "its shards have other homes");
     deployment.store.delete("endivestile/stops/a1");
     let host = deployment.host("a1");
-    assert!(wait_for(WAIT_LIMIT_S, || host.answers("/ready")), "ready again");
-    assert!(host.runs());
+    assert!(wait_for(WAIT_LIMIT_S, || host.responds("/ready")), "ready again");
+    assert!(host.is_running());
 }
 
 /// Waits until tasks start at other servers only, and asserts that it stays so.
 fn assert_no_new_work(deployment: &Deployment, server: &str) {
     const OTHER_STARTS: u64 = 150;
     let unused = || {
-        let (own, all) = (deployment.servers.started(server), deployment.servers.total());
-        wait_for(WAIT_LIMIT_S, || deployment.servers.total() >= all + OTHER_STARTS);
-        deployment.servers.started(server) == own
+        let (own, all) = (deployment.servers.starts_at(server), deployment.servers.total_starts());
+        wait_for(WAIT_LIMIT_S, || deployment.servers.total_starts() >= all + OTHER_STARTS);
+        deployment.servers.starts_at(server) == own
     };
     assert!(wait_for(WAIT_LIMIT_S, unused), "{server} gets no new work");
-    let (own, all) = (deployment.servers.started(server), deployment.servers.total());
-    assert!(wait_for(WAIT_LIMIT_S, || deployment.servers.total() >= all + 2 * OTHER_STARTS));
-    assert_eq!(deployment.servers.started(server), own, "{server} gets no new work");
+    let (own, all) = (deployment.servers.starts_at(server), deployment.servers.total_starts());
+    assert!(wait_for(WAIT_LIMIT_S, || deployment.servers.total_starts() >= all + 2 * OTHER_STARTS));
+    assert_eq!(deployment.servers.starts_at(server), own, "{server} gets no new work");
 }
 
 // One backend server leaves by the operators' planned stop, another one by the
@@ -160,10 +160,10 @@
 fn leaving_servers() {
     let mut deployment = start(plan());
     let load = Load::start(&caller_of(&mut deployment, "b1"), 16);
-    let used = |server| deployment.servers.started(server) > 0;
+    let used = |server| deployment.servers.starts_at(server) > 0;
     assert!(wait_for(WAIT_LIMIT_S, || used("a-s1") && used("b-s1")), "both servers are used");
     deployment.store.put("endivestile/stops/a-s1", "{}");
-    deployment.store.platform("b-s1", "leaving");
+    deployment.store.set_host_state("b-s1", "leaving");
     assert_no_new_work(&deployment, "a-s1");
     assert_no_new_work(&deployment, "b-s1");
     assert_eq!(load.finish(), Vec::<String>::new());
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -16,7 +16,7 @@
 use super::host::Host;
 use super::store::Store;
 use super::worker::{Worker, worker_entry};
-use crate::timeline::Timeline;
+use crate::event_queue::EventQueue;
 use crate::world::net::{Network, STORE};
 
 /// Time for an answer of the store, in microseconds.
@@ -99,7 +99,7 @@
     pub(crate) trace: Vec<String>,
     pub(crate) rng: SmallRng,
     pub(crate) open_renewals: BTreeMap<u64, Name>,
-    timeline: Timeline<ScheduledEvent>,
+    timeline: EventQueue<ScheduledEvent>,
 }
 
 impl FleetWorld {
@@ -142,7 +142,7 @@
             trace: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             open_renewals: BTreeMap::new(),
-            timeline: Timeline::new(),
+            timeline: EventQueue::new(),
         };
         for zone in zones {
             for (index, cpu_milli) in (1..).zip(hosts) {
@@ -167,7 +167,7 @@
     /// Lets `millis` milliseconds pass.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        while let Some((at, scheduled)) = self.timeline.next(end) {
+        while let Some((at, scheduled)) = self.timeline.pop_until(end) {
             self.now = at;
             self.dispatch(scheduled);
         }
@@ -211,7 +211,7 @@
     }
 
     pub(crate) fn schedule_at(&mut self, at: u64, scheduled: ScheduledEvent) {
-        self.timeline.plan(at.max(self.now), scheduled);
+        self.timeline.push(at.max(self.now), scheduled);
     }
 
     fn dispatch(&mut self, scheduled: ScheduledEvent) {
--- a/endivestile_testkit/src/world.rs
+++ b/endivestile_testkit/src/world.rs
@@ -29,7 +29,7 @@
 use self::host::SimHost;
 use self::net::Network;
 use self::platform::Platform;
-use crate::timeline::Timeline;
+use crate::event_queue::EventQueue;
 
 /// Seconds since 1970 at the start of every world.
 pub const WALL_S: u64 = 1_764_720_000;
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct World {
     now: u64,
-    timeline: Timeline<ScheduledEvent>,
+    timeline: EventQueue<ScheduledEvent>,
     configs: BTreeMap<u64, Arc<Config>>,
     sim_hosts: BTreeMap<Name, SimHost>,
     backends: BTreeMap<Name, Backend>,
@@ -94,7 +94,7 @@
         let backends = Backend::from_config(&config);
         let mut world = Self {
             now: 0,
-            timeline: Timeline::new(),
+            timeline: EventQueue::new(),
             configs: BTreeMap::from([(config.revision, config.clone())]),
             sim_hosts: BTreeMap::new(),
             backends,
@@ -134,7 +134,7 @@
     /// Lets `millis` milliseconds pass.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
-        while let Some((at, scheduled)) = self.timeline.next(end) {
+        while let Some((at, scheduled)) = self.timeline.pop_until(end) {
             self.now = at;
             self.dispatch(scheduled);
         }
@@ -159,7 +159,7 @@
     }
 
     fn schedule_at(&mut self, at: u64, scheduled: ScheduledEvent) {
-        self.timeline.plan(at.max(self.now), scheduled);
+        self.timeline.push(at.max(self.now), scheduled);
     }
 
     fn deliver_in(&mut self, micros: u64, host: &Name, incarnation: u64, event: Event) {
