--- a/endivestile_lab/examples/experiment/measure.rs
+++ b/endivestile_lab/examples/experiment/counters.rs
@@ -9,7 +9,7 @@
 pub(crate) type Counts = BTreeMap<String, u64>;
 
 /// Sums the counters of all hosts that answer, and adds the stand-ins' own.
-pub(crate) fn counts(deployment: &Deployment, agent: &Caller) -> Counts {
+pub(crate) fn read_counters(deployment: &Deployment, agent: &Caller) -> Counts {
     let mut sums = Counts::new();
     for host in &deployment.hosts {
         let Ok(status) = agent.at(host.address()).status() else { continue };
@@ -25,7 +25,7 @@
 }
 
 /// Returns what was counted between two looks; a host that restarted counts anew from 0.
-pub(crate) fn since(before: &Counts, after: &Counts) -> Counts {
+pub(crate) fn difference(before: &Counts, after: &Counts) -> Counts {
     let delta = |(name, count): (&String, &u64)| {
         let was = before.get(name).copied().unwrap_or(0);
         (name.clone(), count.saturating_sub(was))
@@ -34,7 +34,7 @@
 }
 
 /// Returns the revision in force at a host, 0 when it does not answer.
-pub(crate) fn revision(agent: &Caller, address: std::net::SocketAddr) -> u64 {
+pub(crate) fn adopted_revision(agent: &Caller, address: std::net::SocketAddr) -> u64 {
     let status = agent.at(address).status().unwrap_or_default();
     status["revision"].as_u64().unwrap_or(0)
 }
--- a/endivestile_lab/examples/experiment/fault.rs
+++ b/endivestile_lab/examples/experiment/fault.rs
@@ -15,7 +15,7 @@
 
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub(crate) enum Kind {
+pub(crate) enum FaultKind {
     /// Nothing.
     None,
     /// Five times the load.
@@ -36,7 +36,7 @@
     Cancel,
 }
 
-impl Kind {
+impl FaultKind {
     /// Reads a kind.
     pub(crate) fn parse(text: &str) -> Result<Self, String> {
         Ok(match text {
@@ -55,18 +55,21 @@
 }
 
 /// Brings the fault about and mends it, at its times since `began`.
-pub(crate) fn act(spec: &Spec, deployment: &mut Deployment, began: Instant) {
-    if matches!(spec.fault, Kind::None | Kind::Burst | Kind::Flood | Kind::Cancel) {
+pub(crate) fn inject(spec: &Spec, deployment: &mut Deployment, began: Instant) {
+    if matches!(
+        spec.fault,
+        FaultKind::None | FaultKind::Burst | FaultKind::Flood | FaultKind::Cancel
+    ) {
         return;
     }
-    wait(began, spec.from_ms);
+    sleep_until(began, spec.from_ms);
     set(spec, deployment);
-    wait(began, spec.to_ms);
+    sleep_until(began, spec.to_ms);
     mend(spec, deployment);
 }
 
 /// Waits until a time of the slice.
-pub(crate) fn wait(began: Instant, at_ms: u64) {
+pub(crate) fn sleep_until(began: Instant, at_ms: u64) {
     let at = began + Duration::from_millis(at_ms);
     thread::sleep(at.saturating_duration_since(Instant::now()));
 }
@@ -74,22 +77,22 @@
 fn set(spec: &Spec, deployment: &mut Deployment) {
     let servers = &deployment.servers;
     match spec.fault {
-        Kind::SlowRack => slow_rack(spec, deployment, SLOW),
-        Kind::FailFast => servers.set_fault(&server(0), Fault::Status(500)),
-        Kind::Stragglers => everywhere(spec, deployment, Fault::Straggle(STRAGGLERS)),
-        Kind::Cut => deployment.cut(spec.zone(0)),
-        Kind::Kill => deployment.hosts[0].kill(),
+        FaultKind::SlowRack => slow_rack(spec, deployment, SLOW),
+        FaultKind::FailFast => servers.set_fault(&server(0), Fault::Status(500)),
+        FaultKind::Stragglers => everywhere(spec, deployment, Fault::Straggle(STRAGGLERS)),
+        FaultKind::Cut => deployment.cut(spec.zone(0)),
+        FaultKind::Kill => deployment.hosts[0].kill(),
         _ => {}
     }
 }
 
 fn mend(spec: &Spec, deployment: &mut Deployment) {
     match spec.fault {
-        Kind::SlowRack => slow_rack(spec, deployment, 1.0),
-        Kind::FailFast => deployment.servers.set_fault(&server(0), Fault::None),
-        Kind::Stragglers => everywhere(spec, deployment, Fault::None),
-        Kind::Cut => deployment.heal(),
-        Kind::Kill => {
+        FaultKind::SlowRack => slow_rack(spec, deployment, 1.0),
+        FaultKind::FailFast => deployment.servers.set_fault(&server(0), Fault::None),
+        FaultKind::Stragglers => everywhere(spec, deployment, Fault::None),
+        FaultKind::Cut => deployment.heal(),
+        FaultKind::Kill => {
             if let Err(err) = deployment.hosts[0].restart() {
                 eprintln!("event=restart_failed error={err}");
             }
--- a/endivestile_lab/examples/experiment/main.rs
+++ b/endivestile_lab/examples/experiment/main.rs
@@ -4,8 +4,8 @@
 //! `cargo build --release -p endivestile` first, then
 //! `cargo run --release -p endivestile_lab --example experiment -- experiments/pitchfee.ini`.
 
+mod counters;
 mod fault;
-mod measure;
 mod plot;
 mod replay;
 mod report;
--- a/endivestile_lab/examples/experiment/report.rs
+++ b/endivestile_lab/examples/experiment/report.rs
@@ -21,7 +21,7 @@
                 "load": slice.load,
                 "policy": slice.policy,
                 "span_s": slice.span_s,
-                "submissions": slice.items.len(),
+                "submissions": slice.arrivals.len(),
                 "counts": slice.counts,
             })
         })
--- a/endivestile_lab/examples/experiment/run.rs
+++ b/endivestile_lab/examples/experiment/run.rs
@@ -5,12 +5,12 @@
 use std::thread;
 use std::time::Instant;
 
-use endivestile_lab::{Burst, Item, Load, Mix, ideal_ms, trace};
+use endivestile_lab::{Arrival, Burst, Load, Mix, generate_trace, ideal_ms};
 use endivestile_testkit::{Caller, Daemon, Deployment, wait_for};
 
-use crate::fault::{self, Kind};
-use crate::measure::{Counts, counts, revision, since};
-use crate::replay::{Desk, Outcome};
+use crate::counters::{Counts, adopted_revision, difference, read_counters};
+use crate::fault::{self, FaultKind};
+use crate::replay::{Outcome, Replayer};
 use crate::spec::{Spec, TEAMS, server};
 
 /// Seconds that all hosts have to adopt a configuration.
@@ -30,8 +30,8 @@
     /// Load in percent of capacity.
     pub(crate) load: u32,
     /// What arrived.
-    pub(crate) items: Vec<Item>,
-    /// What the ideal gives, by index in `items`.
+    pub(crate) arrivals: Vec<Arrival>,
+    /// What the ideal gives, by index in `arrivals`.
     pub(crate) ideal_ms: Vec<f64>,
     /// What came back.
     pub(crate) outcomes: Vec<Outcome>,
@@ -54,13 +54,13 @@
     let mut slices = Vec::new();
     for load in &spec.loads {
         for round in 0..spec.rounds {
-            let items = arrivals(spec, *load, round);
+            let arrivals = draw_arrivals(spec, *load, round);
             for n in 0..spec.policies.len() {
                 // Another policy begins each round, so that none always follows the same one.
                 let policy = &spec.policies[(n + round) % spec.policies.len()];
                 adopt(&mut deployment, &agent, policy)?;
                 let name = format!("{load}-{round}-{policy}");
-                let mut slice = replay(spec, &mut deployment, &agent, &name, items.clone())?;
+                let mut slice = replay(spec, &mut deployment, &agent, &name, arrivals.clone())?;
                 (slice.policy, slice.load) = (policy.clone(), *load);
                 eprintln!("event=slice load={load} round={round} policy={policy}");
                 slices.push(slice);
@@ -74,37 +74,39 @@
 fn warm(spec: &Spec, deployment: &mut Deployment, agent: &Caller) -> Result<(), Box<dyn Error>> {
     const LOAD: u32 = 60;
     adopt(deployment, agent, &spec.policies[0])?;
-    let calm = Spec { fault: Kind::None, ..spec.clone() };
-    let items = arrivals(&calm, LOAD, usize::MAX >> 1);
-    replay(&calm, deployment, agent, "warm", items).map(|_| ())
+    let calm = Spec { fault: FaultKind::None, ..spec.clone() };
+    let arrivals = draw_arrivals(&calm, LOAD, usize::MAX >> 1);
+    replay(&calm, deployment, agent, "warm", arrivals).map(|_| ())
 }
 
 /// Draws the arrivals of a round; each round has a seed of its own.
-fn arrivals(spec: &Spec, load: u32, round: usize) -> Vec<Item> {
+fn draw_arrivals(spec: &Spec, load: u32, round: usize) -> Vec<Arrival> {
     let (from_us, to_us) = (spec.from_ms * 1_000, spec.to_ms * 1_000);
     let burst = Burst { from_us, to_us, factor: BURST };
     let load = Load {
         seed: spec.seed + round as u64,
-        work: spec.capacity() * f64::from(load) / 100.0,
+        work_rate: spec.capacity() * f64::from(load) / 100.0,
         span_us: spec.slice_ms * 1_000,
-        burst: (spec.fault == Kind::Burst).then_some(burst),
+        burst: (spec.fault == FaultKind::Burst).then_some(burst),
     };
-    let mut items = trace(&load, &spec.mix());
-    if spec.fault == Kind::Flood {
-        let mut teams = [0; 3];
-        teams[FLOODER] = 1;
-        let flood = Load { seed: !load.seed, work: spec.capacity(), ..load };
-        let extra = trace(&flood, &Mix { teams, ..spec.mix() });
-        items.extend(extra.into_iter().filter(|item| (from_us..to_us).contains(&item.at_us)));
-        items.sort_by_key(|item| item.at_us);
+    let mut arrivals = generate_trace(&load, &spec.mix());
+    if spec.fault == FaultKind::Flood {
+        let mut team_weights = [0; 3];
+        team_weights[FLOODER] = 1;
+        let flood = Load { seed: !load.seed, work_rate: spec.capacity(), ..load };
+        let extra = generate_trace(&flood, &Mix { team_weights, ..spec.mix() });
+        arrivals
+            .extend(extra.into_iter().filter(|arrival| (from_us..to_us).contains(&arrival.at_us)));
+        arrivals.sort_by_key(|arrival| arrival.at_us);
     }
-    items
+    arrivals
 }
 
 /// Puts a policy in force at all hosts.
 fn adopt(deployment: &mut Deployment, agent: &Caller, policy: &str) -> Result<(), Box<dyn Error>> {
     let wanted = deployment.reconfigure(|config| config.rules.policy = policy.into());
-    let in_force = || deployment.hosts.iter().all(|host| revision(agent, host.address()) >= wanted);
+    let in_force =
+        || deployment.hosts.iter().all(|host| adopted_revision(agent, host.address()) >= wanted);
     if wait_for(ADOPT_S, in_force) { Ok(()) } else { Err("a configuration was not adopted".into()) }
 }
 
@@ -113,39 +115,39 @@
     deployment: &mut Deployment,
     agent: &Caller,
     name: &str,
-    items: Vec<Item>,
+    arrivals: Vec<Arrival>,
 ) -> Result<Slice, Box<dyn Error>> {
     deployment.servers.forget();
     let addresses: Vec<_> = deployment.hosts.iter().map(|host| host.address()).collect();
-    let desk = Desk::new(spec, agent, &addresses, name, &items)?;
-    let before = counts(deployment, agent);
+    let replayer = Replayer::new(spec, agent, &addresses, name, &arrivals)?;
+    let before = read_counters(deployment, agent);
     let began = Instant::now();
     let outcomes = thread::scope(|scope| {
-        let replay = scope.spawn(|| desk.replay(spec, &items, began));
-        fault::act(spec, deployment, began);
+        let replay = scope.spawn(|| replayer.replay(spec, &arrivals, began));
+        fault::inject(spec, deployment, began);
         replay.join().map_err(|_| "the replay panicked")
     })?;
     if !wait_for(DRAIN_S, || deployment.servers.running() == 0) {
         return Err("tasks still run long after the last answer".into());
     }
-    let counts = since(&before, &counts(deployment, agent));
-    let once = |(work, _): &(String, usize)| is_once(work, &items);
+    let counts = difference(&before, &read_counters(deployment, agent));
+    let once = |(work, _): &(String, usize)| is_once(work, &arrivals);
     Ok(Slice {
         policy: String::new(),
         load: 0,
-        ideal_ms: ideal_ms(&items, &spec.parks()),
+        ideal_ms: ideal_ms(&arrivals, &spec.slot_groups()),
         outcomes,
         counts,
         span_s: began.elapsed().as_secs_f64(),
         doubled: deployment.servers.doubled().iter().filter(|work| once(work)).count(),
         peak: (0..spec.servers).map(|n| deployment.servers.peak(&server(n))).max().unwrap_or(0),
-        items,
+        arrivals,
     })
 }
 
 /// Tells whether a work, keyed `<slice>-<index>-<task>`, may start only once.
-fn is_once(work: &str, items: &[Item]) -> bool {
+fn is_once(work: &str, arrivals: &[Arrival]) -> bool {
     let index = work.rsplit('-').nth(1).and_then(|text| text.parse::<usize>().ok());
-    let item = index.and_then(|index| items.get(index));
-    item.is_none_or(|item| item.kind != endivestile_lab::Kind::Idempotent)
+    let arrival = index.and_then(|index| arrivals.get(index));
+    arrival.is_none_or(|arrival| arrival.kind != endivestile_lab::Kind::Idempotent)
 }
--- a/endivestile_lab/examples/experiment/spec.rs
+++ b/endivestile_lab/examples/experiment/spec.rs
@@ -4,12 +4,12 @@
 use std::path::Path;
 use std::str::FromStr;
 
-use endivestile_lab::{Mix, Park};
+use endivestile_lab::{Mix, SlotGroup};
 use endivestile_testkit::{Plan, Spec as Machine};
 use ini::Ini;
 use serde::Serialize;
 
-use crate::fault::Kind;
+use crate::fault::FaultKind;
 
 /// Teams of every experiment, by number.
 pub(crate) const TEAMS: [&str; 3] = ["m-large", "m-small", "m-other"];
@@ -18,7 +18,7 @@
 
 /// Which ids submissions carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub(crate) enum Ids {
+pub(crate) enum IdKind {
     /// The caller's own, dated.
     Dated,
     /// Minted by the host that gets the submission.
@@ -65,7 +65,7 @@
     /// Deadline of submissions, in milliseconds.
     pub(crate) deadline_ms: u64,
     /// Ids of submissions.
-    pub(crate) ids: Ids,
+    pub(crate) ids: IdKind,
     /// Idempotent requests in a hundred submissions.
     pub(crate) idempotent: u32,
     /// Non-idempotent requests in a hundred submissions.
@@ -75,7 +75,7 @@
     /// Shares of the teams.
     pub(crate) teams: Vec<u32>,
     /// What goes wrong in every slice.
-    pub(crate) fault: Kind,
+    pub(crate) fault: FaultKind,
     /// When it begins, in milliseconds since the slice began.
     pub(crate) from_ms: u64,
     /// When it ends.
@@ -107,15 +107,15 @@
             limit: keys.one("deployment", "limit")?,
             deadline_ms: keys.one("work", "deadline-ms")?,
             ids: match keys.one::<String>("work", "ids")?.as_str() {
-                "dated" => Ids::Dated,
-                "minted" => Ids::Minted,
+                "dated" => IdKind::Dated,
+                "minted" => IdKind::Minted,
                 other => return Err(format!("ids={other}, accepted: dated, minted").into()),
             },
             idempotent: keys.one("work", "idempotent")?,
             once: keys.one("work", "once")?,
             long: keys.one("work", "long-permille")?,
             teams: keys.many("work", "teams")?,
-            fault: Kind::parse(&keys.one::<String>("fault", "kind")?)?,
+            fault: FaultKind::parse(&keys.one::<String>("fault", "kind")?)?,
             from_ms: keys.one("fault", "from-ms")?,
             to_ms: keys.one("fault", "to-ms")?,
         })
@@ -165,20 +165,25 @@
     }
 
     /// Returns the slots by speed, for the ideal.
-    pub(crate) fn parks(&self) -> Vec<Park> {
-        (0..self.servers).map(|n| Park { slots: self.slots, speed: self.speed(n) }).collect()
+    pub(crate) fn slot_groups(&self) -> Vec<SlotGroup> {
+        (0..self.servers).map(|n| SlotGroup { slots: self.slots, speed: self.speed(n) }).collect()
     }
 
     /// Returns the capacity, in milliseconds of work on speed 1 per millisecond.
     pub(crate) fn capacity(&self) -> f64 {
-        self.parks().iter().map(|park| park.slots as f64 * park.speed).sum()
+        self.slot_groups().iter().map(|group| group.slots as f64 * group.speed).sum()
     }
 
     /// Returns what submissions look like.
     pub(crate) fn mix(&self) -> Mix {
         let share = |n| self.teams.get(n).copied().unwrap_or(0);
-        let teams = [share(0), share(1), share(2)];
-        Mix { idempotent: self.idempotent, once: self.once, long: self.long, teams }
+        let team_weights = [share(0), share(1), share(2)];
+        Mix {
+            idempotent: self.idempotent,
+            non_idempotent: self.once,
+            long_permille: self.long,
+            team_weights,
+        }
     }
 }
 
--- a/endivestile_lab/examples/experiment/summary.rs
+++ b/endivestile_lab/examples/experiment/summary.rs
@@ -5,21 +5,21 @@
 use endivestile_lab::{median, percentile};
 use serde::Serialize;
 
-use crate::replay::End;
+use crate::replay::SubmissionEnd;
 use crate::run::Slice;
 use crate::spec::TEAMS;
 
 /// Messages that do no useful work, by their names among the counters.
 ///
 /// A frame carries a batch; forwards, handoffs and records are what frames carry.
-pub(crate) const WASTE: [&str; 6] =
+pub(crate) const OVERHEAD_COUNTERS: [&str; 6] =
     ["frames", "resent", "refused_sends", "retries", "store_calls", "lease_calls"];
 /// Causes of frames, for the breakdown.
-pub(crate) const CAUSES: [&str; 4] = ["forwards", "handoffs", "records", "idle_frames"];
+pub(crate) const CAUSE_COUNTERS: [&str; 4] = ["forwards", "handoffs", "records", "idle_frames"];
 
 /// Response of one slice against the ideal.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-pub(crate) struct Response {
+pub(crate) struct ResponseRatios {
     /// Median of each answer's time over its ideal time.
     pub(crate) each_p50: f64,
     /// 99th percentile of the same.
@@ -44,9 +44,9 @@
     /// Rounds.
     pub(crate) rounds: usize,
     /// Response of all teams.
-    pub(crate) all: Response,
+    pub(crate) all: ResponseRatios,
     /// Response by team.
-    pub(crate) teams: BTreeMap<String, Response>,
+    pub(crate) teams: BTreeMap<String, ResponseRatios>,
     /// Completed submissions in percent of all.
     pub(crate) complete: f64,
     /// Submissions refused as not run, in percent.
@@ -86,7 +86,7 @@
     for (n, team) in TEAMS.iter().enumerate() {
         teams.insert((*team).to_owned(), medians(group, Some(n)));
     }
-    let names = WASTE.iter().chain(&CAUSES);
+    let names = OVERHEAD_COUNTERS.iter().chain(&CAUSE_COUNTERS);
     let causes =
         names.map(|name| ((*name).to_owned(), over(&|slice| per_task(slice, &[name])))).collect();
     Row {
@@ -95,12 +95,12 @@
         rounds: group.len(),
         all: medians(group, None),
         teams,
-        complete: over(&|slice| share(slice, End::Complete)),
-        not_run: over(&|slice| share(slice, End::NotRun)),
+        complete: over(&|slice| share(slice, SubmissionEnd::Complete)),
+        not_run: over(&|slice| share(slice, SubmissionEnd::NotRun)),
         refusal_ms: over(&slowest_refusal),
         others: others(group),
         goodput: over(&goodput),
-        wasted: over(&|slice| per_task(slice, &WASTE)),
+        wasted: over(&|slice| per_task(slice, &OVERHEAD_COUNTERS)),
         causes,
         bytes: over(&|slice| per_task(slice, &["frame_bytes"])),
         doubled: group.iter().map(|slice| slice.doubled).sum(),
@@ -108,10 +108,11 @@
     }
 }
 
-fn medians(group: &[&Slice], team: Option<usize>) -> Response {
-    let each: Vec<Response> = group.iter().map(|slice| response(slice, team)).collect();
-    let over = |value: fn(&Response) -> f64| median(&each.iter().map(value).collect::<Vec<_>>());
-    Response {
+fn medians(group: &[&Slice], team: Option<usize>) -> ResponseRatios {
+    let each: Vec<ResponseRatios> = group.iter().map(|slice| response(slice, team)).collect();
+    let over =
+        |value: fn(&ResponseRatios) -> f64| median(&each.iter().map(value).collect::<Vec<_>>());
+    ResponseRatios {
         each_p50: over(|r| r.each_p50),
         each_p99: over(|r| r.each_p99),
         p50: over(|r| r.p50),
@@ -121,17 +122,17 @@
     }
 }
 
-fn response(slice: &Slice, team: Option<usize>) -> Response {
+fn response(slice: &Slice, team: Option<usize>) -> ResponseRatios {
     let wanted = slice.outcomes.iter().filter(|outcome| {
-        let own = team.is_none_or(|team| slice.items[outcome.index].team == team);
-        own && outcome.end == End::Complete
+        let own = team.is_none_or(|team| slice.arrivals[outcome.index].team == team);
+        own && outcome.end == SubmissionEnd::Complete
     });
     let pairs: Vec<(f64, f64)> =
         wanted.map(|outcome| (outcome.response_ms, slice.ideal_ms[outcome.index])).collect();
     let (real, ideal): (Vec<f64>, Vec<f64>) = pairs.iter().copied().unzip();
     let each: Vec<f64> = pairs.iter().map(|(real, ideal)| real / ideal).collect();
     let over = |percent| ratio(percentile(&real, percent), percentile(&ideal, percent));
-    Response {
+    ResponseRatios {
         each_p50: percentile(&each, 50.0),
         each_p99: percentile(&each, 99.0),
         p50: over(50.0),
@@ -151,28 +152,28 @@
     ratio(sum, count("task_starts"))
 }
 
-fn share(slice: &Slice, end: End) -> f64 {
+fn share(slice: &Slice, end: SubmissionEnd) -> f64 {
     let count = slice.outcomes.iter().filter(|outcome| outcome.end == end).count();
-    100.0 * ratio(count as f64, slice.items.len() as f64)
+    100.0 * ratio(count as f64, slice.arrivals.len() as f64)
 }
 
 fn slowest_refusal(slice: &Slice) -> f64 {
-    let refused = slice.outcomes.iter().filter(|outcome| outcome.end == End::NotRun);
+    let refused = slice.outcomes.iter().filter(|outcome| outcome.end == SubmissionEnd::NotRun);
     refused.map(|outcome| outcome.response_ms).fold(0.0, f64::max)
 }
 
 fn goodput(slice: &Slice) -> f64 {
-    let work = |index: usize| slice.items[index].tasks_ms.iter().sum::<f64>();
-    let done = slice.outcomes.iter().filter(|outcome| outcome.end == End::Complete);
+    let work = |index: usize| slice.arrivals[index].tasks_ms.iter().sum::<f64>();
+    let done = slice.outcomes.iter().filter(|outcome| outcome.end == SubmissionEnd::Complete);
     let done: f64 = done.map(|outcome| work(outcome.index)).sum();
-    let all: f64 = (0..slice.items.len()).map(work).sum();
+    let all: f64 = (0..slice.arrivals.len()).map(work).sum();
     100.0 * ratio(done, all)
 }
 
 fn others(group: &[&Slice]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for outcome in group.iter().flat_map(|slice| &slice.outcomes) {
-        if !matches!(outcome.end, End::Complete | End::NotRun) {
+        if !matches!(outcome.end, SubmissionEnd::Complete | SubmissionEnd::NotRun) {
             *counts.entry(format!("{:?}", outcome.end).to_lowercase()).or_default() += 1;
         }
     }
--- a/endivestile_lab/examples/slopes/adopt.rs
+++ b/endivestile_lab/examples/slopes/adopt.rs
@@ -6,8 +6,8 @@
 
 use crate::idle::plan;
 use crate::inventory::{self, Size};
-use crate::outcome::{Outcome, median};
-use crate::usage::{Usage, daemon};
+use crate::result::{MeasureResult, median};
+use crate::usage::{Usage, built_daemon};
 
 /// Configurations written per line.
 const ROUNDS: u32 = 5;
@@ -26,13 +26,13 @@
 }
 
 /// Prints one line per number of hosts and size.
-pub(crate) fn measure(args: &Args) -> Outcome {
+pub(crate) fn measure(args: &Args) -> MeasureResult {
     println!(
         "| hosts | workers | bytes | adopted by all, ms | core ms per host | RSS MB per host |"
     );
     println!("|---|---|---|---|---|---|");
     for &hosts in &args.hosts {
-        let mut deployment = Deployment::start(plan(hosts, 64), &daemon()?)?;
+        let mut deployment = Deployment::start(plan(hosts, 64), &built_daemon()?)?;
         for &workers in &args.workers {
             line(&mut deployment, Size { zones: 0, hosts, workers })?;
         }
@@ -40,14 +40,14 @@
     Ok(())
 }
 
-fn line(deployment: &mut Deployment, size: Size) -> Outcome {
+fn line(deployment: &mut Deployment, size: Size) -> MeasureResult {
     let mut times = Vec::new();
     write(deployment, size, 0)?;
-    let before = Usage::look(deployment)?;
+    let before = Usage::read(deployment)?;
     for round in 1..=ROUNDS {
         times.push(write(deployment, size, round)?);
     }
-    let used = Usage::look(deployment)?.since(&before);
+    let used = Usage::read(deployment)?.since(&before);
     let per_host = used.cpu_s * 1e3 / f64::from(ROUNDS) / size.hosts as f64;
     println!(
         "| {} | {} | {} | {:.0} | {per_host:.1} | {:.1} |",
@@ -61,7 +61,7 @@
 }
 
 /// Writes one more revision; returns the milliseconds until all hosts have logged it.
-fn write(deployment: &mut Deployment, size: Size, round: u32) -> Outcome<f64> {
+fn write(deployment: &mut Deployment, size: Size, round: u32) -> MeasureResult<f64> {
     let began = Instant::now();
     let revision = deployment.reconfigure(|config| {
         inventory::add_workers(config, size);
--- a/endivestile_lab/examples/slopes/burst.rs
+++ b/endivestile_lab/examples/slopes/burst.rs
@@ -8,8 +8,8 @@
 use endivestile_testkit::Deployment;
 
 use crate::idle::plan;
-use crate::outcome::Outcome;
-use crate::usage::daemon;
+use crate::result::MeasureResult;
+use crate::usage::built_daemon;
 
 /// Seconds that an answer may take; then the connection counts as unanswered.
 const LIMIT_S: u64 = 3;
@@ -28,14 +28,14 @@
 }
 
 /// Prints one line per number of connections.
-pub(crate) fn measure(args: &Args) -> Outcome {
+pub(crate) fn measure(args: &Args) -> MeasureResult {
     println!("| connections at once | answered within 3 s | slowest answer, ms | by round |");
     println!("|---|---|---|---|");
     for &connections in &args.connections {
         let mut answered = Vec::new();
         let mut slowest = 0.0_f64;
         for _ in 0..args.rounds {
-            let deployment = Deployment::start(plan(1, 1), &daemon()?)?;
+            let deployment = Deployment::start(plan(1, 1), &built_daemon()?)?;
             let times = burst(deployment.hosts[0].address(), connections)?;
             slowest = times.iter().copied().fold(slowest, f64::max);
             answered.push(times.len());
@@ -48,7 +48,7 @@
 }
 
 /// Opens all connections, then asks on each; returns the milliseconds of the answers.
-fn burst(host: SocketAddr, connections: usize) -> Outcome<Vec<f64>> {
+fn burst(host: SocketAddr, connections: usize) -> MeasureResult<Vec<f64>> {
     let streams: Vec<TcpStream> =
         (0..connections).map(|_| TcpStream::connect(host)).collect::<Result<_, _>>()?;
     let began = Instant::now();
--- a/endivestile_lab/examples/slopes/rig.rs
+++ b/endivestile_lab/examples/slopes/harness.rs
@@ -21,32 +21,32 @@
 const WORK: [u8; 64] = [b'w'; 64];
 
 /// A kernel and its open calls to back ends.
-pub(crate) struct Rig {
+pub(crate) struct KernelHarness {
     /// The kernel.
     pub(crate) kernel: Kernel,
     /// Its clock.
     pub(crate) now: Time,
     /// Time spent inside it.
-    pub(crate) spent: Duration,
+    pub(crate) kernel_time: Duration,
     /// Part of it spent on frames and on the next deadline.
-    pub(crate) flushing: Duration,
+    pub(crate) flush_time: Duration,
     /// Answers to callers.
     pub(crate) answers: u64,
     /// Frames sent.
     pub(crate) frames: u64,
     /// Effects for others than callers and back ends.
-    pub(crate) rest: Vec<Effect>,
+    pub(crate) outgoing: Vec<Effect>,
     open: VecDeque<AttemptId>,
     calls: u64,
     out: Vec<Effect>,
 }
 
-impl Rig {
+impl KernelHarness {
     /// Starts the kernel of host number `at`.
     pub(crate) fn new(at: usize, zones: usize) -> Self {
         let setup = Setup {
             me: peer(at),
-            zone: inventory::zone(at % zones),
+            zone: inventory::zone_name(at % zones),
             address: "127.0.0.1:7070".into(),
             wall_s: WALL_S,
             seed: 1,
@@ -55,11 +55,11 @@
         Self {
             kernel: Kernel::new(setup),
             now: Time::ZERO,
-            spent: Duration::ZERO,
-            flushing: Duration::ZERO,
+            kernel_time: Duration::ZERO,
+            flush_time: Duration::ZERO,
             answers: 0,
             frames: 0,
-            rest: Vec::new(),
+            outgoing: Vec::new(),
             open: VecDeque::new(),
             calls: 0,
             out: Vec::new(),
@@ -67,15 +67,15 @@
     }
 
     /// Hands an event in and carries the effects out.
-    pub(crate) fn event(&mut self, event: Event) {
+    pub(crate) fn handle_event(&mut self, event: Event) {
         let began = Instant::now();
         self.kernel.handle(self.now, event, &mut self.out);
         let handled = Instant::now();
         self.kernel.flush(self.now, &mut self.out);
         // The daemon asks for it after each batch, to set its timer.
         std::hint::black_box(self.kernel.deadline());
-        self.flushing += handled.elapsed();
-        self.spent += began.elapsed();
+        self.flush_time += handled.elapsed();
+        self.kernel_time += began.elapsed();
         for effect in self.out.drain(..) {
             match effect {
                 Effect::Start { attempt, .. } => self.open.push_back(attempt),
@@ -83,7 +83,7 @@
                 Effect::Log(_) | Effect::Count(..) => {}
                 other => {
                     self.frames += u64::from(matches!(other, Effect::Send { .. }));
-                    self.rest.push(other);
+                    self.outgoing.push(other);
                 }
             }
         }
@@ -91,23 +91,23 @@
 
     /// Adopts a configuration.
     pub(crate) fn configure(&mut self, config: &Config) {
-        self.event(Event::Config { config: Arc::new(config.clone()), text: Bytes::new() });
+        self.handle_event(Event::Config { config: Arc::new(config.clone()), text: Bytes::new() });
     }
 
     /// Registers host number `at`.
     pub(crate) fn register(&mut self, at: usize, zones: usize, leaving: bool) {
         let registration = Registration {
             peer: peer(at),
-            zone: inventory::zone(at % zones),
+            zone: inventory::zone_name(at % zones),
             address: format!("127.1.{}.{}:7070", at / 200, at % 200 + 1).into(),
             leaving,
         };
-        let host = inventory::host(at);
-        self.event(Event::HostRegistration { host, registration: Some(registration) });
+        let host = inventory::host_name(at);
+        self.handle_event(Event::HostRegistration { host, registration: Some(registration) });
     }
 
     /// Hears host number `at`, which tells a load without free slots.
-    pub(crate) fn hear(&mut self, at: usize, me: usize) {
+    pub(crate) fn receive_load(&mut self, at: usize, me: usize) {
         let target = Target::Need(Need { cpu_milli: 0, memory_mb: 0, accelerators: 0 });
         let figure = TargetLoad {
             target,
@@ -117,7 +117,7 @@
             service_us: 200_000,
             wait_us: 400_000,
         };
-        self.event(Event::Frame(Frame {
+        self.handle_event(Event::Frame(Frame {
             from: peer(at),
             to: peer(me),
             seq: 0,
@@ -141,28 +141,28 @@
         let submission = Submission {
             idempotent: id.is_none(),
             id,
-            team: inventory::team(self.calls as usize),
+            team: inventory::team_name(self.calls as usize),
             deadline: self.now.after_ms(1_000_000),
             tasks: (0..tasks).map(|_| task()).collect(),
         };
-        self.event(Event::Submitted { call: CallId(self.calls), submission });
+        self.handle_event(Event::Submitted { call: CallId(self.calls), submission });
     }
 
     /// Ends the oldest open call to a back end; false when none is open.
-    pub(crate) fn end(&mut self) -> bool {
+    pub(crate) fn finish_attempt(&mut self) -> bool {
         let Some(attempt) = self.open.pop_front() else { return false };
         let end = AttemptEnd::Answered(Bytes::copy_from_slice(&WORK));
-        self.event(Event::AttemptEnded { attempt, end });
+        self.handle_event(Event::AttemptEnded { attempt, end });
         true
     }
 
     /// Returns the open calls to back ends.
-    pub(crate) fn open(&self) -> usize {
+    pub(crate) fn open_attempts(&self) -> usize {
         self.open.len()
     }
 }
 
 /// Returns the incarnation of host number `at`.
 pub(crate) fn peer(at: usize) -> Peer {
-    Peer::new(inventory::host(at), 1 + at as u64)
+    Peer::new(inventory::host_name(at), 1 + at as u64)
 }
--- a/endivestile_lab/examples/slopes/idle.rs
+++ b/endivestile_lab/examples/slopes/idle.rs
@@ -6,8 +6,8 @@
 use endivestile_testkit::{Deployment, Plan, Spec, wait_for};
 
 use crate::inventory::{self, Size};
-use crate::outcome::Outcome;
-use crate::usage::{Usage, daemon};
+use crate::result::MeasureResult;
+use crate::usage::{Usage, built_daemon};
 
 /// Entry hosts of a zone, as in the target.
 const ZONE: usize = 8;
@@ -32,7 +32,7 @@
 }
 
 /// Prints one line per number of entry hosts; rates are those of one host.
-pub(crate) fn measure(args: &Args) -> Outcome {
+pub(crate) fn measure(args: &Args) -> MeasureResult {
     println!("| hosts | RSS MB | core % | frames/s | bytes/s | store calls/s | watches |");
     println!("|---|---|---|---|---|---|---|");
     for &hosts in &args.hosts {
@@ -41,15 +41,15 @@
     Ok(())
 }
 
-fn line(hosts: usize, args: &Args) -> Outcome {
+fn line(hosts: usize, args: &Args) -> MeasureResult {
     let shards = (hosts * args.shards) as u32;
-    let mut deployment = Deployment::start(plan(hosts, shards), &daemon()?)?;
+    let mut deployment = Deployment::start(plan(hosts, shards), &built_daemon()?)?;
     let size = Size { zones: 0, hosts, workers: args.workers };
     deployment.reconfigure(|config| inventory::add_workers(config, size));
     thread::sleep(Duration::from_secs(SETTLE_S));
-    let before = Usage::look(&deployment)?;
+    let before = Usage::read(&deployment)?;
     thread::sleep(Duration::from_secs(args.seconds));
-    let rates = Usage::look(&deployment)?.since(&before);
+    let rates = Usage::read(&deployment)?.since(&before);
     let each = rates.span_s * hosts as f64;
     println!(
         "| {hosts} | {:.1} | {:.2} | {:.1} | {:.0} | {:.2} | {:.0} |",
@@ -57,8 +57,8 @@
         rates.cpu_s / each * 100.0,
         rates.frames / each,
         rates.bytes / each,
-        rates.calls / each,
-        rates.waiting / hosts as f64,
+        rates.store_calls / each,
+        rates.watches / hosts as f64,
     );
     Ok(())
 }
@@ -67,23 +67,23 @@
 pub(crate) fn plan(hosts: usize, shards: u32) -> Plan {
     let mut plan = Plan::new().setting("log.level=info").rules(|rules| rules.shards = shards);
     for at in 0..hosts {
-        plan = plan.host(&inventory::host(at), &inventory::zone(at / ZONE), 1);
+        plan = plan.host(&inventory::host_name(at), &inventory::zone_name(at / ZONE), 1);
     }
     for at in 0..hosts.div_ceil(ZONE) * 4 {
         let spec = Spec::new(format!("server-{at}")).slots(64);
-        plan = plan.server(spec, &inventory::zone(at / 4), &format!("rack-{at}"));
+        plan = plan.server(spec, &inventory::zone_name(at / 4), &format!("rack-{at}"));
     }
     plan
 }
 
 /// Waits until every shard has a home and a witness that holds its table.
-pub(crate) fn settled(deployment: &Deployment, shards: usize) -> bool {
+pub(crate) fn wait_synced(deployment: &Deployment, shards: usize) -> bool {
     const LIMIT_S: u64 = 60;
-    wait_for(LIMIT_S, || synced(deployment) >= shards)
+    wait_for(LIMIT_S, || count_synced(deployment) >= shards)
 }
 
 /// Counts the shards that living homes hold together with a witness.
-pub(crate) fn synced(deployment: &Deployment) -> usize {
+pub(crate) fn count_synced(deployment: &Deployment) -> usize {
     let homes = deployment.hosts.iter().filter_map(|host| {
         let caller = endivestile_testkit::Caller::new(host.address(), "");
         let status = caller.status().ok()?;
--- a/endivestile_lab/examples/slopes/inventory.rs
+++ b/endivestile_lab/examples/slopes/inventory.rs
@@ -21,17 +21,17 @@
 }
 
 /// Returns the name of a zone.
-pub(crate) fn zone(at: usize) -> Name {
+pub(crate) fn zone_name(at: usize) -> Name {
     Name::from(format!("zone-{at:02}"))
 }
 
 /// Returns the name of a host.
-pub(crate) fn host(at: usize) -> Name {
+pub(crate) fn host_name(at: usize) -> Name {
     Name::from(format!("entry-{at:03}"))
 }
 
 /// Returns the name of a team.
-pub(crate) fn team(at: usize) -> Name {
+pub(crate) fn team_name(at: usize) -> Name {
     Name::from(format!("team-{:03}", at % TEAMS))
 }
 
@@ -40,15 +40,15 @@
     let mut config = Config { revision: 1, ..Config::default() };
     for at in 0..size.zones {
         let region = Name::from(format!("region-{}", at % REGIONS));
-        config.zones.insert(zone(at), Zone { region });
+        config.zones.insert(zone_name(at), Zone { region });
     }
     for at in 0..size.hosts {
         let address = Name::from(format!("127.1.{}.{}:7070", at / 200, at % 200 + 1));
-        let entry = Host { zone: zone(at % size.zones), address, weight: 1 };
-        config.hosts.insert(host(at), entry);
+        let entry = Host { zone: zone_name(at % size.zones), address, weight: 1 };
+        config.hosts.insert(host_name(at), entry);
     }
     for at in 0..TEAMS {
-        config.teams.insert(team(at), Team { limit: 1_000_000, weight: 1 });
+        config.teams.insert(team_name(at), Team { limit: 1_000_000, weight: 1 });
     }
     add_workers(&mut config, size);
     config.rules.queue_limit = 1_000_000;
--- a/endivestile_lab/examples/slopes/load.rs
+++ b/endivestile_lab/examples/slopes/load.rs
@@ -6,9 +6,9 @@
 
 use endivestile_testkit::{Caller, Deployment};
 
-use crate::idle::{plan, settled};
-use crate::outcome::Outcome;
-use crate::usage::{Usage, daemon};
+use crate::idle::{plan, wait_synced};
+use crate::result::MeasureResult;
+use crate::usage::{Usage, built_daemon};
 
 /// Shards of the callers' own ids per entry host.
 const SHARDS: usize = 4;
@@ -56,14 +56,14 @@
 }
 
 /// Prints one line per number of hosts and kind of submission.
-pub(crate) fn measure(args: &Args) -> Outcome {
+pub(crate) fn measure(args: &Args) -> MeasureResult {
     println!(
         "| hosts | submission | starts/s | core us/start | frames/start | bytes/start | failed |"
     );
     println!("|---|---|---|---|---|---|---|");
     for &hosts in &args.hosts {
-        let deployment = Deployment::start(plan(hosts, (hosts * SHARDS) as u32), &daemon()?)?;
-        if hosts > 1 && !settled(&deployment, hosts * SHARDS) {
+        let deployment = Deployment::start(plan(hosts, (hosts * SHARDS) as u32), &built_daemon()?)?;
+        if hosts > 1 && !wait_synced(&deployment, hosts * SHARDS) {
             return Err("shards did not settle".into());
         }
         let kinds = [Kind::Plain, Kind::Minted, Kind::Dated, Kind::Job(20), Kind::Job(200)];
@@ -78,10 +78,10 @@
 }
 
 impl Sample<'_> {
-    fn line(&self) -> Outcome {
-        let before = Usage::look(self.deployment)?;
+    fn line(&self) -> MeasureResult {
+        let before = Usage::read(self.deployment)?;
         let failed = self.run(self.seconds)?;
-        let rates = Usage::look(self.deployment)?.since(&before);
+        let rates = Usage::read(self.deployment)?.since(&before);
         let starts = rates.starts.max(1.0);
         println!(
             "| {} | {} | {:.0} | {:.0} | {:.2} | {:.0} | {failed} |",
@@ -96,7 +96,7 @@
     }
 
     /// Lets callers submit one after the other; returns the answers that were not complete.
-    fn run(&self, seconds: u64) -> Outcome<u64> {
+    fn run(&self, seconds: u64) -> MeasureResult<u64> {
         let failed = AtomicU64::new(0);
         let end = Instant::now() + Duration::from_secs(seconds);
         let each = (OPEN / self.kind.tasks()).max(1);
--- a/endivestile_lab/examples/slopes/main.rs
+++ b/endivestile_lab/examples/slopes/main.rs
@@ -6,14 +6,14 @@
 
 mod adopt;
 mod burst;
+mod harness;
 mod heap;
 mod idle;
 mod inventory;
 mod load;
 mod memory;
-mod outcome;
 mod pair;
-mod rig;
+mod result;
 mod takeover;
 mod task;
 mod usage;
@@ -22,7 +22,7 @@
 
 use clap::{Parser, Subcommand};
 
-use outcome::Outcome;
+use result::MeasureResult;
 
 /// Measures slopes of processor time, memory and messages.
 #[derive(Debug, Parser)]
@@ -60,7 +60,7 @@
     }
 }
 
-fn measure(table: Table) -> Outcome {
+fn measure(table: Table) -> MeasureResult {
     match table {
         Table::Idle(args) => idle::measure(&args),
         Table::Load(args) => load::measure(&args),
--- a/endivestile_lab/examples/slopes/memory.rs
+++ b/endivestile_lab/examples/slopes/memory.rs
@@ -2,11 +2,11 @@
 
 use endivestile_kernel::SubmissionId;
 
+use crate::harness::{KernelHarness, WALL_S};
 use crate::heap;
 use crate::inventory::{self, Size};
-use crate::outcome::Outcome;
-use crate::pair::Pair;
-use crate::rig::{Rig, WALL_S};
+use crate::pair::KernelPair;
+use crate::result::MeasureResult;
 
 /// Submissions remembered.
 const IDS: usize = 100_000;
@@ -14,7 +14,7 @@
 const ZONES: usize = 26;
 
 /// Prints one line per kind of state.
-pub(crate) fn measure() -> Outcome {
+pub(crate) fn measure() -> MeasureResult {
     println!("| state | bytes |");
     println!("|---|---|");
     remembered();
@@ -26,55 +26,55 @@
 
 /// Submits dated ids at either host of a pair; each is remembered by its home and its witness.
 fn remembered() {
-    let mut pair = Pair::new(50);
+    let mut pair = KernelPair::new(50);
     let before = heap::in_use();
     for serial in 0..IDS {
-        let now = pair.rigs[0].now.after_us(2);
-        pair.tick(now);
+        let now = pair.harnesses[0].now.after_us(2);
+        pair.advance_to(now);
         let id = SubmissionId::parse(&format!("{WALL_S}:order-{serial:012}")).ok();
-        pair.rigs[serial % 2].submit(id, 1);
-        pair.settle();
-        while pair.rigs[0].end() || pair.rigs[1].end() {
-            pair.settle();
+        pair.harnesses[serial % 2].submit(id, 1);
+        pair.deliver_all();
+        while pair.harnesses[0].finish_attempt() || pair.harnesses[1].finish_attempt() {
+            pair.deliver_all();
         }
     }
-    let answers: u64 = pair.rigs.iter().map(|rig| rig.answers).sum();
+    let answers: u64 = pair.harnesses.iter().map(|harness| harness.answers).sum();
     let each = (heap::in_use() - before) / IDS;
     println!("| submission under a caller's id, home and witness together ({answers}) | {each} |");
 }
 
 fn minted() {
-    let mut rig = Rig::new(0, 1);
-    rig.configure(&inventory::config(Size { zones: 1, hosts: 1, workers: 50 }));
+    let mut harness = KernelHarness::new(0, 1);
+    harness.configure(&inventory::config(Size { zones: 1, hosts: 1, workers: 50 }));
     let before = heap::in_use();
     for _ in 0..IDS {
-        rig.now = rig.now.after_us(2);
-        let id = rig.kernel.mint(rig.now, 1).pop();
-        rig.submit(id, 1);
-        rig.end();
+        harness.now = harness.now.after_us(2);
+        let id = harness.kernel.mint(harness.now, 1).pop();
+        harness.submit(id, 1);
+        harness.finish_attempt();
     }
     let each = (heap::in_use() - before) / IDS;
-    println!("| submission under a minted id, its host ({}) | {each} |", rig.answers);
+    println!("| submission under a minted id, its host ({}) | {each} |", harness.answers);
 }
 
 fn queued() {
-    let mut rig = Rig::new(0, 1);
-    rig.configure(&inventory::config(Size { zones: 1, hosts: 1, workers: 1 }));
+    let mut harness = KernelHarness::new(0, 1);
+    harness.configure(&inventory::config(Size { zones: 1, hosts: 1, workers: 1 }));
     let before = heap::in_use();
     for _ in 0..IDS / 200 {
-        rig.submit(None, 200);
+        harness.submit(None, 200);
     }
     let each = (heap::in_use() - before) / IDS;
-    println!("| queued task of a job of 200 ({} run) | {each} |", rig.open());
+    println!("| queued task of a job of 200 ({} run) | {each} |", harness.open_attempts());
 }
 
 fn backends() {
     for (zones, hosts) in [(1, 1), (ZONES, 208)] {
         let bytes = |workers| {
             let before = heap::in_use();
-            let mut rig = Rig::new(0, zones);
-            rig.configure(&inventory::config(Size { zones, hosts, workers }));
-            (1..hosts).for_each(|at| rig.register(at, zones, false));
+            let mut harness = KernelHarness::new(0, zones);
+            harness.configure(&inventory::config(Size { zones, hosts, workers }));
+            (1..hosts).for_each(|at| harness.register(at, zones, false));
             heap::in_use() - before
         };
         let (none, all) = (bytes(0), bytes(4_400));
--- a/endivestile_lab/examples/slopes/pair.rs
+++ b/endivestile_lab/examples/slopes/pair.rs
@@ -6,53 +6,53 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::{Effect, Event, ShardRecord, StoreOp, StoreResult, Time};
 
+use crate::harness::KernelHarness;
 use crate::inventory::{self, Size};
-use crate::rig::Rig;
 
 /// Shards of the pair.
 const SHARDS: u32 = 4;
 
 /// Two kernels of two zones.
-pub(crate) struct Pair {
+pub(crate) struct KernelPair {
     /// The kernels.
-    pub(crate) rigs: [Rig; 2],
+    pub(crate) harnesses: [KernelHarness; 2],
     store: BTreeMap<Name, (u64, Bytes)>,
     writes: u64,
 }
 
-impl Pair {
+impl KernelPair {
     /// Starts both and lets them claim the shards.
     pub(crate) fn new(workers: usize) -> Self {
         let mut config = inventory::config(Size { zones: 2, hosts: 2, workers });
         config.rules.shards = SHARDS;
-        let rigs = [Rig::new(0, 2), Rig::new(1, 2)];
-        let mut pair = Self { rigs, store: BTreeMap::new(), writes: 0 };
+        let harnesses = [KernelHarness::new(0, 2), KernelHarness::new(1, 2)];
+        let mut pair = Self { harnesses, store: BTreeMap::new(), writes: 0 };
         for at in 0..2 {
-            pair.rigs[at].event(Event::StoreAvailable(true));
-            pair.rigs[at].register(1 - at, 2, false);
-            pair.rigs[at].configure(&config);
+            pair.harnesses[at].handle_event(Event::StoreAvailable(true));
+            pair.harnesses[at].register(1 - at, 2, false);
+            pair.harnesses[at].configure(&config);
         }
         for ms in 1..8_000 {
-            pair.tick(Time::ZERO.after_ms(ms));
+            pair.advance_to(Time::ZERO.after_ms(ms));
         }
         pair
     }
 
     /// Lets time pass and carries out what follows.
-    pub(crate) fn tick(&mut self, now: Time) {
-        for rig in &mut self.rigs {
-            rig.now = now;
-            if rig.kernel.deadline().is_some_and(|due| due <= now) {
-                rig.event(Event::Tick);
+    pub(crate) fn advance_to(&mut self, now: Time) {
+        for harness in &mut self.harnesses {
+            harness.now = now;
+            if harness.kernel.deadline().is_some_and(|due| due <= now) {
+                harness.handle_event(Event::Tick);
             }
         }
-        self.settle();
+        self.deliver_all();
     }
 
     /// Delivers frames and store calls until nothing is under way.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn deliver_all(&mut self) {
         loop {
-            let effects = [0, 1].map(|at| std::mem::take(&mut self.rigs[at].rest));
+            let effects = [0, 1].map(|at| std::mem::take(&mut self.harnesses[at].outgoing));
             if effects.iter().all(Vec::is_empty) {
                 return;
             }
@@ -66,10 +66,10 @@
 
     fn carry(&mut self, at: usize, effect: Effect) {
         match effect {
-            Effect::Send { frame, .. } => self.rigs[1 - at].event(Event::Frame(frame)),
+            Effect::Send { frame, .. } => self.harnesses[1 - at].handle_event(Event::Frame(frame)),
             Effect::StoreCall { op_id, op } => {
                 let result = self.call(op);
-                self.rigs[at].event(Event::StoreCallEnded { op_id, result });
+                self.harnesses[at].handle_event(Event::StoreCallEnded { op_id, result });
             }
             _ => {}
         }
@@ -97,9 +97,9 @@
     /// Tells both hosts of a new record, as their watches would.
     fn tell(&mut self, key: &Name, value: Bytes) {
         for shard in (0..SHARDS).filter(|&shard| ShardRecord::key(shard) == *key) {
-            for rig in &mut self.rigs {
+            for harness in &mut self.harnesses {
                 let (revision, value) = (self.writes, value.clone());
-                rig.event(Event::ShardRecordChange { shard, revision, value });
+                harness.handle_event(Event::ShardRecordChange { shard, revision, value });
             }
         }
     }
--- a/endivestile_lab/examples/slopes/outcome.rs
+++ b/endivestile_lab/examples/slopes/result.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 
 /// An error ends the example with a failure.
-pub(crate) type Outcome<T = ()> = Result<T, Box<dyn Error>>;
+pub(crate) type MeasureResult<T = ()> = Result<T, Box<dyn Error>>;
 
 /// Returns the middle value; of an even number the upper one.
 pub(crate) fn median(mut values: Vec<f64>) -> f64 {
--- a/endivestile_lab/examples/slopes/takeover.rs
+++ b/endivestile_lab/examples/slopes/takeover.rs
@@ -8,9 +8,9 @@
 use endivestile_kernel::SubmissionId;
 use endivestile_testkit::{Caller, Deployment};
 
-use crate::idle::{plan, settled, synced};
-use crate::outcome::Outcome;
-use crate::usage::daemon;
+use crate::idle::{count_synced, plan, wait_synced};
+use crate::result::MeasureResult;
+use crate::usage::built_daemon;
 
 /// Pause between two tries of a shard, in milliseconds.
 const TRY_MS: u64 = 20;
@@ -34,7 +34,7 @@
 }
 
 /// Prints one line per number of shards and of killed hosts.
-pub(crate) fn measure(args: &Args) -> Outcome {
+pub(crate) fn measure(args: &Args) -> MeasureResult {
     println!(
         "| hosts | killed | their shards | first served, ms | last served, ms | not served | \
          store calls | writes | events |"
@@ -48,17 +48,18 @@
     Ok(())
 }
 
-fn line(hosts: usize, shards: usize, killed: usize) -> Outcome {
-    let mut deployment = Deployment::start(plan(hosts, shards as u32), &daemon()?)?;
-    if !settled(&deployment, shards) {
-        return Err(format!("{} of {shards} shards are synced", synced(&deployment)).into());
+fn line(hosts: usize, shards: usize, killed: usize) -> MeasureResult {
+    let mut deployment = Deployment::start(plan(hosts, shards as u32), &built_daemon()?)?;
+    if !wait_synced(&deployment, shards) {
+        return Err(format!("{} of {shards} shards are synced", count_synced(&deployment)).into());
     }
     let mut lost = BTreeSet::new();
     for host in &deployment.hosts[..killed] {
         lost.extend(homes(&Caller::new(host.address(), "m1").status()?));
     }
     let living = deployment.hosts[hosts - 1].address();
-    let callers = lost.iter().map(|&shard| connect(living, shard)).collect::<Outcome<Vec<_>>>()?;
+    let callers =
+        lost.iter().map(|&shard| connect(living, shard)).collect::<MeasureResult<Vec<_>>>()?;
     let before = deployment.store.counts();
     let began = Instant::now();
     for host in &mut deployment.hosts[..killed] {
@@ -83,7 +84,7 @@
 
 /// Connects the caller of a shard. Callers that connect at once may wait for a
 /// thread for seconds, see `burst`, which is not what is measured here.
-fn connect(host: SocketAddr, shard: u32) -> Outcome<(u32, Caller)> {
+fn connect(host: SocketAddr, shard: u32) -> MeasureResult<(u32, Caller)> {
     let caller = Caller::new(host, "m1").deadline_ms(DEADLINE_MS);
     caller.status()?;
     Ok((shard, caller))
--- a/endivestile_lab/examples/slopes/usage.rs
+++ b/endivestile_lab/examples/slopes/usage.rs
@@ -6,7 +6,7 @@
 
 use endivestile_testkit::{Caller, Daemon, Deployment};
 
-use crate::outcome::Outcome;
+use crate::result::MeasureResult;
 
 /// Ticks of `/proc/<pid>/stat` in a second.
 const TICKS: f64 = 100.0;
@@ -29,14 +29,14 @@
     /// Task starts.
     starts: f64,
     /// Calls that reached the store, watches at their creation.
-    calls: f64,
+    store_calls: f64,
     /// Watches that wait.
-    waiting: f64,
+    watches: f64,
 }
 
 /// What was used between two looks.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Rates {
+pub(crate) struct UsageDelta {
     /// Seconds between the looks.
     pub(crate) span_s: f64,
     /// Processor time in seconds.
@@ -50,14 +50,14 @@
     /// Task starts.
     pub(crate) starts: f64,
     /// Calls that reached the store.
-    pub(crate) calls: f64,
+    pub(crate) store_calls: f64,
     /// Watches that waited at the end.
-    pub(crate) waiting: f64,
+    pub(crate) watches: f64,
 }
 
 impl Usage {
     /// Looks at all entry hosts of a deployment.
-    pub(crate) fn look(deployment: &Deployment) -> Outcome<Self> {
+    pub(crate) fn read(deployment: &Deployment) -> MeasureResult<Self> {
         let store = deployment.store.counts();
         let mut sum = Self {
             at: Instant::now(),
@@ -66,8 +66,8 @@
             frames: 0.0,
             bytes: 0.0,
             starts: 0.0,
-            calls: store.total() as f64,
-            waiting: store.waiting as f64,
+            store_calls: store.total() as f64,
+            watches: store.waiting as f64,
         };
         for host in &deployment.hosts {
             let status = Caller::new(host.address(), "").status()?;
@@ -82,22 +82,22 @@
     }
 
     /// Returns what was used since an earlier look.
-    pub(crate) fn since(&self, before: &Self) -> Rates {
-        Rates {
+    pub(crate) fn since(&self, before: &Self) -> UsageDelta {
+        UsageDelta {
             span_s: self.at.duration_since(before.at).as_secs_f64(),
             cpu_s: self.cpu_s - before.cpu_s,
             rss_kb: self.rss_kb,
             frames: self.frames - before.frames,
             bytes: self.bytes - before.bytes,
             starts: self.starts - before.starts,
-            calls: self.calls - before.calls,
-            waiting: self.waiting,
+            store_calls: self.store_calls - before.store_calls,
+            watches: self.watches,
         }
     }
 }
 
 /// Returns the processor time of a process, in seconds.
-pub(crate) fn cpu_s(pid: u32) -> Outcome<f64> {
+pub(crate) fn cpu_s(pid: u32) -> MeasureResult<f64> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let (_, fields) = stat.rsplit_once(") ").ok_or("no name in stat")?;
     let ticks = fields.split(' ').skip(USER).take(2).map(str::parse::<f64>);
@@ -105,7 +105,7 @@
 }
 
 /// Returns the daemon built beside this example.
-pub(crate) fn daemon() -> Outcome<Daemon> {
+pub(crate) fn built_daemon() -> MeasureResult<Daemon> {
     let example = std::env::current_exe()?;
     let dir = example.parent().and_then(Path::parent).ok_or("no directory of the daemon")?;
     let program: PathBuf = dir.join("endivestile");
--- a/endivestile_lab/src/ideal.rs
+++ b/endivestile_lab/src/ideal.rs
@@ -3,11 +3,11 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use super::Item;
+use super::Arrival;
 
 /// Slots of one speed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Park {
+pub struct SlotGroup {
     /// Number of slots.
     pub slots: usize,
     /// Speed.
@@ -26,21 +26,21 @@
 /// each task the slot on which it finishes first, by its true run time and at
 /// no cost of messages. That is a yardstick and not the optimum: a schedule that
 /// lets short work overtake can have better percentiles.
-pub fn ideal_ms(items: &[Item], parks: &[Park]) -> Vec<f64> {
-    let mut lanes: Vec<Lane> = parks.iter().map(lane).collect();
-    items.iter().map(|item| respond_ms(item, &mut lanes)).collect()
+pub fn ideal_ms(arrivals: &[Arrival], slot_groups: &[SlotGroup]) -> Vec<f64> {
+    let mut lanes: Vec<Lane> = slot_groups.iter().map(lane).collect();
+    arrivals.iter().map(|arrival| respond_ms(arrival, &mut lanes)).collect()
 }
 
-fn lane(park: &Park) -> Lane {
-    Lane { speed: park.speed, free: vec![Reverse(0); park.slots].into() }
+fn lane(group: &SlotGroup) -> Lane {
+    Lane { speed: group.speed, free: vec![Reverse(0); group.slots].into() }
 }
 
-fn respond_ms(item: &Item, lanes: &mut [Lane]) -> f64 {
-    let mut tasks_ms = item.tasks_ms.clone();
+fn respond_ms(arrival: &Arrival, lanes: &mut [Lane]) -> f64 {
+    let mut tasks_ms = arrival.tasks_ms.clone();
     tasks_ms.sort_by(|a, b| b.total_cmp(a));
-    let ends = tasks_ms.into_iter().map(|ms| place(item.at_us, ms, lanes));
-    let last_us = ends.max().unwrap_or(item.at_us);
-    (last_us - item.at_us) as f64 / 1_000.0
+    let ends = tasks_ms.into_iter().map(|ms| place(arrival.at_us, ms, lanes));
+    let last_us = ends.max().unwrap_or(arrival.at_us);
+    (last_us - arrival.at_us) as f64 / 1_000.0
 }
 
 /// Gives a task the slot on which it finishes first; returns when, in microseconds.
--- a/endivestile_lab/src/lib.rs
+++ b/endivestile_lab/src/lib.rs
@@ -5,6 +5,6 @@
 mod stats;
 mod trace;
 
-pub use ideal::{Park, ideal_ms};
+pub use ideal::{SlotGroup, ideal_ms};
 pub use stats::{median, percentile};
-pub use trace::{Burst, Item, Kind, Load, Mix, trace};
+pub use trace::{Arrival, Burst, Kind, Load, Mix, generate_trace};
--- a/endivestile_lab/src/trace.rs
+++ b/endivestile_lab/src/trace.rs
@@ -16,14 +16,14 @@
     /// A request without an id, which may be repeated.
     Idempotent,
     /// A request that runs at most once.
-    Once,
+    NonIdempotent,
     /// A job.
     Job,
 }
 
 /// One submission of a trace.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Item {
+pub struct Arrival {
     /// When it arrives, in microseconds since the start of the trace.
     pub at_us: u64,
     /// Number of the team.
@@ -40,11 +40,11 @@
     /// Idempotent requests in a hundred submissions.
     pub idempotent: u32,
     /// Non-idempotent requests in a hundred submissions.
-    pub once: u32,
+    pub non_idempotent: u32,
     /// Long tasks in a thousand.
-    pub long: u32,
+    pub long_permille: u32,
     /// Shares of the teams, by number.
-    pub teams: [u32; 3],
+    pub team_weights: [u32; 3],
 }
 
 /// A time of more arrivals.
@@ -64,7 +64,7 @@
     /// Seed of the trace.
     pub seed: u64,
     /// Work that arrives, in milliseconds of a machine of speed 1 per millisecond.
-    pub work: f64,
+    pub work_rate: f64,
     /// Length of the trace, in microseconds.
     pub span_us: u64,
     /// A burst in it.
@@ -79,42 +79,42 @@
 }
 
 /// Draws a trace: Poisson arrivals, run times and sizes of jobs log-uniform.
-pub fn trace(load: &Load, mix: &Mix) -> Vec<Item> {
+pub fn generate_trace(load: &Load, mix: &Mix) -> Vec<Arrival> {
     let mut rng = StdRng::seed_from_u64(load.seed);
-    let gap_us = mean_work_ms(mix) / load.work * 1_000.0;
-    let mut items = Vec::new();
+    let gap_us = mean_work_ms(mix) / load.work_rate * 1_000.0;
+    let mut arrivals = Vec::new();
     let mut at_us = 0.0;
     loop {
         let unit: f64 = rng.random_range(f64::EPSILON..1.0);
         at_us -= unit.ln() * gap_us / load.factor(at_us as u64);
         if at_us as u64 >= load.span_us {
-            return items;
+            return arrivals;
         }
-        items.push(draw(&mut rng, at_us as u64, mix));
+        arrivals.push(draw(&mut rng, at_us as u64, mix));
     }
 }
 
-fn draw(rng: &mut StdRng, at_us: u64, mix: &Mix) -> Item {
+fn draw(rng: &mut StdRng, at_us: u64, mix: &Mix) -> Arrival {
     let roll = rng.random_range(0..100);
     let (kind, count) = if roll < mix.idempotent {
         (Kind::Idempotent, 1)
-    } else if roll < mix.idempotent + mix.once {
-        (Kind::Once, 1)
+    } else if roll < mix.idempotent + mix.non_idempotent {
+        (Kind::NonIdempotent, 1)
     } else {
         (Kind::Job, log_uniform(rng, (1.0, MAX_TASKS + 1.0)) as usize)
     };
     let tasks_ms = (0..count).map(|_| draw_ms(rng, mix)).collect();
-    Item { at_us, team: draw_team(rng, mix), kind, tasks_ms }
+    Arrival { at_us, team: draw_team(rng, mix), kind, tasks_ms }
 }
 
 fn draw_ms(rng: &mut StdRng, mix: &Mix) -> f64 {
-    let long = rng.random_range(0..1_000) < mix.long;
+    let long = rng.random_range(0..1_000) < mix.long_permille;
     log_uniform(rng, if long { LONG_MS } else { SHORT_MS }).round()
 }
 
 fn draw_team(rng: &mut StdRng, mix: &Mix) -> usize {
-    let mut roll = rng.random_range(0..mix.teams.iter().sum::<u32>().max(1));
-    for (team, share) in mix.teams.iter().enumerate() {
+    let mut roll = rng.random_range(0..mix.team_weights.iter().sum::<u32>().max(1));
+    for (team, share) in mix.team_weights.iter().enumerate() {
         if roll < *share {
             return team;
         }
@@ -129,9 +129,9 @@
 
 /// Returns the mean work of a submission, in milliseconds of a machine of speed 1.
 fn mean_work_ms(mix: &Mix) -> f64 {
-    let long = f64::from(mix.long) / 1_000.0;
+    let long = f64::from(mix.long_permille) / 1_000.0;
     let task_ms = mean(SHORT_MS) * (1.0 - long) + mean(LONG_MS) * long;
-    let singles = f64::from(mix.idempotent + mix.once) / 100.0;
+    let singles = f64::from(mix.idempotent + mix.non_idempotent) / 100.0;
     let job_tasks = mean((1.0, MAX_TASKS + 1.0)) - 0.5;
     task_ms * (singles + job_tasks * (1.0 - singles))
 }
