--- a/endivestile/tests/common/mod.rs
+++ b/endivestile/tests/common/mod.rs
@@ -36,7 +36,8 @@
     /// Starts everything and waits until the daemon is ready.
     pub(crate) fn start(overrides: &[&str]) -> Self {
         let store = StoreStandIn::start().expect("store");
-        let backends = BackendStandIn::start(vec![MachineSpec::new("s1")]).expect("backend servers");
+        let backends =
+            BackendStandIn::start(vec![MachineSpec::new("s1")]).expect("backend servers");
         store.put("endivestile/config", config(1, &backends));
         let daemon = Daemon::start(&store, "e1", overrides);
         daemon.wait_ready();
--- a/endivestile/tests/deployment.rs
+++ b/endivestile/tests/deployment.rs
@@ -181,7 +181,9 @@
             deployment.host("e1").resume();
             match early {
                 Ok(reply) if reply.status == 200 => reply,
-                _ => submit_until_final(|| second.submit_job("orders", &id, &works)).expect("answer"),
+                _ => {
+                    submit_until_final(|| second.submit_job("orders", &id, &works)).expect("answer")
+                }
             }
         });
         assert_complete_or_failed(&reply, &works);
--- a/endivestile/tests/promise_once.rs
+++ b/endivestile/tests/promise_once.rs
@@ -57,7 +57,11 @@
         deployment.servers.set_fault(server, MachineFault::Refuse);
     }
     for (key, outcome) in pay(&mut deployment, "refuses", 12) {
-        assert_eq!((outcome.as_str(), deployment.servers.starts_of(&key)), ("complete", 1), "{key}");
+        assert_eq!(
+            (outcome.as_str(), deployment.servers.starts_of(&key)),
+            ("complete", 1),
+            "{key}"
+        );
     }
 }
 
--- a/endivestile/tests/promise_start.rs
+++ b/endivestile/tests/promise_start.rs
@@ -80,7 +80,11 @@
     let outage_reply =
         caller_of(&mut deployment, &fronts[1]).deadline_ms(8_000).submit_job("orders", &id, &works);
     let outage_reply = outage_reply.expect("an answer during the outage");
-    assert!(["unknown", "failed"].contains(&outage_reply.status_text().as_str()), "{}", outage_reply.body);
+    assert!(
+        ["unknown", "failed"].contains(&outage_reply.status_text().as_str()),
+        "{}",
+        outage_reply.body
+    );
     deployment.store.bring_up();
     wait_taken_over(&deployment, &id, &killed);
     let resubmitted = submit_until_final(&caller_of(&mut deployment, &fronts[2]), &id, &works)
--- a/endivestile_testkit/src/lib.rs
+++ b/endivestile_testkit/src/lib.rs
@@ -24,4 +24,4 @@
 pub use platform::{PlatformHost, PlatformSignal, PlatformStandIn, WorkerFault};
 pub use soak::{Soak, SoakReport};
 pub use store::{CallCounts, StoreStandIn};
-pub use world::{BackendMode, CallLog, SubmitCall, TaskStart, WALL_S, World, run_story};
+pub use world::{BackendMode, CallLog, SimTaskStart, SubmitCall, WALL_S, World, run_story};
--- a/endivestile_testkit/src/world.rs
+++ b/endivestile_testkit/src/world.rs
@@ -57,7 +57,7 @@
 
 /// A start of a task as a back end saw it.
 #[derive(Debug, Clone)]
-pub struct TaskStart {
+pub struct SimTaskStart {
     /// The work, `<id>/<index>`.
     pub work: String,
     /// Back end.
@@ -78,7 +78,7 @@
     platform: Platform,
     net: Network,
     calls: BTreeMap<u64, CallLog>,
-    starts: Vec<TaskStart>,
+    starts: Vec<SimTaskStart>,
     breaches: Vec<String>,
     faulty: bool,
     seeded: bool,
@@ -122,7 +122,7 @@
     }
 
     /// Returns every start of a task so far.
-    pub fn starts(&self) -> &[TaskStart] {
+    pub fn starts(&self) -> &[SimTaskStart] {
         &self.starts
     }
 
--- a/endivestile_testkit/src/world/backend.rs
+++ b/endivestile_testkit/src/world/backend.rs
@@ -7,7 +7,7 @@
 use endivestile_kernel::{AttemptEnd, AttemptId, Event, PlaceRequest};
 use rand::Rng;
 
-use super::{ScheduledEvent, TaskStart, World};
+use super::{ScheduledEvent, SimTaskStart, World};
 
 /// How a back end behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -107,7 +107,7 @@
             _ => {}
         }
         let work = String::from_utf8_lossy(&attempt_call.work).into_owned();
-        self.starts.push(TaskStart { work, server: attempt_call.server.clone(), at: self.now });
+        self.starts.push(SimTaskStart { work, server: attempt_call.server.clone(), at: self.now });
         match backend.mode {
             BackendMode::Close => self.end_attempt(&attempt_call, AttemptEnd::Lost),
             BackendMode::Fail => self.end_attempt(&attempt_call, AttemptEnd::Rejected(500)),
