--- a/endivestile_kernel/src/place/admission.rs
+++ b/endivestile_kernel/src/place/admission.rs
@@ -6,7 +6,7 @@
 use crate::{Cause, Order, Outcome, Time};
 
 /// Time between two tries of a task believed too long for its deadline, in milliseconds.
-const TRIAL_MS: u64 = 1_000;
+const TRIAL_INTERVAL_MS: u64 = 1_000;
 
 impl Placer {
     /// Decides whether an order may come into the queue: its pool, and whether
@@ -22,20 +22,20 @@
             return Err(Cause::Stopping);
         }
         let id = self.pool_of(&order.task.target).ok_or(Cause::NoBackend)?;
-        let want = Resources::wanted(&order.task.target);
-        if !self.pools[id as usize].could_run(&want) {
+        let demand = Resources::demand_of(&order.task.target);
+        if !self.pools[id as usize].can_run(&demand) {
             return Err(Cause::NoBackend);
         }
         let state = self.teams.get(team);
-        if state.held >= state.part {
+        if state.tasks >= state.host_limit {
             return Err(Cause::Limit);
         }
         let weight = state.weight;
         // What is refused below is wanted as well: it tells how scarce slots are.
         let pool = &mut self.pools[id as usize];
-        pool.arrivals.count(now, pool.units(&want));
-        let trial = self.feasible(now, id, (team, weight), order)?;
-        if self.waiting >= self.config.rules.queue_limit {
+        pool.arrivals.record(now, pool.units(&demand));
+        let trial = self.check_deadline(now, id, (team, weight), order)?;
+        if self.waiting_count >= self.config.rules.queue_limit {
             self.evict(id, (team, weight), out)?;
         }
         Ok((id, trial))
@@ -45,7 +45,7 @@
     ///
     /// A belief that every task is too long would refuse all of them and so
     /// never be corrected; one a second is tried all the same.
-    fn feasible(
+    fn check_deadline(
         &mut self,
         now: Time,
         id: u32,
@@ -57,18 +57,18 @@
             return Err(Cause::Deadline);
         }
         let pool = &mut self.pools[id as usize];
-        if !pool.judged() {
+        if !pool.has_estimate() {
             return Ok(false);
         }
         let ln_size = pool.declared.ln_size(order.task.declared);
         if now.after_us(pool.fastest_us(ln_size)) > deadline {
-            if now < pool.trial_at {
+            if now < pool.next_trial {
                 return Err(Cause::Deadline);
             }
-            pool.trial_at = now.after_ms(TRIAL_MS);
+            pool.next_trial = now.after_ms(TRIAL_INTERVAL_MS);
             return Ok(true);
         }
-        let wait = pool.team_wait_us(team.0, team.1) + pool.spare_run_us(now, ln_size);
+        let wait = pool.team_wait_us(team.0, team.1) + pool.start_margin_us(now, ln_size);
         if pool.queue.waiting() > 0 && now.after_us(wait as u64) > deadline {
             return Err(Cause::Deadline);
         }
@@ -83,9 +83,9 @@
         out: &mut Vec<PlaceEffect>,
     ) -> Result<(), Cause> {
         let queue = &self.pools[pool as usize].queue;
-        let slot = queue.newest_of_longest(team.0, team.1).ok_or(Cause::Full)?;
-        self.unqueue(slot);
-        self.settle(slot, Outcome::NotRun(Cause::Full), out);
+        let slot = queue.newest_of_longest_queue(team.0, team.1).ok_or(Cause::Full)?;
+        self.dequeue(slot);
+        self.finish(slot, Outcome::NotRun(Cause::Full), out);
         Ok(())
     }
 }
--- a/endivestile_kernel/src/place/backend.rs
+++ b/endivestile_kernel/src/place/backend.rs
@@ -9,10 +9,10 @@
 use crate::Time;
 
 /// First time for which a refused slot is believed taken, in milliseconds.
-const FIRST_HOLD_MS: u64 = 10;
+const FIRST_BLOCK_MS: u64 = 10;
 
 /// Most doublings of that time.
-const HOLD_DOUBLINGS: u32 = 6;
+const MAX_BLOCK_DOUBLINGS: u32 = 6;
 
 /// One back end: a backend server or a worker.
 #[derive(Debug)]
@@ -26,29 +26,29 @@
     /// Number of the rack.
     pub(crate) rack_id: u32,
     /// Capacity.
-    pub(crate) total: Resources,
+    pub(crate) capacity: Resources,
     /// Capacity taken by tasks of this placer.
     pub(crate) used: Resources,
     /// Whether it is a worker.
     pub(crate) worker: bool,
     /// Whether it is in this host's share.
-    pub(crate) listed: bool,
+    pub(crate) in_share: bool,
     /// Whether the platform or an operator says that it is leaving.
     pub(crate) leaving: bool,
     /// Health.
     pub(crate) health: Health,
     /// Pools that it serves, with its seat in each.
-    pub(crate) seats: Vec<(u32, u32)>,
+    pub(crate) endpoints: Vec<(u32, u32)>,
     /// Tasks running, by start.
     pub(crate) running: Vec<(Time, u32)>,
     /// Task for which it is kept free.
-    pub(crate) kept: Option<u32>,
+    pub(crate) reserved_for: Option<u32>,
     /// Slots that another placer is believed to have taken.
-    hold: u32,
+    blocked_slots: u32,
     /// Refusals in a row.
     refusals: u32,
     /// When the slots are believed free again.
-    hold_until: Option<Time>,
+    blocked_until: Option<Time>,
 }
 
 impl Backend {
@@ -59,18 +59,18 @@
             address: spec.address.clone(),
             rack: spec.rack.clone(),
             rack_id: 0,
-            total: spec.total,
+            capacity: spec.capacity,
             used: Resources::default(),
             worker: spec.worker,
-            listed: true,
+            in_share: true,
             leaving: false,
             health: Health::new(),
-            seats: Vec::new(),
+            endpoints: Vec::new(),
             running: Vec::new(),
-            kept: None,
-            hold: 0,
+            reserved_for: None,
+            blocked_slots: 0,
             refusals: 0,
-            hold_until: None,
+            blocked_until: None,
         }
     }
 
@@ -81,60 +81,64 @@
         }
         self.address = spec.address.clone();
         self.rack = spec.rack.clone();
-        self.total = spec.total;
+        self.capacity = spec.capacity;
         self.worker = spec.worker;
-        self.listed = true;
+        self.in_share = true;
     }
 
     /// Returns whether new tasks may go there at all.
-    pub(crate) const fn usable(&self) -> bool {
-        self.listed && !self.leaving && self.health.up()
+    pub(crate) const fn is_usable(&self) -> bool {
+        self.in_share && !self.leaving && self.health.is_active()
     }
 
     /// Returns what is free for new tasks.
     pub(crate) fn free(&self) -> Resources {
-        if !self.usable() || self.running.len() as u64 >= u64::from(self.health.cap()) {
+        if !self.is_usable() || self.running.len() as u64 >= u64::from(self.health.task_limit()) {
             return Resources::default();
         }
-        let free = self.total.minus(&self.used);
-        if self.hold == 0 {
+        let free = self.capacity.minus(&self.used);
+        if self.blocked_slots == 0 {
             return free;
         }
-        if self.worker { Resources::default() } else { free.minus(&Resources::slots(self.hold)) }
+        if self.worker {
+            Resources::default()
+        } else {
+            free.minus(&Resources::slots(self.blocked_slots))
+        }
     }
 
     /// Returns what tasks without accelerators may take of a worker.
     ///
     /// Its free accelerators keep a quarter of the processors and memory that
     /// are theirs by proportion: without any, they would be stranded.
-    pub(crate) fn free_plain(&self) -> Resources {
+    pub(crate) fn free_for_plain(&self) -> Resources {
         let free = self.free();
-        if self.total.accelerators == 0 {
+        if self.capacity.accelerators == 0 {
             return free;
         }
-        let keep = |total: u32| {
-            let part = u64::from(total) * u64::from(free.accelerators);
-            (part / u64::from(self.total.accelerators) / 4) as u32
+        let keep = |capacity: u32| {
+            let part = u64::from(capacity) * u64::from(free.accelerators);
+            (part / u64::from(self.capacity.accelerators) / 4) as u32
         };
-        let kept = Resources {
-            cpu: keep(self.total.cpu),
-            memory: keep(self.total.memory),
+        let reserved = Resources {
+            cpu: keep(self.capacity.cpu),
+            memory: keep(self.capacity.memory),
             accelerators: 0,
         };
-        free.minus(&kept)
+        free.minus(&reserved)
     }
 
     /// Counts a task that starts.
-    pub(crate) fn start(&mut self, now: Time, task: u32, want: &Resources) {
-        self.used = self.used.plus(want);
+    pub(crate) fn add_task(&mut self, now: Time, task: u32, demand: &Resources) {
+        self.used = self.used.plus(demand);
         self.running.push((now, task));
     }
 
     /// Counts a task that ended.
-    pub(crate) fn finish(&mut self, task: u32, want: &Resources) {
+    pub(crate) fn remove_task(&mut self, task: u32, demand: &Resources) {
         if let Some(at) = self.running.iter().position(|(_, other)| *other == task) {
             self.running.remove(at);
-            self.used = self.used.minus(want);
+            self.used = self.used.minus(demand);
         }
     }
 
@@ -143,31 +147,31 @@
     ///
     /// Without that, the slots look free and a task bounces between queue and
     /// back end until its tries are used up.
-    pub(crate) fn refused(&mut self, now: Time) {
-        self.hold = self.total.cpu.saturating_sub(self.used.cpu);
-        let span = FIRST_HOLD_MS << self.refusals.min(HOLD_DOUBLINGS);
+    pub(crate) fn handle_busy(&mut self, now: Time) {
+        self.blocked_slots = self.capacity.cpu.saturating_sub(self.used.cpu);
+        let span = FIRST_BLOCK_MS << self.refusals.min(MAX_BLOCK_DOUBLINGS);
         self.refusals += 1;
-        self.hold_until = Some(now.after_ms(span));
+        self.blocked_until = Some(now.after_ms(span));
     }
 
     /// Returns when refused slots are believed free again.
-    pub(crate) const fn hold_until(&self) -> Option<Time> {
-        self.hold_until
+    pub(crate) const fn blocked_until(&self) -> Option<Time> {
+        self.blocked_until
     }
 
     /// Believes refused slots free again.
-    pub(crate) fn unhold(&mut self) {
-        self.hold = 0;
-        self.hold_until = None;
+    pub(crate) fn unblock(&mut self) {
+        self.blocked_slots = 0;
+        self.blocked_until = None;
     }
 
     /// Forgets earlier refusals: a task was taken.
-    pub(crate) fn taken(&mut self) {
+    pub(crate) fn reset_refusals(&mut self) {
         self.refusals = 0;
     }
 
     /// Returns since when the task in the middle of those running runs.
-    pub(crate) fn middle_start(&self) -> Option<Time> {
+    pub(crate) fn median_start(&self) -> Option<Time> {
         self.running.get(self.running.len() / 2).map(|(start, _)| *start)
     }
 
@@ -175,9 +179,9 @@
     pub(crate) fn condition(&self) -> Condition {
         if self.leaving {
             Condition::Leaving
-        } else if !self.health.up() {
+        } else if !self.health.is_active() {
             Condition::Out
-        } else if u64::from(self.health.cap()) < u64::from(self.total.cpu.min(64)) {
+        } else if u64::from(self.health.task_limit()) < u64::from(self.capacity.cpu.min(64)) {
             Condition::Trial
         } else {
             Condition::Up
--- a/endivestile_kernel/src/place/baselines.rs
+++ b/endivestile_kernel/src/place/baselines.rs
@@ -22,23 +22,23 @@
     PolicyPlugin { name: "two-choices", choose: two_choices }
 }
 
-fn random(choice: &PolicyInput<'_>, rng: &mut SmallRng) -> Option<usize> {
-    choice.next_free(rng.random_range(0..choice.count().max(1)))
+fn random(input: &PolicyInput<'_>, rng: &mut SmallRng) -> Option<usize> {
+    input.next_free(rng.random_range(0..input.count().max(1)))
 }
 
-fn round_robin(choice: &PolicyInput<'_>, _: &mut SmallRng) -> Option<usize> {
-    choice.next_free(choice.cursor())
+fn round_robin(input: &PolicyInput<'_>, _: &mut SmallRng) -> Option<usize> {
+    input.next_free(input.cursor())
 }
 
-fn least_outstanding(choice: &PolicyInput<'_>, rng: &mut SmallRng) -> Option<usize> {
-    let count = choice.count();
+fn least_outstanding(input: &PolicyInput<'_>, rng: &mut SmallRng) -> Option<usize> {
+    let count = input.count();
     let first = rng.random_range(0..count.max(1));
     let around = (0..count).map(|step| (first + step) % count);
-    around.filter(|at| choice.free(*at)).min_by_key(|at| choice.outstanding(*at))
+    around.filter(|at| input.is_free(*at)).min_by_key(|at| input.outstanding(*at))
 }
 
-fn two_choices(choice: &PolicyInput<'_>, rng: &mut SmallRng) -> Option<usize> {
-    let one = random(choice, rng)?;
-    let two = random(choice, rng)?;
-    Some(if choice.outstanding(two) < choice.outstanding(one) { two } else { one })
+fn two_choices(input: &PolicyInput<'_>, rng: &mut SmallRng) -> Option<usize> {
+    let one = random(input, rng)?;
+    let two = random(input, rng)?;
+    Some(if input.outstanding(two) < input.outstanding(one) { two } else { one })
 }
--- a/endivestile_kernel/src/place/completion.rs
+++ b/endivestile_kernel/src/place/completion.rs
@@ -8,7 +8,7 @@
 use crate::{AttemptId, Cause, End, Level, Metric, Note, Outcome, Time};
 
 /// Calls that may end without a start before a task is given up.
-const MAX_TRIES: u8 = 3;
+const MAX_FAILED_STARTS: u8 = 3;
 
 /// Calls that may find a back end full before a task is given up.
 ///
@@ -16,13 +16,13 @@
 /// its successor is told "busy" for as long as those tasks run. Giving up after
 /// a few tries would refuse calls just because a host was stopped; the back end
 /// is held for a growing time after each, so many tries cost little.
-const MAX_BUSY: u8 = 40;
+const MAX_BUSY_STARTS: u8 = 40;
 
 /// First status that speaks against the back end and not against the task.
 const SERVER_ERROR: u16 = 500;
 
 /// Part of the usual run time below which a failure counts as fast.
-const FAST_PART: f64 = 0.25;
+const FAST_FRACTION: f64 = 0.25;
 
 impl Placer {
     /// Takes in how a call ended.
@@ -33,173 +33,178 @@
         end: End,
         out: &mut Vec<PlaceEffect>,
     ) {
-        let Some(slot) = self.attempts.remove(&attempt) else { return };
-        let Some(held) = self.held.get(slot) else { return };
-        let Some(run) = held.run else { return };
-        let want = held.want();
-        self.backends[run.backend as usize].finish(slot, &want);
-        self.learn(now, slot, &run, &end);
-        let left = self.judge(now, slot, &run, &end, out);
-        if left {
-            self.changed(now, run.backend, out);
+        let Some(slot) = self.task_by_attempt.remove(&attempt) else { return };
+        let Some(task) = self.tasks.get(slot) else { return };
+        let Some(call) = task.call else { return };
+        let demand = task.demand();
+        self.backends[call.backend as usize].remove_task(slot, &demand);
+        self.record_run_time(now, slot, &call, &end);
+        let ejected = self.update_health(now, slot, &call, &end, out);
+        if ejected {
+            self.handle_backend_change(now, call.backend, out);
         } else {
-            self.refresh(run.backend);
+            self.refresh(call.backend);
         }
-        self.conclude(now, slot, run, end, out);
-        self.dispatch_served(now, run.backend, out);
+        self.finish_call(now, slot, call, end, out);
+        self.dispatch_backend(now, call.backend, out);
     }
 
     /// Ends a task by the end of its call, or puts it back into the queue.
-    fn conclude(
+    fn finish_call(
         &mut self,
         now: Time,
         slot: u32,
-        run: BackendCall,
+        call: BackendCall,
         end: End,
         out: &mut Vec<PlaceEffect>,
     ) {
-        if !run.wanted {
-            self.forget(slot);
+        if !call.wanted {
+            self.discard(slot);
             return;
         }
-        let peer = self.backends[run.backend as usize].name.clone();
+        let peer = self.backends[call.backend as usize].name.clone();
         match end {
-            End::Answered(bytes) => self.settle(slot, Outcome::Done(bytes), out),
-            End::Rejected(status) => self.settle(slot, Outcome::Rejected { peer, status }, out),
-            End::Lost => self.settle(slot, Outcome::Lost { peer }, out),
-            End::Busy => self.again(now, slot, run, Cause::Full, out),
-            End::Leaving | End::Unreachable => self.again(now, slot, run, Cause::NoBackend, out),
+            End::Answered(bytes) => self.finish(slot, Outcome::Done(bytes), out),
+            End::Rejected(status) => self.finish(slot, Outcome::Rejected { peer, status }, out),
+            End::Lost => self.finish(slot, Outcome::Lost { peer }, out),
+            End::Busy => self.requeue(now, slot, call, Cause::Full, out),
+            End::Leaving | End::Unreachable => self.requeue(now, slot, call, Cause::NoBackend, out),
         }
     }
 
     /// Puts a task that has surely not started back to its place in the queue.
-    fn again(
+    fn requeue(
         &mut self,
         now: Time,
         slot: u32,
-        run: BackendCall,
+        call: BackendCall,
         cause: Cause,
         out: &mut Vec<PlaceEffect>,
     ) {
-        let Some(held) = self.held.get_mut(slot) else { return };
-        held.run = None;
-        held.tries += 1;
-        let pool = &mut self.pools[held.pool as usize];
-        pool.queue.refund(held.team, run.cost);
-        let hopeless = !pool.could_run(&held.want());
-        let cause = if hopeless { Cause::NoBackend } else { cause };
-        let most = if cause == Cause::Full { MAX_BUSY } else { MAX_TRIES };
-        if hopeless || held.tries >= most {
-            self.settle(slot, Outcome::NotRun(cause), out);
+        let Some(task) = self.tasks.get_mut(slot) else { return };
+        task.call = None;
+        task.failed_starts += 1;
+        let pool = &mut self.pools[task.pool as usize];
+        pool.queue.refund(task.team, call.cost);
+        let unrunnable = !pool.can_run(&task.demand());
+        let cause = if unrunnable { Cause::NoBackend } else { cause };
+        let max_failed = if cause == Cause::Full { MAX_BUSY_STARTS } else { MAX_FAILED_STARTS };
+        if unrunnable || task.failed_starts >= max_failed {
+            self.finish(slot, Outcome::NotRun(cause), out);
             return;
         }
         self.enqueue(now, slot);
     }
 
     /// Learns the run time of an answered task and corrects its team's account.
-    fn learn(&mut self, now: Time, slot: u32, run: &BackendCall, end: &End) {
-        let Some(held) = self.held.get(slot) else { return };
-        let micros = now.since(run.started).as_micros() as u64;
-        let pool = &mut self.pools[held.pool as usize];
-        // A task that is stopped at its deadline has run at least so long; left
+    fn record_run_time(&mut self, now: Time, slot: u32, call: &BackendCall, end: &End) {
+        let Some(task) = self.tasks.get(slot) else { return };
+        let micros = now.since(call.started).as_micros() as u64;
+        let pool = &mut self.pools[task.pool as usize];
+        // A task that is stopped at its deadline has run at least so long; ejected
         // out, only short ones would count, and more and more be let in too late.
-        let stopped = !run.wanted && matches!(end, End::Answered(_) | End::Lost);
+        let stopped = !call.wanted && matches!(end, End::Answered(_) | End::Lost);
         if !stopped && !matches!(end, End::Answered(_)) {
             return;
         }
-        let seats = &self.backends[run.backend as usize].seats;
-        if let Some((_, at)) = seats.iter().find(|(id, _)| *id == held.pool) {
-            let hint = (held.ln_size, held.order.task.declared);
+        let endpoints = &self.backends[call.backend as usize].endpoints;
+        if let Some((_, at)) = endpoints.iter().find(|(id, _)| *id == task.pool) {
+            let hint = (task.ln_size, task.order.task.declared);
             if !stopped || micros as f64 > pool.typical_us(*at as usize) {
-                pool.learn(now, *at as usize, micros, hint);
+                pool.record_run_time(now, *at as usize, micros, hint);
             }
         }
-        let share = f64::from(pool.units(&held.want())) / pool.typical.max(1.0);
+        let share = f64::from(pool.units(&task.demand())) / pool.mean_units.max(1.0);
         let cost = (micros as f64 * share) as u64;
-        if cost > run.cost {
-            pool.queue.charge(held.team, cost - run.cost);
+        if cost > call.cost {
+            pool.queue.charge(task.team, cost - call.cost);
         } else {
-            pool.queue.refund(held.team, run.cost - cost);
+            pool.queue.refund(task.team, call.cost - cost);
         }
     }
 
     /// Judges a back end by the end of a call; returns whether it goes out.
-    fn judge(
+    fn update_health(
         &mut self,
         now: Time,
         slot: u32,
-        run: &BackendCall,
+        call: &BackendCall,
         end: &End,
         out: &mut Vec<PlaceEffect>,
     ) -> bool {
-        let Some(held) = self.held.get(slot) else { return false };
-        let pool = &self.pools[held.pool as usize];
-        let backend = &mut self.backends[run.backend as usize];
-        let fast = now.since(run.started).as_micros() as f64 <= pool.common.ln.exp() * FAST_PART;
-        let sign = match end {
-            End::Lost if !run.wanted => return false,
-            End::Answered(_) => CallResult::Good,
-            End::Rejected(status) if *status < SERVER_ERROR => CallResult::Good,
-            End::Rejected(_) if !fast => CallResult::Slow,
-            End::Rejected(_) | End::Lost => CallResult::Fast,
-            End::Unreachable | End::Leaving => CallResult::Away,
+        let Some(task) = self.tasks.get(slot) else { return false };
+        let pool = &self.pools[task.pool as usize];
+        let backend = &mut self.backends[call.backend as usize];
+        let fast = now.since(call.started).as_micros() as f64
+            <= pool.overall.mean_ln.exp() * FAST_FRACTION;
+        let result = match end {
+            End::Lost if !call.wanted => return false,
+            End::Answered(_) => CallResult::Success,
+            End::Rejected(status) if *status < SERVER_ERROR => CallResult::Success,
+            End::Rejected(_) if !fast => CallResult::SlowFailure,
+            End::Rejected(_) | End::Lost => CallResult::FastFailure,
+            End::Unreachable | End::Leaving => CallResult::Unavailable,
             End::Busy => {
-                backend.refused(now);
-                if let Some(until) = backend.hold_until() {
-                    self.timers.insert((until, Timer::Unhold(run.backend)));
+                backend.handle_busy(now);
+                if let Some(until) = backend.blocked_until() {
+                    self.timers.insert((until, Timer::Unblock(call.backend)));
                 }
                 return false;
             }
         };
-        backend.taken();
-        let spare = pool.sour * 2 > pool.usable && pool.usable > 1;
+        backend.reset_refusals();
+        let lenient = pool.failing_count * 2 > pool.usable_count && pool.usable_count > 1;
         let running = backend.running.len() as u32 + 1;
-        if !backend.health.note(now, sign, running, spare) {
+        if !backend.health.record(now, result, running, lenient) {
             return false;
         }
-        if let Some(until) = backend.health.until() {
-            self.timers.insert((until, Timer::Probe(run.backend)));
+        if let Some(until) = backend.health.ejected_until() {
+            self.timers.insert((until, Timer::Probe(call.backend)));
         }
-        let note = note("back_end_out", &backend.name, format!("{end:?}"));
+        let note = peer_note("back_end_out", &backend.name, format!("{end:?}"));
         out.push(PlaceEffect::Log(note));
         out.push(PlaceEffect::Count(Metric::Ejections, 1));
-        self.doubt_rack(now, run.backend, out);
+        self.suspect_rack(now, call.backend, out);
         true
     }
 
     /// Doubts the rest of a rack of which several back ends went out at once.
-    fn doubt_rack(&mut self, now: Time, id: u32, out: &mut Vec<PlaceEffect>) {
+    fn suspect_rack(&mut self, now: Time, id: u32, out: &mut Vec<PlaceEffect>) {
         let backend = &self.backends[id as usize];
         if backend.rack.is_empty() {
             return;
         }
         let Some(rack) = self.racks.get_mut(backend.rack_id as usize) else { return };
-        if !rack.went_out(now, id) {
+        if !rack.record_ejection(now, id) {
             return;
         }
-        let name = backend.rack.clone();
+        let rack_name = backend.rack.clone();
         let others = rack.backends.clone();
         for other in others {
-            self.backends[other as usize].health.doubt();
+            self.backends[other as usize].health.suspect();
             self.refresh(other);
         }
-        out.push(PlaceEffect::Log(note("rack_doubted", &name, String::from("several out"))));
+        out.push(PlaceEffect::Log(peer_note(
+            "rack_doubted",
+            &rack_name,
+            String::from("several out"),
+        )));
     }
 
     /// Starts what can be started on a back end that has room again.
-    pub(crate) fn dispatch_served(&mut self, now: Time, id: u32, out: &mut Vec<PlaceEffect>) {
+    pub(crate) fn dispatch_backend(&mut self, now: Time, id: u32, out: &mut Vec<PlaceEffect>) {
         if self.backends[id as usize].worker {
             self.dispatch(now, ACCELERATED, out);
         }
-        for step in 0..self.backends[id as usize].seats.len() {
-            let (pool, _) = self.backends[id as usize].seats[step];
+        for step in 0..self.backends[id as usize].endpoints.len() {
+            let (pool, _) = self.backends[id as usize].endpoints[step];
             self.dispatch(now, pool, out);
         }
     }
 }
 
 /// Makes a log line on a back end or rack.
-pub(crate) fn note(event: &'static str, peer: &str, reason: String) -> Note {
+pub(crate) fn peer_note(event: &'static str, peer: &str, reason: String) -> Note {
     let pairs = vec![("peer", peer.to_owned()), ("reason", reason)];
     Note { level: Level::Warn, event, id: None, pairs }
 }
--- a/endivestile_kernel/src/place/declared.rs
+++ b/endivestile_kernel/src/place/declared.rs
@@ -1,16 +1,16 @@
 //! What declared run times are worth.
 
 /// Samples over which the worth is averaged.
-const SPAN: f64 = 256.0;
+const AVERAGED_SAMPLES: f64 = 256.0;
 
 /// Samples from which on a declared run time is used.
-const LEAST_SAMPLES: f64 = 32.0;
+const MIN_SAMPLES: f64 = 32.0;
 
 /// Largest natural logarithm of a size that is believed, either way.
-const WIDEST: f64 = 2.5;
+const MAX_LN_SIZE: f64 = 2.5;
 
 /// Part of the scatter in run times that declared ones must explain to be used.
-const LEAST_WORTH: f64 = 0.1;
+const MIN_EXPLAINED: f64 = 0.1;
 
 /// Regression of run times on declared ones, in logarithms.
 ///
@@ -30,12 +30,12 @@
 
 impl DeclaredRunTimes {
     /// Takes in a task: its declared run time, and its run time over that of its back end.
-    pub(crate) fn learn(&mut self, declared_ms: u32, ln_size: f64) {
+    pub(crate) fn record(&mut self, declared_ms: u32, ln_size: f64) {
         if declared_ms == 0 {
             return;
         }
         let x = f64::from(declared_ms).ln();
-        self.samples = (self.samples + 1.0).min(SPAN);
+        self.samples = (self.samples + 1.0).min(AVERAGED_SAMPLES);
         let weight = 1.0 / self.samples;
         let (dx, dy) = (x - self.mean_x, ln_size - self.mean_y);
         self.mean_x += dx * weight;
@@ -49,7 +49,7 @@
     /// Returns the slope by which declared run times are believed.
     pub(crate) fn slope(&self) -> f64 {
         let explained = self.cov * self.cov;
-        if self.samples < LEAST_SAMPLES || explained < LEAST_WORTH * self.var_x * self.var_y {
+        if self.samples < MIN_SAMPLES || explained < MIN_EXPLAINED * self.var_x * self.var_y {
             return 0.0;
         }
         (self.cov / self.var_x.max(1e-6)).clamp(0.0, 1.0)
@@ -61,6 +61,6 @@
         if declared_ms == 0 || slope == 0.0 {
             return 0.0;
         }
-        (slope * (f64::from(declared_ms).ln() - self.mean_x)).clamp(-WIDEST, WIDEST)
+        (slope * (f64::from(declared_ms).ln() - self.mean_x)).clamp(-MAX_LN_SIZE, MAX_LN_SIZE)
     }
 }
--- a/endivestile_kernel/src/place/endpoint.rs
+++ b/endivestile_kernel/src/place/endpoint.rs
@@ -4,7 +4,7 @@
 
 /// Steps of the preference key per doubling of the run time: run times within
 /// 4% count as equal, and the back end with fewer tasks goes first.
-const KEYS_PER_OCTAVE: f64 = 16.0;
+const STEPS_PER_OCTAVE: f64 = 16.0;
 
 /// One back end in one pool.
 #[derive(Debug)]
@@ -14,9 +14,9 @@
     /// Rack, to spread a job's tasks.
     pub(crate) rack: u32,
     /// Run times learnt.
-    pub(crate) speed: RunTime,
+    pub(crate) run_time: RunTime,
     /// Believed run time while tasks are overdue, as a natural logarithm.
-    pub(crate) stalled: Option<f64>,
+    pub(crate) overdue_ln: Option<f64>,
     /// Band in which its capacity is counted.
     pub(crate) band: usize,
     /// Capacity counted in the band, 0 while not usable.
@@ -24,30 +24,30 @@
     /// Whether new tasks may go there.
     pub(crate) usable: bool,
     /// Whether it is usable and its last answer was a failure.
-    pub(crate) sour: bool,
+    pub(crate) failing: bool,
     /// Tasks running on the back end.
     pub(crate) running: u32,
     /// Number of the start in the pool that was its last.
-    pub(crate) turn: u32,
+    pub(crate) last_start: u32,
     /// Key among the free seats, none when it has no free slot.
-    pub(crate) key: Option<EndpointKey>,
+    pub(crate) free_key: Option<EndpointKey>,
 }
 
 impl Endpoint {
     /// Makes a seat without capacity.
-    pub(crate) fn new(backend: u32, rack: u32, speed: RunTime) -> Self {
+    pub(crate) fn new(backend: u32, rack: u32, run_time: RunTime) -> Self {
         Self {
             backend,
             rack,
-            speed,
-            stalled: None,
+            run_time,
+            overdue_ln: None,
             band: 0,
             units: 0,
             usable: false,
-            sour: false,
+            failing: false,
             running: 0,
-            turn: 0,
-            key: None,
+            last_start: 0,
+            free_key: None,
         }
     }
 }
@@ -62,10 +62,10 @@
 
 impl EndpointKey {
     /// Makes the key of seat `at` from the logarithm of its run time.
-    pub(crate) fn new(ln: f64, running: u32, turn: u32, at: usize) -> Self {
-        let step = (ln * std::f64::consts::LOG2_E * KEYS_PER_OCTAVE).max(0.0) as u64;
-        let order = step.min(0xffff) << 48 | u64::from(running.min(0xffff)) << 32;
-        Self { order: order | u64::from(turn), at: at as u32 }
+    pub(crate) fn new(ln: f64, running: u32, last_start: u32, at: usize) -> Self {
+        let run_time_step = (ln * std::f64::consts::LOG2_E * STEPS_PER_OCTAVE).max(0.0) as u64;
+        let order = run_time_step.min(0xffff) << 48 | u64::from(running.min(0xffff)) << 32;
+        Self { order: order | u64::from(last_start), at: at as u32 }
     }
 
     /// Returns the seat.
@@ -74,7 +74,7 @@
     }
 
     /// Returns the step of the run time.
-    pub(crate) const fn step(self) -> u64 {
+    pub(crate) const fn run_time_step(self) -> u64 {
         self.order >> 48
     }
 }
--- a/endivestile_kernel/src/place/fit.rs
+++ b/endivestile_kernel/src/place/fit.rs
@@ -17,12 +17,12 @@
     }
 
     /// Sets the room of a leaf.
-    pub(crate) fn set(&mut self, at: usize, room: Resources) {
+    pub(crate) fn set(&mut self, at: usize, free: Resources) {
         let mut node = self.width + at;
-        if self.nodes[node] == room {
+        if self.nodes[node] == free {
             return;
         }
-        self.nodes[node] = room;
+        self.nodes[node] = free;
         while node > 1 {
             node /= 2;
             self.nodes[node] = self.nodes[2 * node].max(&self.nodes[2 * node + 1]);
@@ -30,16 +30,16 @@
     }
 
     /// Returns the room of a leaf.
-    pub(crate) fn room(&self, at: usize) -> Resources {
+    pub(crate) fn free(&self, at: usize) -> Resources {
         self.nodes[self.width + at]
     }
 
     /// Returns the first leaf from `from` on that holds `want`.
-    pub(crate) fn find(&self, want: &Resources, from: usize) -> Option<usize> {
+    pub(crate) fn find(&self, demand: &Resources, from: usize) -> Option<usize> {
         if from >= self.width {
             return None;
         }
-        self.descend(1, self.width, 0, (want, from))
+        self.descend(1, self.width, 0, (demand, from))
     }
 
     fn descend(
@@ -49,8 +49,8 @@
         start: usize,
         query: (&Resources, usize),
     ) -> Option<usize> {
-        let (want, from) = query;
-        if start + span <= from || !self.nodes[node].holds(want) {
+        let (demand, from) = query;
+        if start + span <= from || !self.nodes[node].covers(demand) {
             return None;
         }
         if span == 1 {
--- a/endivestile_kernel/src/place/health.rs
+++ b/endivestile_kernel/src/place/health.rs
@@ -3,7 +3,7 @@
 use crate::Time;
 
 /// Weight of failures in a row that takes a back end out.
-const OUT_WEIGHT: u32 = 6;
+const EJECT_WEIGHT: u32 = 6;
 
 /// Weight of a failure that took about as long as an answer.
 const SLOW_WEIGHT: u32 = 1;
@@ -12,10 +12,10 @@
 const FAST_WEIGHT: u32 = 2;
 
 /// First time out, in milliseconds; doubled with each probe that fails.
-const FIRST_OUT_MS: u64 = 200;
+const FIRST_EJECTION_MS: u64 = 200;
 
 /// Longest time out, in milliseconds.
-const LONGEST_OUT_MS: u64 = 15_000;
+const MAX_EJECTION_MS: u64 = 15_000;
 
 /// Answers in a row after which earlier times out are forgotten.
 const FORGET_AFTER: u32 = 32;
@@ -24,13 +24,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallResult {
     /// An answer.
-    Good,
+    Success,
     /// A failure after about the usual run time.
-    Slow,
+    SlowFailure,
     /// A failure much sooner than the usual run time, or no whole answer.
-    Fast,
+    FastFailure,
     /// No connection, or the back end said that it is leaving.
-    Away,
+    Unavailable,
 }
 
 /// Health of one back end.
@@ -43,112 +43,127 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Health {
     /// Tasks it may run at once now.
-    cap: u32,
+    task_limit: u32,
     /// Weight of the failures in a row.
-    strain: u32,
+    failure_weight: u32,
     /// Times out in a row.
-    strikes: u32,
+    ejections: u32,
     /// Answers in a row.
-    good: u32,
+    successes: u32,
     /// End of the time out, none while in use.
-    until: Option<Time>,
+    ejected_until: Option<Time>,
 }
 
 impl Health {
     /// A back end that nothing speaks against.
     pub(crate) const fn new() -> Self {
-        Self { cap: u32::MAX, strain: 0, strikes: 0, good: 0, until: None }
+        Self {
+            task_limit: u32::MAX,
+            failure_weight: 0,
+            ejections: 0,
+            successes: 0,
+            ejected_until: None,
+        }
     }
 
     /// Returns whether it is in use.
-    pub(crate) const fn up(&self) -> bool {
-        self.until.is_none()
+    pub(crate) const fn is_active(&self) -> bool {
+        self.ejected_until.is_none()
     }
 
     /// Returns the tasks it may run at once.
-    pub(crate) const fn cap(&self) -> u32 {
-        self.cap
+    pub(crate) const fn task_limit(&self) -> u32 {
+        self.task_limit
     }
 
     /// Returns the end of its time out.
-    pub(crate) const fn until(&self) -> Option<Time> {
-        self.until
+    pub(crate) const fn ejected_until(&self) -> Option<Time> {
+        self.ejected_until
     }
 
     /// Returns whether its last answer was a failure.
-    pub(crate) const fn sour(&self) -> bool {
-        self.strain > 0 || self.until.is_some()
+    pub(crate) const fn is_failing(&self) -> bool {
+        self.failure_weight > 0 || self.ejected_until.is_some()
     }
 
     /// Takes in how a call ended; returns whether it goes out by that.
     ///
     /// `running`: the tasks that ran there, this one among them. `spare`: most of
     /// its peers fail as well, so that the tasks are to blame.
-    pub(crate) fn note(&mut self, now: Time, sign: CallResult, running: u32, spare: bool) -> bool {
-        let weight = match sign {
-            CallResult::Good => {
+    pub(crate) fn record(
+        &mut self,
+        now: Time,
+        result: CallResult,
+        running: u32,
+        lenient: bool,
+    ) -> bool {
+        let weight = match result {
+            CallResult::Success => {
                 self.succeed();
                 return false;
             }
-            CallResult::Slow => SLOW_WEIGHT,
-            CallResult::Fast => FAST_WEIGHT,
-            CallResult::Away => OUT_WEIGHT,
+            CallResult::SlowFailure => SLOW_WEIGHT,
+            CallResult::FastFailure => FAST_WEIGHT,
+            CallResult::Unavailable => EJECT_WEIGHT,
         };
-        if !self.up() {
+        if !self.is_active() {
             return false;
         }
-        self.good = 0;
-        self.strain += weight;
-        let away = sign == CallResult::Away;
-        if spare && !away {
+        self.successes = 0;
+        self.failure_weight += weight;
+        let unavailable = result == CallResult::Unavailable;
+        if lenient && !unavailable {
             return false;
         }
         // On probation one failure is enough.
-        if away || self.strain >= OUT_WEIGHT || self.cap == 1 && self.strikes > 0 {
-            self.take_out(now);
+        if unavailable
+            || self.failure_weight >= EJECT_WEIGHT
+            || self.task_limit == 1 && self.ejections > 0
+        {
+            self.eject(now);
             return true;
         }
-        self.cap = (self.cap.min(running) / 2).max(1);
+        self.task_limit = (self.task_limit.min(running) / 2).max(1);
         false
     }
 
     fn succeed(&mut self) {
-        self.strain = 0;
-        self.good += 1;
-        self.cap = self.cap.saturating_mul(2);
-        if self.good >= FORGET_AFTER {
-            self.strikes = 0;
+        self.failure_weight = 0;
+        self.successes += 1;
+        self.task_limit = self.task_limit.saturating_mul(2);
+        if self.successes >= FORGET_AFTER {
+            self.ejections = 0;
         }
     }
 
-    fn take_out(&mut self, now: Time) {
-        let span = (FIRST_OUT_MS << self.strikes.min(16)).min(LONGEST_OUT_MS);
-        self.strikes += 1;
-        self.until = Some(now.after_ms(span));
+    fn eject(&mut self, now: Time) {
+        let span = (FIRST_EJECTION_MS << self.ejections.min(16)).min(MAX_EJECTION_MS);
+        self.ejections += 1;
+        self.ejected_until = Some(now.after_ms(span));
     }
 
     /// Ends the time out: one task may probe it.
-    pub(crate) fn probe(&mut self) {
-        self.until = None;
-        self.strain = 0;
-        self.good = 0;
-        self.cap = 1;
+    pub(crate) fn start_probe(&mut self) {
+        self.ejected_until = None;
+        self.failure_weight = 0;
+        self.successes = 0;
+        self.task_limit = 1;
     }
 
     /// Puts the probe off.
-    pub(crate) fn postpone(&mut self, until: Time) {
-        self.until = Some(until);
+    pub(crate) fn postpone_probe(&mut self, ejected_until: Time) {
+        self.ejected_until = Some(ejected_until);
     }
 
     /// Lets one task at a time go there until an answer comes back; a failure
     /// takes it out.
-    pub(crate) fn doubt(&mut self) {
-        self.cap = 1;
-        self.strikes = self.strikes.max(1);
+    pub(crate) fn suspect(&mut self) {
+        self.task_limit = 1;
+        self.ejections = self.ejections.max(1);
     }
 
     /// Returns whether it has answered since its last time out.
-    pub(crate) const fn proven(&self) -> bool {
-        self.up() && self.good > 0
+    pub(crate) const fn is_confirmed(&self) -> bool {
+        self.is_active() && self.successes > 0
     }
 }
--- a/endivestile_kernel/src/place/placer.rs
+++ b/endivestile_kernel/src/place/placer.rs
@@ -8,7 +8,7 @@
 
 use super::backend::Backend;
 use super::effect::{PlaceEffect, PlacerSetup};
-use super::policy::{PolicyFn, policy};
+use super::policy::{PolicyFn, policy_by_name};
 use super::pool::{Pool, PoolKind};
 use super::rack::Rack;
 use super::share;
@@ -36,20 +36,20 @@
     pub(crate) stopping: bool,
     pub(crate) teams: Teams,
     pub(crate) backends: Vec<Backend>,
-    pub(crate) vacant: Vec<u32>,
-    pub(crate) by_name: HashMap<Name, u32>,
-    pub(crate) leaving: HashSet<Name>,
+    pub(crate) vacant_ids: Vec<u32>,
+    pub(crate) backend_ids: HashMap<Name, u32>,
+    pub(crate) leaving_names: HashSet<Name>,
     pub(crate) racks: Vec<Rack>,
     pub(crate) pools: Vec<Pool>,
-    pub(crate) services: HashMap<Name, u32>,
-    pub(crate) held: TaskTable,
-    pub(crate) index: HashMap<(Peer, TaskKey), u32>,
-    pub(crate) attempts: HashMap<AttemptId, u32>,
+    pub(crate) service_pools: HashMap<Name, u32>,
+    pub(crate) tasks: TaskTable,
+    pub(crate) task_by_key: HashMap<(Peer, TaskKey), u32>,
+    pub(crate) task_by_attempt: HashMap<AttemptId, u32>,
     pub(crate) next_attempt: u64,
     pub(crate) next_seq: u64,
-    pub(crate) waiting: u32,
+    pub(crate) waiting_count: u32,
     pub(crate) timers: BTreeSet<(Time, Timer)>,
-    pub(crate) revisit: Option<Time>,
+    pub(crate) revisit_at: Option<Time>,
 }
 
 impl Placer {
@@ -58,25 +58,25 @@
         Self {
             me: setup.me,
             rng: SmallRng::seed_from_u64(setup.seed),
-            choose: policy(""),
+            choose: policy_by_name(""),
             config: Config::default(),
             stopping: false,
             teams: Teams::default(),
             backends: Vec::new(),
-            vacant: Vec::new(),
-            by_name: HashMap::new(),
-            leaving: HashSet::new(),
+            vacant_ids: Vec::new(),
+            backend_ids: HashMap::new(),
+            leaving_names: HashSet::new(),
             racks: Vec::new(),
             pools: vec![Pool::new(PoolKind::Plain), Pool::new(PoolKind::Accelerated)],
-            services: HashMap::new(),
-            held: TaskTable::default(),
-            index: HashMap::new(),
-            attempts: HashMap::new(),
+            service_pools: HashMap::new(),
+            tasks: TaskTable::default(),
+            task_by_key: HashMap::new(),
+            task_by_attempt: HashMap::new(),
             next_attempt: 0,
             next_seq: 0,
-            waiting: 0,
+            waiting_count: 0,
             timers: BTreeSet::new(),
-            revisit: None,
+            revisit_at: None,
         }
     }
 
@@ -90,9 +90,9 @@
         out: &mut Vec<PlaceEffect>,
     ) {
         self.config = config.clone();
-        self.choose = policy(&config.rules.policy);
+        self.choose = policy_by_name(&config.rules.policy);
         self.teams.configure(&config.teams, view, &self.me);
-        let specs = share::share(config, view, &self.me);
+        let specs = share::own_backends(config, view, &self.me);
         self.rebuild(now, &specs, out);
     }
 
@@ -102,7 +102,7 @@
     /// so that their homes place them anew.
     pub fn handle_view(&mut self, now: Time, view: &View, out: &mut Vec<PlaceEffect>) {
         self.teams.configure(&self.config.teams, view, &self.me);
-        let specs = share::share(&self.config, view, &self.me);
+        let specs = share::own_backends(&self.config, view, &self.me);
         if !self.same_share(&specs) {
             self.rebuild(now, &specs, out);
         }
@@ -117,13 +117,13 @@
         out: &mut Vec<PlaceEffect>,
     ) {
         if leaving {
-            self.leaving.insert(Name::from(name));
+            self.leaving_names.insert(Name::from(name));
         } else {
-            self.leaving.remove(name);
+            self.leaving_names.remove(name);
         }
-        let Some(&id) = self.by_name.get(name) else { return };
+        let Some(&id) = self.backend_ids.get(name) else { return };
         self.backends[id as usize].leaving = leaving;
-        self.changed(now, id, out);
+        self.handle_backend_change(now, id, out);
     }
 
     /// Takes in an order of a home: it is started, queued or refused at once.
@@ -134,8 +134,8 @@
         order: Order,
         out: &mut Vec<PlaceEffect>,
     ) {
-        let name = (home.clone(), order.key);
-        if self.index.contains_key(&name) {
+        let task_key = (home.clone(), order.key);
+        if self.task_by_key.contains_key(&task_key) {
             return;
         }
         let team = self.teams.id(&order.team);
@@ -149,28 +149,28 @@
             }
         };
         let state = &mut self.pools[pool as usize];
-        state.hint(order.task.declared);
+        state.apply_hint(order.task.declared);
         let ln_size = state.declared.ln_size(order.task.declared);
-        state.sizes.count(ln_size);
-        let held = TaskEntry {
+        state.work_by_size.record(ln_size);
+        let task = TaskEntry {
             home: home.clone(),
             order,
             pool,
             team,
             seq: self.next_seq,
             ln_size,
-            patient: None,
-            drop_at: Time::NEVER,
-            tries: 0,
+            wait_until: None,
+            expires_at: Time::NEVER,
+            failed_starts: 0,
             overtaken: 0,
             trial,
-            kept: None,
-            run: None,
+            reserved_worker: None,
+            call: None,
         };
         self.next_seq += 1;
-        let slot = self.held.insert(held);
-        self.index.insert(name, slot);
-        self.teams.hold(team);
+        let slot = self.tasks.insert(task);
+        self.task_by_key.insert(task_key, slot);
+        self.teams.add_task(team);
         self.enqueue(now, slot);
         self.arm_revisit(now);
         self.dispatch(now, pool, out);
@@ -185,34 +185,34 @@
         key: TaskKey,
         out: &mut Vec<PlaceEffect>,
     ) {
-        let Some(slot) = self.index.remove(&(home.clone(), key)) else { return };
-        let Some(held) = self.held.get_mut(slot) else { return };
-        if let Some(run) = held.run.as_mut() {
-            run.wanted = false;
-            out.push(PlaceEffect::Abort(run.attempt));
+        let Some(slot) = self.task_by_key.remove(&(home.clone(), key)) else { return };
+        let Some(task) = self.tasks.get_mut(slot) else { return };
+        if let Some(call) = task.call.as_mut() {
+            call.wanted = false;
+            out.push(PlaceEffect::Abort(call.attempt));
             return;
         }
-        let pool = held.pool;
-        self.unqueue(slot);
-        self.forget(slot);
-        self.dispatch_behind(now, pool, out);
+        let pool = task.pool;
+        self.dequeue(slot);
+        self.discard(slot);
+        self.dispatch_after_removal(now, pool, out);
     }
 
     /// Forgets the waiting tasks of a home that is gone; running ones go on.
     pub fn handle_home_gone(&mut self, now: Time, home: &Peer, out: &mut Vec<PlaceEffect>) {
-        let of_home = self.held.iter().filter(|(_, held)| held.home == *home);
+        let of_home = self.tasks.iter().filter(|(_, task)| task.home == *home);
         let (running, waiting): (Vec<_>, Vec<_>) =
-            of_home.map(|(slot, held)| (slot, held.run.is_some())).partition(|(_, runs)| *runs);
+            of_home.map(|(slot, task)| (slot, task.call.is_some())).partition(|(_, runs)| *runs);
         for (slot, _) in running {
-            if let Some(held) = self.held.get_mut(slot) {
-                self.index.remove(&(held.home.clone(), held.order.key));
-                held.run =
-                    held.run.map(|run| super::task_table::BackendCall { wanted: false, ..run });
+            if let Some(task) = self.tasks.get_mut(slot) {
+                self.task_by_key.remove(&(task.home.clone(), task.order.key));
+                task.call =
+                    task.call.map(|call| super::task_table::BackendCall { wanted: false, ..call });
             }
         }
         for (slot, _) in waiting {
-            self.unqueue(slot);
-            self.forget(slot);
+            self.dequeue(slot);
+            self.discard(slot);
         }
         self.dispatch_all(now, out);
     }
@@ -224,7 +224,7 @@
 
     /// Returns whether nothing waits or runs.
     pub fn is_idle(&self) -> bool {
-        self.held.is_empty()
+        self.tasks.is_empty()
     }
 
     /// Returns whether any back end of the whole inventory could ever run a task.
@@ -235,7 +235,7 @@
     /// Returns the pool for a target.
     pub(crate) fn pool_of(&self, target: &Target) -> Option<u32> {
         match target {
-            Target::Service(name) => self.services.get(name).copied(),
+            Target::Service(name) => self.service_pools.get(name).copied(),
             Target::Need(need) if need.accelerators == 0 => Some(PLAIN),
             Target::Need(_) => Some(ACCELERATED),
         }
--- a/endivestile_kernel/src/place/policy.rs
+++ b/endivestile_kernel/src/place/policy.rs
@@ -26,9 +26,9 @@
 }
 
 /// Takes the fastest back end with room, unless waiting for a faster one ends sooner.
-fn earliest(choice: &PolicyInput<'_>, _: &mut SmallRng) -> Option<usize> {
-    let at = choice.fastest()?;
-    choice.worthwhile(at).then_some(at)
+fn earliest(input: &PolicyInput<'_>, _: &mut SmallRng) -> Option<usize> {
+    let at = input.fastest()?;
+    input.beats_waiting(at).then_some(at)
 }
 
 /// Returns the names of all policies, sorted.
@@ -39,7 +39,7 @@
 }
 
 /// Returns the policy of this name, or the default one.
-pub(crate) fn policy(name: &str) -> PolicyFn {
+pub(crate) fn policy_by_name(name: &str) -> PolicyFn {
     let find = |name: &str| {
         inventory::iter::<PolicyPlugin>().find(|plugin| plugin.name == name).map(|p| p.choose)
     };
--- a/endivestile_kernel/src/place/policy_input.rs
+++ b/endivestile_kernel/src/place/policy_input.rs
@@ -5,7 +5,7 @@
 use crate::Time;
 
 /// Weight of the waiting of others against a slow start, while no slot is to spare.
-const WALK: f64 = 4.0;
+const QUEUE_COST_WEIGHT: f64 = 4.0;
 
 /// What a policy may know of the task.
 #[derive(Debug, Clone, Copy)]
@@ -13,9 +13,9 @@
     /// Natural logarithm of its believed size.
     pub(crate) ln_size: f64,
     /// Until when it waits for a faster back end, once it does.
-    pub(crate) patient: Option<Time>,
+    pub(crate) wait_until: Option<Time>,
     /// Whether a smaller task of its team waits right behind it.
-    pub(crate) smaller: bool,
+    pub(crate) smaller_waits: bool,
 }
 
 /// A choice of a back end for one task, as a policy sees it.
@@ -24,45 +24,45 @@
 #[derive(Debug)]
 pub struct PolicyInput<'a> {
     pool: &'a Pool,
-    want: Resources,
-    near: Option<usize>,
+    demand: Resources,
+    fastest_free: Option<usize>,
     now: Time,
-    offer: TaskProfile,
+    task: TaskProfile,
 }
 
 impl<'a> PolicyInput<'a> {
     /// Offers a task at an instant; `near` is the fastest back end with room.
     pub(crate) const fn new(
         pool: &'a Pool,
-        want: Resources,
-        near: Option<usize>,
+        demand: Resources,
+        fastest_free: Option<usize>,
         now: Time,
-        offer: TaskProfile,
+        task: TaskProfile,
     ) -> Self {
-        Self { pool, want, near, now, offer }
+        Self { pool, demand, fastest_free, now, task }
     }
 
     /// Returns the number of back ends.
     pub fn count(&self) -> usize {
-        self.pool.seats.len()
+        self.pool.endpoints.len()
     }
 
     /// Returns whether a back end has room for the task now.
-    pub fn free(&self, at: usize) -> bool {
-        if self.pool.on_workers() {
-            return self.pool.tree.room(at).holds(&self.want);
+    pub fn is_free(&self, at: usize) -> bool {
+        if self.pool.runs_on_workers() {
+            return self.pool.free_tree.free(at).covers(&self.demand);
         }
-        self.pool.seats[at].key.is_some()
+        self.pool.endpoints[at].free_key.is_some()
     }
 
     /// Returns the first back end with room from `from` on, around to the start.
     pub fn next_free(&self, from: usize) -> Option<usize> {
-        if self.pool.on_workers() {
-            let tree = &self.pool.tree;
-            return tree.find(&self.want, from).or_else(|| tree.find(&self.want, 0));
+        if self.pool.runs_on_workers() {
+            let tree = &self.pool.free_tree;
+            return tree.find(&self.demand, from).or_else(|| tree.find(&self.demand, 0));
         }
         let count = self.count();
-        (0..count).map(|step| (from + step) % count).find(|at| self.free(*at))
+        (0..count).map(|step| (from + step) % count).find(|at| self.is_free(*at))
     }
 
     /// Returns the back end after the one that was chosen last.
@@ -72,13 +72,13 @@
 
     /// Returns the tasks that this placer runs on a back end.
     pub fn outstanding(&self, at: usize) -> u32 {
-        self.pool.seats[at].running
+        self.pool.endpoints[at].running
     }
 
     /// Returns the back end with room that is expected to be the fastest, and
     /// among equals the one with fewer tasks on another rack than the job's last.
     pub fn fastest(&self) -> Option<usize> {
-        self.near
+        self.fastest_free
     }
 
     /// Returns whether taking this free back end is better than waiting for a
@@ -96,27 +96,28 @@
     ///
     /// A task that has already waited for as long as it would run here waits no
     /// more: the faster slots are not given back as expected.
-    pub fn worthwhile(&self, at: usize) -> bool {
-        let size = self.offer.ln_size.exp();
+    pub fn beats_waiting(&self, at: usize) -> bool {
+        let size = self.task.ln_size.exp();
         let typical = self.pool.typical_us(at) * size;
-        if self.offer.patient.is_some_and(|until| until <= self.now) {
+        if self.task.wait_until.is_some_and(|until| until <= self.now) {
             return true;
         }
-        let (units, rate) = self.pool.bands.below(self.pool.seats[at].band);
+        let (units, rate) = self.pool.bands.below(self.pool.endpoints[at].band);
         if units == 0.0 {
             return true;
         }
-        let carried = rate / self.pool.scale;
-        let part = self.pool.sizes.part_from(self.offer.ln_size);
-        let arriving = self.pool.arrivals.rate(self.now);
-        let spare = 1.0 - arriving * part / carried;
-        let all = self.pool.bands.total().1 / self.pool.scale;
-        let idle = ((all - arriving) / (all - carried)).clamp(0.0, 1.0);
-        if idle == 0.0 && self.offer.smaller {
+        let fast_rate = rate / self.pool.mean_ratio;
+        let work_share = self.pool.work_by_size.fraction_from(self.task.ln_size);
+        let arrival_rate = self.pool.arrivals.rate(self.now);
+        let spare_share = 1.0 - arrival_rate * work_share / fast_rate;
+        let total_rate = self.pool.bands.total().1 / self.pool.mean_ratio;
+        let idle_share = ((total_rate - arrival_rate) / (total_rate - fast_rate)).clamp(0.0, 1.0);
+        if idle_share == 0.0 && self.task.smaller_waits {
             return false;
         }
-        let equal = (typical * rate - units * size).max(0.0);
-        self.pool.wanted as f64 * part > patience(equal, spare, idle)
+        let break_even = (typical * rate - units * size).max(0.0);
+        self.pool.waiting_units as f64 * work_share
+            > max_waiting(break_even, spare_share, idle_share)
     }
 }
 
@@ -132,7 +133,7 @@
 ///
 /// `idle` is the part of the slow slots that arrivals leave: where they need all
 /// of them, waiting only wastes capacity.
-fn patience(equal: f64, spare: f64, idle: f64) -> f64 {
-    let half = equal * spare / 2.0;
-    (half * half + WALK * idle * equal).sqrt() + half
+fn max_waiting(break_even: f64, spare_share: f64, idle_share: f64) -> f64 {
+    let half = break_even * spare_share / 2.0;
+    (half * half + QUEUE_COST_WEIGHT * idle_share * break_even).sqrt() + half
 }
--- a/endivestile_kernel/src/place/rack.rs
+++ b/endivestile_kernel/src/place/rack.rs
@@ -3,7 +3,7 @@
 use crate::Time;
 
 /// Back ends of a rack that go out within the window before the rest is doubted.
-const DOUBT_OUTS: usize = 3;
+const SUSPECT_EJECTIONS: usize = 3;
 
 /// Window for that, in milliseconds.
 const WINDOW_MS: u64 = 2_000;
@@ -20,7 +20,7 @@
     /// Slots of its back ends.
     pub(crate) backends: Vec<u32>,
     /// When back ends went out lately.
-    outs: Vec<Time>,
+    ejections: Vec<Time>,
     /// Back end that is probed for all, while the rack is in doubt.
     pub(crate) prober: Option<u32>,
 }
@@ -28,10 +28,10 @@
 impl Rack {
     /// Takes in that a back end went out; returns whether the others come into
     /// doubt by that.
-    pub(crate) fn went_out(&mut self, now: Time, id: u32) -> bool {
-        self.outs.retain(|out| out.after_ms(WINDOW_MS) > now);
-        self.outs.push(now);
-        if self.outs.len() < DOUBT_OUTS || self.prober.is_some() {
+    pub(crate) fn record_ejection(&mut self, now: Time, id: u32) -> bool {
+        self.ejections.retain(|out| out.after_ms(WINDOW_MS) > now);
+        self.ejections.push(now);
+        if self.ejections.len() < SUSPECT_EJECTIONS || self.prober.is_some() {
             return false;
         }
         self.prober = Some(id);
--- a/endivestile_kernel/src/place/report.rs
+++ b/endivestile_kernel/src/place/report.rs
@@ -11,11 +11,11 @@
     /// no usable back end of this share could run it.
     pub fn expected_end(&self, now: Time, task: &Task) -> Option<Time> {
         let pool = &self.pools[self.pool_of(&task.target)? as usize];
-        let want = Resources::wanted(&task.target);
-        if !pool.could_run(&want) {
+        let demand = Resources::demand_of(&task.target);
+        if !pool.can_run(&demand) {
             return None;
         }
-        Some(now.after_us(pool.finish_us(&want)))
+        Some(now.after_us(pool.finish_us(&demand)))
     }
 
     /// Returns whether what was learnt lets this share take the task, though the
@@ -29,8 +29,8 @@
         let pool = &self.pools[pool as usize];
         let ln_size = pool.declared.ln_size(task.declared);
         let too_long = now.after_us(pool.fastest_us(ln_size)) > deadline;
-        let free = pool.first_free(&Resources::wanted(&task.target)).is_some();
-        (free && !pool.judged()) || (too_long && now >= pool.trial_at)
+        let free = pool.first_free(&Resources::demand_of(&task.target)).is_some();
+        (free && !pool.has_estimate()) || (too_long && now >= pool.next_trial)
     }
 
     /// Returns whether a back end of this share that could run the task is free
@@ -38,25 +38,25 @@
     pub fn has_untried_backend(&self, task: &Task) -> bool {
         let Some(pool) = self.pool_of(&task.target) else { return false };
         let pool = &self.pools[pool as usize];
-        !pool.common.known() && pool.first_free(&Resources::wanted(&task.target)).is_some()
+        !pool.overall.is_known() && pool.first_free(&Resources::demand_of(&task.target)).is_some()
     }
 
     /// Returns the load of the share: one figure per service and class of need.
     pub fn figures(&self, _now: Time) -> Vec<Figure> {
-        let pools = self.pools.iter().filter(|pool| pool.usable > 0);
+        let pools = self.pools.iter().filter(|pool| pool.usable_count > 0);
         pools.map(|pool| self.figure(pool)).collect()
     }
 
     fn figure(&self, pool: &Pool) -> Figure {
-        let free = |seat: &super::endpoint::Endpoint| {
-            pool.units(&self.backends[seat.backend as usize].free())
+        let free = |endpoint: &super::endpoint::Endpoint| {
+            pool.units(&self.backends[endpoint.backend as usize].free())
         };
         let (units, _) = pool.bands.total();
-        let free: u32 = pool.seats.iter().map(free).sum();
-        let typical = pool.typical.max(1.0);
+        let free: u32 = pool.endpoints.iter().map(free).sum();
+        let units_per_task = pool.mean_units.max(1.0);
         let first = pool.first_free(&Resources::default());
         let service = first.map_or_else(
-            || pool.bands.fastest_us().unwrap_or(0.0) * pool.scale,
+            || pool.bands.fastest_us().unwrap_or(0.0) * pool.mean_ratio,
             |at| pool.mean_us(at),
         );
         let wait = if free > 0 && pool.queue.waiting() == 0 {
@@ -66,8 +66,8 @@
         };
         Figure {
             target: target(pool),
-            slots: (f64::from(units as u32) / typical) as u32,
-            free: (f64::from(free) / typical) as u32,
+            slots: (f64::from(units as u32) / units_per_task) as u32,
+            free: (f64::from(free) / units_per_task) as u32,
             waiting: pool.queue.waiting(),
             service_us: service as u32,
             wait_us: wait as u32,
@@ -76,21 +76,21 @@
 
     /// Returns how the back ends of the share stand.
     pub fn status(&self, _now: Time) -> Vec<ServerStatus> {
-        let listed = self.backends.iter().filter(|backend| backend.listed);
-        let mut all: Vec<ServerStatus> = listed
+        let in_share = self.backends.iter().filter(|backend| backend.in_share);
+        let mut all: Vec<ServerStatus> = in_share
             .map(|backend| {
-                let pools = backend.seats.iter().map(|(pool, at)| {
+                let pools = backend.endpoints.iter().map(|(pool, at)| {
                     let pool = &self.pools[*pool as usize];
-                    (pool.queue.waiting(), pool.seats[*at as usize].speed)
+                    (pool.queue.waiting(), pool.endpoints[*at as usize].run_time)
                 });
-                let (waiting, speeds): (Vec<u32>, Vec<_>) = pools.unzip();
-                let known = speeds.iter().find(|speed| speed.known());
+                let (waiting, run_times): (Vec<u32>, Vec<_>) = pools.unzip();
+                let known = run_times.iter().find(|run_time| run_time.is_known());
                 ServerStatus {
                     name: backend.name.clone(),
-                    slots: backend.total.cpu,
+                    slots: backend.capacity.cpu,
                     free: backend.free().cpu,
                     waiting: waiting.iter().sum(),
-                    speed_us: known.map_or(0, |speed| speed.ln.exp() as u64),
+                    speed_us: known.map_or(0, |run_time| run_time.mean_ln.exp() as u64),
                     health: backend.condition(),
                 }
             })
@@ -102,11 +102,11 @@
 
 /// Names what a pool runs, with the most demanding need that waits.
 fn target(pool: &Pool) -> Target {
-    let most = pool.needs.keys().next_back().copied();
+    let largest_need = pool.waiting_needs.keys().next_back().copied();
     let need = |accelerators| Need { cpu_milli: 0, memory_mb: 0, accelerators };
     match &pool.kind {
         PoolKind::Service(name) => Target::Service(name.clone()),
-        PoolKind::Plain => Target::Need(most.unwrap_or_else(|| need(0))),
-        PoolKind::Accelerated => Target::Need(most.unwrap_or_else(|| need(1))),
+        PoolKind::Plain => Target::Need(largest_need.unwrap_or_else(|| need(0))),
+        PoolKind::Accelerated => Target::Need(largest_need.unwrap_or_else(|| need(1))),
     }
 }
--- a/endivestile_kernel/src/place/resources.rs
+++ b/endivestile_kernel/src/place/resources.rs
@@ -20,7 +20,7 @@
     }
 
     /// Returns what a task takes of its back end, never nothing at all.
-    pub(crate) fn wanted(target: &Target) -> Self {
+    pub(crate) fn demand_of(target: &Target) -> Self {
         match target {
             Target::Service(_) => Self::slots(1),
             Target::Need(need) => Self::from(*need),
@@ -28,8 +28,10 @@
     }
 
     /// Returns whether `want` fits.
-    pub(crate) const fn holds(&self, want: &Self) -> bool {
-        self.cpu >= want.cpu && self.memory >= want.memory && self.accelerators >= want.accelerators
+    pub(crate) const fn covers(&self, demand: &Self) -> bool {
+        self.cpu >= demand.cpu
+            && self.memory >= demand.memory
+            && self.accelerators >= demand.accelerators
     }
 
     /// Returns the sum with `other`.
@@ -51,12 +53,13 @@
     }
 
     /// Returns how much of `want` fits, in thousandths.
-    pub(crate) fn share(&self, want: &Self) -> u64 {
-        let part =
+    pub(crate) fn fit_permille(&self, demand: &Self) -> u64 {
+        let permille =
             |have: u32, need: u32| u64::from(have.min(need)) * 1_000 / u64::from(need.max(1));
-        let rest = |have: u32, need: u32| if need == 0 { 1_000 } else { part(have, need) };
-        let cpu = part(self.cpu, want.cpu);
-        cpu.min(rest(self.memory, want.memory)).min(rest(self.accelerators, want.accelerators))
+        let optional = |have: u32, need: u32| if need == 0 { 1_000 } else { permille(have, need) };
+        let cpu = permille(self.cpu, demand.cpu);
+        cpu.min(optional(self.memory, demand.memory))
+            .min(optional(self.accelerators, demand.accelerators))
     }
 
     /// Returns the larger of each part.
--- a/endivestile_kernel/src/place/share.rs
+++ b/endivestile_kernel/src/place/share.rs
@@ -17,13 +17,13 @@
     /// Rack, empty when not known.
     pub(crate) rack: Name,
     /// Capacity.
-    pub(crate) total: Resources,
+    pub(crate) capacity: Resources,
     /// Whether it is a worker.
     pub(crate) worker: bool,
 }
 
 /// Returns the back ends for which `view` names this host as placer.
-pub(crate) fn share(config: &Config, view: &View, me: &Peer) -> Vec<BackendSpec> {
+pub(crate) fn own_backends(config: &Config, view: &View, me: &Peer) -> Vec<BackendSpec> {
     // Hosts of another zone come in only for a zone that has none of its own:
     // without this, each change hashes all back ends against all hosts.
     let near = view.hosts.get(&me.host).map(|host| &host.zone);
@@ -38,14 +38,14 @@
         name: name.clone(),
         address: server.address.clone(),
         rack: server.rack.clone(),
-        total: Resources::slots(server.slots.min(server.connections)),
+        capacity: Resources::slots(server.slots.min(server.connections)),
         worker: false,
     });
     let workers = workers.map(|(name, worker)| BackendSpec {
         name: name.clone(),
         address: worker.address.clone(),
         rack: worker.rack.clone(),
-        total: worker_room(worker),
+        capacity: worker_resources(worker),
         worker: true,
     });
     servers.chain(workers).collect()
@@ -63,13 +63,13 @@
             })
         }
         Target::Need(need) => {
-            let want = Resources::from(*need);
-            config.workers.values().any(|worker| worker_room(worker).holds(&want))
+            let demand = Resources::from(*need);
+            config.workers.values().any(|worker| worker_resources(worker).covers(&demand))
         }
     }
 }
 
-fn worker_room(worker: &endivestile_config::model::Worker) -> Resources {
+fn worker_resources(worker: &endivestile_config::model::Worker) -> Resources {
     Resources {
         cpu: worker.cpu_milli,
         memory: worker.memory_mb,
--- a/endivestile_kernel/src/place/task_table.rs
+++ b/endivestile_kernel/src/place/task_table.rs
@@ -35,19 +35,19 @@
     /// Natural logarithm of its believed size, 0 for a usual one.
     pub(crate) ln_size: f64,
     /// Until when it waits for a faster back end than those that are free.
-    pub(crate) patient: Option<Time>,
+    pub(crate) wait_until: Option<Time>,
     /// When it is given up unless it has started.
-    pub(crate) drop_at: Time,
+    pub(crate) expires_at: Time,
     /// Calls that did not start it.
-    pub(crate) tries: u8,
+    pub(crate) failed_starts: u8,
     /// Smaller tasks that were started before it because it did not fit.
     pub(crate) overtaken: u8,
     /// Whether it is tried although it is believed too long for its deadline.
     pub(crate) trial: bool,
     /// Worker kept free for it.
-    pub(crate) kept: Option<u32>,
+    pub(crate) reserved_worker: Option<u32>,
     /// The call, while it runs.
-    pub(crate) run: Option<BackendCall>,
+    pub(crate) call: Option<BackendCall>,
 }
 
 impl TaskEntry {
@@ -57,8 +57,8 @@
     }
 
     /// Returns what it takes of a back end.
-    pub(crate) fn want(&self) -> Resources {
-        Resources::wanted(&self.order.task.target)
+    pub(crate) fn demand(&self) -> Resources {
+        Resources::demand_of(&self.order.task.target)
     }
 }
 
@@ -71,12 +71,12 @@
 
 impl TaskTable {
     /// Adds a task and returns its slot.
-    pub(crate) fn insert(&mut self, held: TaskEntry) -> u32 {
+    pub(crate) fn insert(&mut self, task: TaskEntry) -> u32 {
         if let Some(slot) = self.vacant.pop() {
-            self.slots[slot as usize] = Some(held);
+            self.slots[slot as usize] = Some(task);
             return slot;
         }
-        self.slots.push(Some(held));
+        self.slots.push(Some(task));
         (self.slots.len() - 1) as u32
     }
 
@@ -92,15 +92,15 @@
 
     /// Removes a task.
     pub(crate) fn remove(&mut self, slot: u32) -> Option<TaskEntry> {
-        let held = self.slots.get_mut(slot as usize)?.take()?;
+        let task = self.slots.get_mut(slot as usize)?.take()?;
         self.vacant.push(slot);
-        Some(held)
+        Some(task)
     }
 
     /// Returns all tasks with their slots.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &TaskEntry)> {
         let slots = self.slots.iter().enumerate();
-        slots.filter_map(|(slot, held)| Some((slot as u32, held.as_ref()?)))
+        slots.filter_map(|(slot, task)| Some((slot as u32, task.as_ref()?)))
     }
 
     /// Returns whether there is no task.
--- a/endivestile_kernel/src/place/teams.rs
+++ b/endivestile_kernel/src/place/teams.rs
@@ -11,9 +11,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct TeamState {
     /// Tasks held here, waiting or running.
-    pub(crate) held: u32,
+    pub(crate) tasks: u32,
     /// Tasks that may be held here.
-    pub(crate) part: u32,
+    pub(crate) host_limit: u32,
     /// Share under contention.
     pub(crate) weight: u32,
 }
@@ -33,14 +33,14 @@
     /// hash of team and host. No message is needed to agree on them.
     pub(crate) fn configure(&mut self, rules: &BTreeMap<Name, Team>, view: &View, me: &Peer) {
         for state in &mut self.states {
-            state.part = 0;
+            state.host_limit = 0;
         }
-        let hosts = sharers(view);
+        let hosts = sharing_hosts(view);
         for (name, team) in rules {
             let id = self.id(name);
             let state = &mut self.states[id as usize];
             state.weight = team.weight;
-            state.part = part(team.limit, name, &hosts, me);
+            state.host_limit = host_limit(team.limit, name, &hosts, me);
         }
     }
 
@@ -50,7 +50,7 @@
             return *id;
         }
         let id = self.states.len() as u32;
-        self.states.push(TeamState { held: 0, part: 0, weight: 1 });
+        self.states.push(TeamState { tasks: 0, host_limit: 0, weight: 1 });
         self.ids.insert(name.clone(), id);
         id
     }
@@ -61,20 +61,20 @@
     }
 
     /// Counts a task that is held from now on.
-    pub(crate) fn hold(&mut self, id: u32) {
-        self.states[id as usize].held += 1;
+    pub(crate) fn add_task(&mut self, id: u32) {
+        self.states[id as usize].tasks += 1;
     }
 
     /// Counts a task that is held no more.
-    pub(crate) fn release(&mut self, id: u32) {
+    pub(crate) fn remove_task(&mut self, id: u32) {
         let state = &mut self.states[id as usize];
-        state.held = state.held.saturating_sub(1);
+        state.tasks = state.tasks.saturating_sub(1);
     }
 }
 
 /// Returns the hosts that have shares: the live ones, or the leaving ones when
 /// none lives.
-fn sharers(view: &View) -> Vec<&HostView> {
+fn sharing_hosts(view: &View) -> Vec<&HostView> {
     let live: Vec<&HostView> = view.live().collect();
     if !live.is_empty() {
         return live;
@@ -82,16 +82,16 @@
     view.hosts.values().filter(|host| host.state == HostState::Leaving).collect()
 }
 
-fn part(limit: u32, team: &str, hosts: &[&HostView], me: &Peer) -> u32 {
+fn host_limit(limit: u32, team: &str, hosts: &[&HostView], me: &Peer) -> u32 {
     let sum: u64 = hosts.iter().map(|host| u64::from(host.weight.max(1))).sum();
     let whole = |weight: u32| u64::from(limit) * u64::from(weight.max(1)) / sum.max(1);
     let Some(own) = hosts.iter().find(|host| host.peer.host == me.host) else { return 0 };
-    let given: u64 = hosts.iter().map(|host| whole(host.weight)).sum();
-    let over = u64::from(limit).saturating_sub(given);
+    let assigned: u64 = hosts.iter().map(|host| whole(host.weight)).sum();
+    let remainder = u64::from(limit).saturating_sub(assigned);
     let seed = xxh3_64(team.as_bytes());
-    let turn = |host: &str| xxh3_64_with_seed(host.as_bytes(), seed);
-    let mine = (turn(&me.host), &me.host);
-    let others = hosts.iter().map(|host| (turn(&host.peer.host), &host.peer.host));
-    let before = others.filter(|other| *other < mine).count() as u64;
-    whole(own.weight) as u32 + u32::from(before < over)
+    let hash = |host: &str| xxh3_64_with_seed(host.as_bytes(), seed);
+    let own_rank = (hash(&me.host), &me.host);
+    let others = hosts.iter().map(|host| (hash(&host.peer.host), &host.peer.host));
+    let before = others.filter(|other| *other < own_rank).count() as u64;
+    whole(own.weight) as u32 + u32::from(before < remainder)
 }
--- a/endivestile_kernel/src/place/tick.rs
+++ b/endivestile_kernel/src/place/tick.rs
@@ -1,22 +1,22 @@
 //! What a placer does when an instant comes.
 
-use super::completion::note;
+use super::completion::peer_note;
 use super::effect::PlaceEffect;
 use super::placer::{ACCELERATED, PLAIN, Placer};
 use super::timer::Timer;
 use crate::Time;
 
 /// Time between two looks at speeds that were not confirmed, in milliseconds.
-const REVISIT_MS: u64 = 5_000;
+const REVISIT_INTERVAL_MS: u64 = 5_000;
 
 /// Time after which a speed that was not confirmed drifts to that of all, in milliseconds.
-const STALE_MS: u64 = 20_000;
+const STALE_AFTER_MS: u64 = 20_000;
 
 /// Time after another back end's probe at which its result is looked at, in milliseconds.
-const PROBE_AFTER_MS: u64 = 50;
+const RACK_PROBE_RECHECK_MS: u64 = 50;
 
 /// Part of the way that it drifts at each look.
-const DRIFT: f64 = 0.25;
+const DRIFT_WEIGHT: f64 = 0.25;
 
 impl Placer {
     /// Does what is due.
@@ -26,7 +26,7 @@
                 return;
             }
             self.timers.pop_first();
-            self.fire(now, due, timer, out);
+            self.handle_timer(now, due, timer, out);
         }
     }
 
@@ -35,61 +35,61 @@
         self.timers.first().map(|(due, _)| *due).filter(|due| *due != Time::NEVER)
     }
 
-    fn fire(&mut self, now: Time, due: Time, timer: Timer, out: &mut Vec<PlaceEffect>) {
+    fn handle_timer(&mut self, now: Time, due: Time, timer: Timer, out: &mut Vec<PlaceEffect>) {
         match timer {
-            Timer::Drop(slot) => self.give_up(now, slot, out),
-            Timer::Patience(pool) => self.dispatch(now, pool, out),
+            Timer::Expire(slot) => self.expire(now, slot, out),
+            Timer::WaitLimit(pool) => self.dispatch(now, pool, out),
             Timer::Probe(id) => self.probe(now, due, id, out),
-            Timer::Unhold(id) => {
+            Timer::Unblock(id) => {
                 let backend = &mut self.backends[id as usize];
-                if backend.hold_until() != Some(due) {
+                if backend.blocked_until() != Some(due) {
                     return;
                 }
-                backend.unhold();
+                backend.unblock();
                 self.refresh(id);
-                self.dispatch_served(now, id, out);
+                self.dispatch_backend(now, id, out);
             }
-            Timer::Revisit => self.look_after(now, out),
+            Timer::RevisitRunTimes => self.revisit_run_times(now, out),
         }
     }
 
     /// Lets a back end be probed by a task, unless another one of its rack is
     /// probed for it.
     fn probe(&mut self, now: Time, due: Time, id: u32, out: &mut Vec<PlaceEffect>) {
-        if self.backends[id as usize].health.until() != Some(due) {
+        if self.backends[id as usize].health.ejected_until() != Some(due) {
             return;
         }
-        if let Some(until) = self.probed_for(now, id) {
-            self.backends[id as usize].health.postpone(until);
+        if let Some(until) = self.rack_probe_wait(now, id) {
+            self.backends[id as usize].health.postpone_probe(until);
             self.timers.insert((until, Timer::Probe(id)));
             return;
         }
         let backend = &mut self.backends[id as usize];
-        backend.health.probe();
-        let line = note("back_end_probed", &backend.name, String::from("time out over"));
-        out.push(PlaceEffect::Log(line));
-        self.changed(now, id, out);
+        backend.health.start_probe();
+        let note = peer_note("back_end_probed", &backend.name, String::from("time out over"));
+        out.push(PlaceEffect::Log(note));
+        self.handle_backend_change(now, id, out);
     }
 
     /// Returns when to look again at the back end that is probed for `id`.
-    fn probed_for(&mut self, now: Time, id: u32) -> Option<Time> {
+    fn rack_probe_wait(&mut self, now: Time, id: u32) -> Option<Time> {
         let rack = self.racks.get_mut(self.backends[id as usize].rack_id as usize)?;
         let prober = rack.prober.filter(|prober| *prober != id)?;
         let backend = &self.backends[prober as usize];
-        if backend.leaving || !backend.listed || backend.health.proven() {
+        if backend.leaving || !backend.in_share || backend.health.is_confirmed() {
             rack.prober = None;
             return None;
         }
-        let until = backend.health.until().filter(|until| *until > now);
-        Some(until.unwrap_or(now).after_ms(PROBE_AFTER_MS))
+        let until = backend.health.ejected_until().filter(|until| *until > now);
+        Some(until.unwrap_or(now).after_ms(RACK_PROBE_RECHECK_MS))
     }
 
     /// Arms the next look at stale speeds.
     pub(crate) fn arm_revisit(&mut self, now: Time) {
-        if self.revisit.is_none() {
-            let due = now.after_ms(REVISIT_MS);
-            self.revisit = Some(due);
-            self.timers.insert((due, Timer::Revisit));
+        if self.revisit_at.is_none() {
+            let due = now.after_ms(REVISIT_INTERVAL_MS);
+            self.revisit_at = Some(due);
+            self.timers.insert((due, Timer::RevisitRunTimes));
         }
     }
 
@@ -98,20 +98,23 @@
     ///
     /// A back end that was slow once gets no tasks while others are free, and
     /// so could never show that it is fast again.
-    fn look_after(&mut self, now: Time, out: &mut Vec<PlaceEffect>) {
-        self.revisit = None;
+    fn revisit_run_times(&mut self, now: Time, out: &mut Vec<PlaceEffect>) {
+        self.revisit_at = None;
         for pool in &mut self.pools {
-            let common = pool.common.ln;
-            for seat in &mut pool.seats {
-                let speed = &mut seat.speed;
-                if speed.known() && speed.last.after_ms(STALE_MS) <= now && speed.ln > common {
-                    speed.ln += (common - speed.ln) * DRIFT;
+            let overall = pool.overall.mean_ln;
+            for endpoint in &mut pool.endpoints {
+                let run_time = &mut endpoint.run_time;
+                if run_time.is_known()
+                    && run_time.last_sample.after_ms(STALE_AFTER_MS) <= now
+                    && run_time.mean_ln > overall
+                {
+                    run_time.mean_ln += (overall - run_time.mean_ln) * DRIFT_WEIGHT;
                 }
-                seat.stalled = None;
+                endpoint.overdue_ln = None;
             }
         }
-        self.seat_workers(PLAIN);
-        self.seat_workers(ACCELERATED);
+        self.assign_workers(PLAIN);
+        self.assign_workers(ACCELERATED);
         for id in 0..self.backends.len() as u32 {
             self.refresh(id);
         }
--- a/endivestile_kernel/src/place/timer.rs
+++ b/endivestile_kernel/src/place/timer.rs
@@ -4,13 +4,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// Give up a waiting task that can't make its deadline.
-    Drop(u32),
+    Expire(u32),
     /// Stop waiting for a faster back end.
-    Patience(u32),
+    WaitLimit(u32),
     /// Probe a back end that is out.
     Probe(u32),
     /// Believe refused slots free again.
-    Unhold(u32),
+    Unblock(u32),
     /// Look after speeds that were not confirmed for long.
-    Revisit,
+    RevisitRunTimes,
 }
--- a/endivestile_kernel/src/place/waiting.rs
+++ b/endivestile_kernel/src/place/waiting.rs
@@ -8,78 +8,79 @@
 impl Placer {
     /// Puts a task into the queue of its pool.
     pub(crate) fn enqueue(&mut self, now: Time, slot: u32) {
-        let Some(held) = self.held.get_mut(slot) else { return };
-        let pool = &mut self.pools[held.pool as usize];
-        let weight = self.teams.get(held.team).weight;
-        pool.queue.push(held.team, weight, held.rank(), slot);
-        let units = pool.units(&held.want());
-        pool.wanted += u64::from(units);
-        pool.typical += (f64::from(units) - pool.typical) / 64.0;
-        if let Target::Need(need) = held.order.task.target {
-            *pool.needs.entry(need).or_default() += 1;
+        let Some(task) = self.tasks.get_mut(slot) else { return };
+        let pool = &mut self.pools[task.pool as usize];
+        let weight = self.teams.get(task.team).weight;
+        pool.queue.push(task.team, weight, task.rank(), slot);
+        let units = pool.units(&task.demand());
+        pool.waiting_units += u64::from(units);
+        pool.mean_units += (f64::from(units) - pool.mean_units) / 64.0;
+        if let Target::Need(need) = task.order.task.target {
+            *pool.waiting_needs.entry(need).or_default() += 1;
         }
-        let fastest = if held.trial { 0 } else { pool.fastest_us(held.ln_size) };
-        held.drop_at = before(held.order.deadline, fastest).max(now);
-        self.timers.insert((held.drop_at, Timer::Drop(slot)));
-        self.waiting += 1;
+        let run_us = if task.trial { 0 } else { pool.fastest_us(task.ln_size) };
+        task.expires_at = before(task.order.deadline, run_us).max(now);
+        self.timers.insert((task.expires_at, Timer::Expire(slot)));
+        self.waiting_count += 1;
     }
 
     /// Takes a task out of the queue of its pool.
-    pub(crate) fn unqueue(&mut self, slot: u32) {
-        let Some(held) = self.held.get_mut(slot) else { return };
-        let pool = &mut self.pools[held.pool as usize];
-        pool.queue.remove(held.team, &held.rank());
-        pool.wanted = pool.wanted.saturating_sub(u64::from(pool.units(&held.want())));
-        if let Target::Need(need) = held.order.task.target {
-            let left = pool.needs.get_mut(&need).map_or(0, |count| {
+    pub(crate) fn dequeue(&mut self, slot: u32) {
+        let Some(task) = self.tasks.get_mut(slot) else { return };
+        let pool = &mut self.pools[task.pool as usize];
+        pool.queue.remove(task.team, &task.rank());
+        pool.waiting_units =
+            pool.waiting_units.saturating_sub(u64::from(pool.units(&task.demand())));
+        if let Target::Need(need) = task.order.task.target {
+            let left = pool.waiting_needs.get_mut(&need).map_or(0, |count| {
                 *count -= 1;
                 *count
             });
             if left == 0 {
-                pool.needs.remove(&need);
+                pool.waiting_needs.remove(&need);
             }
         }
-        self.timers.remove(&(held.drop_at, Timer::Drop(slot)));
-        self.waiting -= 1;
-        if let Some(id) = held.kept.take() {
-            self.backends[id as usize].kept = None;
+        self.timers.remove(&(task.expires_at, Timer::Expire(slot)));
+        self.waiting_count -= 1;
+        if let Some(id) = task.reserved_worker.take() {
+            self.backends[id as usize].reserved_for = None;
             self.refresh(id);
         }
     }
 
     /// Ends a task that does not wait in a queue any more.
-    pub(crate) fn settle(&mut self, slot: u32, outcome: Outcome, out: &mut Vec<PlaceEffect>) {
-        let Some(held) = self.held.remove(slot) else { return };
-        self.teams.release(held.team);
-        let name = (held.home, held.order.key);
-        self.index.remove(&name);
-        let (home, key) = name;
+    pub(crate) fn finish(&mut self, slot: u32, outcome: Outcome, out: &mut Vec<PlaceEffect>) {
+        let Some(task) = self.tasks.remove(slot) else { return };
+        self.teams.remove_task(task.team);
+        let task_key = (task.home, task.order.key);
+        self.task_by_key.remove(&task_key);
+        let (home, key) = task_key;
         out.push(PlaceEffect::Ended { home, key, outcome });
     }
 
     /// Forgets a task that does not wait in a queue any more.
-    pub(crate) fn forget(&mut self, slot: u32) {
-        if let Some(held) = self.held.remove(slot) {
-            self.teams.release(held.team);
-            self.index.remove(&(held.home, held.order.key));
+    pub(crate) fn discard(&mut self, slot: u32) {
+        if let Some(task) = self.tasks.remove(slot) {
+            self.teams.remove_task(task.team);
+            self.task_by_key.remove(&(task.home, task.order.key));
         }
     }
 
     /// Gives up a waiting task that can't make its deadline any more.
-    pub(crate) fn give_up(&mut self, now: Time, slot: u32, out: &mut Vec<PlaceEffect>) {
-        let Some(held) = self.held.get_mut(slot) else { return };
-        let fastest =
-            if held.trial { 0 } else { self.pools[held.pool as usize].fastest_us(held.ln_size) };
-        let last = before(held.order.deadline, fastest);
-        if last > now {
-            held.drop_at = last;
-            self.timers.insert((last, Timer::Drop(slot)));
+    pub(crate) fn expire(&mut self, now: Time, slot: u32, out: &mut Vec<PlaceEffect>) {
+        let Some(task) = self.tasks.get_mut(slot) else { return };
+        let run_us =
+            if task.trial { 0 } else { self.pools[task.pool as usize].fastest_us(task.ln_size) };
+        let latest_start = before(task.order.deadline, run_us);
+        if latest_start > now {
+            task.expires_at = latest_start;
+            self.timers.insert((latest_start, Timer::Expire(slot)));
             return;
         }
-        let pool = held.pool;
-        self.unqueue(slot);
-        self.settle(slot, Outcome::NotRun(Cause::Deadline), out);
-        self.dispatch_behind(now, pool, out);
+        let pool = task.pool;
+        self.dequeue(slot);
+        self.finish(slot, Outcome::NotRun(Cause::Deadline), out);
+        self.dispatch_after_removal(now, pool, out);
     }
 }
 
--- a/endivestile_kernel/src/place/work_by_size.rs
+++ b/endivestile_kernel/src/place/work_by_size.rs
@@ -1,41 +1,41 @@
 //! How work is spread over sizes of tasks.
 
 /// Bands in all.
-const COUNT: usize = 24;
+const BAND_COUNT: usize = 24;
 
 /// Bands per unit of the natural logarithm.
-const PER_UNIT: f64 = 4.0;
+const BANDS_PER_LN: f64 = 4.0;
 
 /// Number of tasks after which a task counts half.
-const KEEP: f64 = 1.0 - 1.0 / 512.0;
+const DECAY: f64 = 1.0 - 1.0 / 512.0;
 
 /// Work by believed size of the task, recent tasks counting more.
 #[derive(Debug)]
 pub(crate) struct WorkBySize {
-    work: [f64; COUNT],
+    work: [f64; BAND_COUNT],
 }
 
 impl WorkBySize {
     /// Makes a spread without tasks.
     pub(crate) const fn new() -> Self {
-        Self { work: [0.0; COUNT] }
+        Self { work: [0.0; BAND_COUNT] }
     }
 
     fn band(ln_size: f64) -> usize {
-        let at = ln_size * PER_UNIT + COUNT as f64 / 2.0;
-        (at.max(0.0) as usize).min(COUNT - 1)
+        let at = ln_size * BANDS_PER_LN + BAND_COUNT as f64 / 2.0;
+        (at.max(0.0) as usize).min(BAND_COUNT - 1)
     }
 
     /// Counts a task.
-    pub(crate) fn count(&mut self, ln_size: f64) {
+    pub(crate) fn record(&mut self, ln_size: f64) {
         for work in &mut self.work {
-            *work *= KEEP;
+            *work *= DECAY;
         }
         self.work[Self::band(ln_size)] += ln_size.exp();
     }
 
     /// Returns the part of the work in tasks of this size or larger.
-    pub(crate) fn part_from(&self, ln_size: f64) -> f64 {
+    pub(crate) fn fraction_from(&self, ln_size: f64) -> f64 {
         let all: f64 = self.work.iter().sum();
         if all == 0.0 {
             return 1.0;
