--- a/endivestile_kernel/src/place/admission.rs
+++ b/endivestile_kernel/src/place/admission.rs
@@ -1,16 +1,19 @@
-//! Which orders come into the queue.
+//! Admission of orders to the queue.
 
 use super::effect::PlaceEffect;
 use super::placer::Placer;
 use super::resources::Resources;
 use crate::{Cause, Order, Outcome, Time};
 
-/// Time between two tries of a task believed too long for its deadline, in milliseconds.
+/// Interval between trials of tasks whose estimated run time exceeds their
+/// deadline, in milliseconds.
 const TRIAL_INTERVAL_MS: u64 = 1_000;
 
 impl Placer {
-    /// Decides whether an order may come into the queue: its pool, and whether
-    /// it is a trial against the learnt run time.
+    /// Admits an order to the queue or returns the cause of its refusal.
+    ///
+    /// On success returns the pool and whether the task is a trial that ignores the
+    /// estimated run time.
     pub(crate) fn admit(
         &mut self,
         now: Time,
@@ -31,7 +34,7 @@
             return Err(Cause::Limit);
         }
         let weight = state.weight;
-        // What is refused below is wanted as well: it tells how scarce slots are.
+        // Refused orders count as demand too: the arrival rate shows how scarce slots are.
         let pool = &mut self.pools[id as usize];
         pool.arrivals.record(now, pool.units(&demand));
         let trial = self.check_deadline(now, id, (team, weight), order)?;
@@ -41,10 +44,12 @@
         Ok((id, trial))
     }
 
-    /// Refuses what can't be finished by its deadline.
+    /// Refuses an order that cannot finish by its deadline. Returns whether it is a
+    /// trial.
     ///
-    /// A belief that every task is too long would refuse all of them and so
-    /// never be corrected; one a second is tried all the same.
+    /// An estimate that exceeds every deadline would refuse all tasks and never be
+    /// corrected by a new sample, so one task per [`TRIAL_INTERVAL_MS`] is admitted
+    /// regardless.
     fn check_deadline(
         &mut self,
         now: Time,
@@ -75,7 +80,8 @@
         Ok(false)
     }
 
-    /// Makes place in a full queue at the cost of the team that fills it.
+    /// Frees a place in a full queue by refusing the newest task of the team with the
+    /// longest queue.
     fn evict(
         &mut self,
         pool: u32,
--- a/endivestile_kernel/src/place/arrival_rate.rs
+++ b/endivestile_kernel/src/place/arrival_rate.rs
@@ -2,28 +2,29 @@
 
 use crate::Time;
 
-/// Time over which arrivals are averaged, in microseconds.
+/// Time constant of the average, in microseconds.
 const AVERAGED_US: f64 = 2_000_000.0;
 
-/// Shortest time over which a rate is told, in microseconds.
+/// Shortest span by which a rate is divided, in microseconds.
 const MIN_SPAN_US: f64 = 100_000.0;
 
-/// Rate of arrivals, averaged with weights that fall off exponentially.
+/// Exponentially weighted average of the arrival rate.
 ///
-/// The weights are counted as well: without that, the first seconds after a
-/// start look idle, and tasks wait for fast back ends that can't carry them.
+/// The observed time is weighted like the arrivals. Divided by the full time
+/// constant instead, the rate would look too low in the first seconds after a
+/// start, and tasks would wait for fast backends that are already at capacity.
 #[derive(Debug, Default)]
 pub(crate) struct ArrivalRate {
-    /// Units, by weight.
+    /// Weighted sum of the units.
     units: f64,
-    /// Microseconds seen, by weight.
+    /// Weighted sum of the observed time, in microseconds.
     span_us: f64,
-    /// Last arrival.
+    /// Time of the last arrival.
     last: Time,
 }
 
 impl ArrivalRate {
-    /// Counts units that arrive.
+    /// Records units that arrive.
     pub(crate) fn record(&mut self, now: Time, units: u32) {
         let (before, span_us) = self.decayed(now);
         self.units = before + f64::from(units);
@@ -31,7 +32,7 @@
         self.last = now;
     }
 
-    /// Returns the units a microsecond.
+    /// Returns the rate in units per microsecond.
     pub(crate) fn rate(&self, now: Time) -> f64 {
         let (units, span_us) = self.decayed(now);
         units / span_us.max(MIN_SPAN_US)
--- a/endivestile_kernel/src/place/backend.rs
+++ b/endivestile_kernel/src/place/backend.rs
@@ -1,4 +1,4 @@
-//! One back end of the share.
+//! State of one backend in this host's share.
 
 use endivestile_config::model::Name;
 
@@ -8,51 +8,51 @@
 use super::status::Condition;
 use crate::Time;
 
-/// First time for which a refused slot is believed taken, in milliseconds.
+/// Time for which slots are blocked after the first "busy" answer, in milliseconds.
 const FIRST_BLOCK_MS: u64 = 10;
 
-/// Most doublings of that time.
+/// Maximum number of times that the block is doubled.
 const MAX_BLOCK_DOUBLINGS: u32 = 6;
 
-/// One back end: a backend server or a worker.
+/// One backend: a backend server or a worker.
 #[derive(Debug)]
 pub(crate) struct Backend {
     /// Name.
     pub(crate) name: Name,
     /// Address, `IP:port`.
     pub(crate) address: Name,
-    /// Rack, empty when not known.
+    /// Rack, empty when unknown.
     pub(crate) rack: Name,
-    /// Number of the rack.
+    /// Index of the rack.
     pub(crate) rack_id: u32,
     /// Capacity.
     pub(crate) capacity: Resources,
-    /// Capacity taken by tasks of this placer.
+    /// Capacity used by the tasks of this placer.
     pub(crate) used: Resources,
     /// Whether it is a worker.
     pub(crate) worker: bool,
-    /// Whether it is in this host's share.
+    /// Whether this host's share contains it.
     pub(crate) in_share: bool,
-    /// Whether the platform or an operator says that it is leaving.
+    /// Whether the platform or an operator marked it as leaving.
     pub(crate) leaving: bool,
-    /// Health.
+    /// Health derived from its answers.
     pub(crate) health: Health,
-    /// Pools that it serves, with its seat in each.
+    /// Pools that it serves, with the index of its endpoint in each.
     pub(crate) endpoints: Vec<(u32, u32)>,
-    /// Tasks running, by start.
+    /// Running tasks with their start times, oldest first.
     pub(crate) running: Vec<(Time, u32)>,
-    /// Task for which it is kept free.
+    /// Slot of the waiting task for which it is reserved.
     pub(crate) reserved_for: Option<u32>,
-    /// Slots that another placer is believed to have taken.
+    /// Slots presumed to be used by another placer.
     blocked_slots: u32,
-    /// Refusals in a row.
+    /// Consecutive "busy" answers.
     refusals: u32,
-    /// When the slots are believed free again.
+    /// When the blocked slots are offered again.
     blocked_until: Option<Time>,
 }
 
 impl Backend {
-    /// Makes a back end without tasks.
+    /// Creates a backend without tasks.
     pub(crate) fn new(spec: &BackendSpec) -> Self {
         Self {
             name: spec.name.clone(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes over what the inventory says now.
+    /// Applies the current inventory entry. A new address resets the health.
     pub(crate) fn update(&mut self, spec: &BackendSpec) {
         if self.address != spec.address {
             self.health = Health::new();
@@ -86,12 +86,12 @@
         self.in_share = true;
     }
 
-    /// Returns whether new tasks may go there at all.
+    /// Returns whether it accepts new tasks at all.
     pub(crate) const fn is_usable(&self) -> bool {
         self.in_share && !self.leaving && self.health.is_active()
     }
 
-    /// Returns what is free for new tasks.
+    /// Returns the capacity free for new tasks.
     pub(crate) fn free(&self) -> Resources {
         if !self.is_usable() || self.running.len() as u64 >= u64::from(self.health.task_limit()) {
             return Resources::default();
@@ -107,10 +107,11 @@
         }
     }
 
-    /// Returns what tasks without accelerators may take of a worker.
+    /// Returns the capacity of a worker that is free for tasks without accelerators.
     ///
-    /// Its free accelerators keep a quarter of the processors and memory that
-    /// are theirs by proportion: without any, they would be stranded.
+    /// For its free accelerators, a quarter of their proportional share of CPU and
+    /// memory is set aside. Otherwise tasks without accelerators could use up the
+    /// worker and leave its accelerators unusable.
     pub(crate) fn free_for_plain(&self) -> Resources {
         let free = self.free();
         if self.capacity.accelerators == 0 {
@@ -128,13 +129,13 @@
         free.minus(&reserved)
     }
 
-    /// Counts a task that starts.
+    /// Adds a started task.
     pub(crate) fn add_task(&mut self, now: Time, task: u32, demand: &Resources) {
         self.used = self.used.plus(demand);
         self.running.push((now, task));
     }
 
-    /// Counts a task that ended.
+    /// Removes a finished task.
     pub(crate) fn remove_task(&mut self, task: u32, demand: &Resources) {
         if let Some(at) = self.running.iter().position(|(_, other)| *other == task) {
             self.running.remove(at);
@@ -142,11 +143,11 @@
         }
     }
 
-    /// Believes all its slots taken for a while: it is full, by tasks of
-    /// another placer.
+    /// Blocks all its remaining slots for a while after a "busy" answer: tasks of
+    /// another placer occupy them.
     ///
-    /// Without that, the slots look free and a task bounces between queue and
-    /// back end until its tries are used up.
+    /// Otherwise the slots would look free and a task would cycle between queue and
+    /// backend until its attempts are used up.
     pub(crate) fn handle_busy(&mut self, now: Time) {
         self.blocked_slots = self.capacity.cpu.saturating_sub(self.used.cpu);
         let span = FIRST_BLOCK_MS << self.refusals.min(MAX_BLOCK_DOUBLINGS);
@@ -154,28 +155,28 @@
         self.blocked_until = Some(now.after_ms(span));
     }
 
-    /// Returns when refused slots are believed free again.
+    /// Returns when the blocked slots are offered again.
     pub(crate) const fn blocked_until(&self) -> Option<Time> {
         self.blocked_until
     }
 
-    /// Believes refused slots free again.
+    /// Offers the blocked slots again.
     pub(crate) fn unblock(&mut self) {
         self.blocked_slots = 0;
         self.blocked_until = None;
     }
 
-    /// Forgets earlier refusals: a task was taken.
+    /// Resets the count of "busy" answers after one of another kind.
     pub(crate) fn reset_refusals(&mut self) {
         self.refusals = 0;
     }
 
-    /// Returns since when the task in the middle of those running runs.
+    /// Returns the start time of the median running task.
     pub(crate) fn median_start(&self) -> Option<Time> {
         self.running.get(self.running.len() / 2).map(|(start, _)| *start)
     }
 
-    /// Returns how it stands.
+    /// Returns its condition, as shown to operators.
     pub(crate) fn condition(&self) -> Condition {
         if self.leaving {
             Condition::Leaving
--- a/endivestile_kernel/src/place/baselines.rs
+++ b/endivestile_kernel/src/place/baselines.rs
@@ -1,4 +1,4 @@
-//! Policies to compare with: the usual ones of load balancers.
+//! Standard load-balancing policies, as baselines for comparison.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
--- a/endivestile_kernel/src/place/capacity_bands.rs
+++ b/endivestile_kernel/src/place/capacity_bands.rs
@@ -1,4 +1,4 @@
-//! Capacity of a pool by speed.
+//! Capacity of a pool by run time.
 
 /// Bands per doubling of the run time.
 const BANDS_PER_OCTAVE: f64 = 4.0;
@@ -6,17 +6,16 @@
 /// Run times below 2^8 microseconds share the first band.
 const FIRST_OCTAVE: f64 = 8.0;
 
-/// Bands in all, up to 2^26 microseconds.
+/// Number of bands; the last one starts at 2^26 microseconds.
 const BAND_COUNT: usize = 73;
 
-/// Parts of a unit a microsecond in which rates are counted: whole numbers add
-/// up without drift, and many at once.
+/// Fixed-point scale of rates in units per microsecond. Integers add and subtract
+/// without accumulating rounding errors, and can be summed quickly.
 const RATE_SCALE: f64 = (1_u64 << 40) as f64;
 
-/// Capacity of the usable back ends of a pool, in bands of run time.
+/// Capacity of the usable backends of a pool, grouped into bands of run time.
 ///
-/// Sums over the faster back ends cost the same for ten back ends and for
-/// thousands.
+/// The cost of summing over the faster backends does not depend on their number.
 #[derive(Debug)]
 pub(crate) struct CapacityBands {
     units: [u32; BAND_COUNT],
@@ -26,18 +25,18 @@
 }
 
 impl CapacityBands {
-    /// Makes bands without capacity.
+    /// Creates bands without capacity.
     pub(crate) const fn new() -> Self {
         Self { units: [0; BAND_COUNT], rates: [0; BAND_COUNT], total_units: 0, total_rate: 0 }
     }
 
-    /// Returns the band of a run time, given its natural logarithm.
+    /// Returns the band of a run time, given as the natural logarithm of microseconds.
     pub(crate) fn band(ln: f64) -> usize {
         let octave = ln * std::f64::consts::LOG2_E - FIRST_OCTAVE;
         ((octave * BANDS_PER_OCTAVE).max(0.0) as usize).min(BAND_COUNT - 1)
     }
 
-    /// Returns the middle run time of a band, in microseconds.
+    /// Returns the geometric midpoint of a band, in microseconds.
     fn midpoint_us(band: usize) -> f64 {
         (FIRST_OCTAVE + (band as f64 + 0.5) / BANDS_PER_OCTAVE).exp2()
     }
@@ -47,7 +46,7 @@
         self.set(band, self.units[band].saturating_add(units));
     }
 
-    /// Takes capacity back.
+    /// Removes capacity.
     pub(crate) fn sub(&mut self, band: usize, units: u32) {
         self.set(band, self.units[band].saturating_sub(units));
     }
@@ -60,14 +59,15 @@
         self.rates[band] = rate;
     }
 
-    /// Returns capacity and rate (units a microsecond) of the bands before `band`.
+    /// Returns the capacity in units and the rate in units per microsecond of the bands
+    /// before `band`.
     pub(crate) fn below(&self, band: usize) -> (f64, f64) {
         let units: u32 = self.units[..band].iter().sum();
         let rate: u64 = self.rates[..band].iter().sum();
         (f64::from(units), rate as f64 / RATE_SCALE)
     }
 
-    /// Returns capacity and rate of all bands.
+    /// Returns the capacity and rate of all bands.
     pub(crate) fn total(&self) -> (f64, f64) {
         (f64::from(self.total_units), self.total_rate as f64 / RATE_SCALE)
     }
--- a/endivestile_kernel/src/place/completion.rs
+++ b/endivestile_kernel/src/place/completion.rs
@@ -1,4 +1,4 @@
-//! How calls to back ends end, and what is learnt of that.
+//! Handling of finished calls to backends.
 
 use super::effect::PlaceEffect;
 use super::health::CallResult;
@@ -7,25 +7,25 @@
 use super::timer::Timer;
 use crate::{AttemptId, Cause, End, Level, Metric, Note, Outcome, Time};
 
-/// Calls that may end without a start before a task is given up.
+/// Number of calls that fail to start a task before it is given up.
 const MAX_FAILED_STARTS: u8 = 3;
 
-/// Calls that may find a back end full before a task is given up.
+/// The same limit while the last answer is "busy".
 ///
-/// While a share changes hands, the host that had it still fills its slots, and
-/// its successor is told "busy" for as long as those tasks run. Giving up after
-/// a few tries would refuse calls just because a host was stopped; the back end
-/// is held for a growing time after each, so many tries cost little.
+/// After a share moves to another host, the previous host's tasks still occupy the
+/// slots and the new host gets "busy" for as long as they run. A low limit would
+/// refuse tasks merely because a host was stopped. The backend is blocked for a
+/// growing time after each such answer, so many attempts cost little.
 const MAX_BUSY_STARTS: u8 = 40;
 
-/// First status that speaks against the back end and not against the task.
+/// First HTTP status that counts against the backend and not against the task.
 const SERVER_ERROR: u16 = 500;
 
-/// Part of the usual run time below which a failure counts as fast.
+/// Fraction of the overall run time below which a failure counts as fast.
 const FAST_FRACTION: f64 = 0.25;
 
 impl Placer {
-    /// Takes in how a call ended.
+    /// Handles the end of a call.
     pub fn handle_end(
         &mut self,
         now: Time,
@@ -49,7 +49,7 @@
         self.dispatch_backend(now, call.backend, out);
     }
 
-    /// Ends a task by the end of its call, or puts it back into the queue.
+    /// Reports the outcome of a call to the home, or requeues the task.
     fn finish_call(
         &mut self,
         now: Time,
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Puts a task that has surely not started back to its place in the queue.
+    /// Returns a task that did not start to its place in the queue, or gives it up
+    /// after too many attempts.
     fn requeue(
         &mut self,
         now: Time,
@@ -96,13 +97,14 @@
         self.enqueue(now, slot);
     }
 
-    /// Learns the run time of an answered task and corrects its team's account.
+    /// Records the run time of a task and corrects the cost charged to its team.
     fn record_run_time(&mut self, now: Time, slot: u32, call: &BackendCall, end: &End) {
         let Some(task) = self.tasks.get(slot) else { return };
         let micros = now.since(call.started).as_micros() as u64;
         let pool = &mut self.pools[task.pool as usize];
-        // A task that is stopped at its deadline has run at least so long; ejected
-        // out, only short ones would count, and more and more be let in too late.
+        // A task stopped at its deadline ran at least this long. Without these samples
+        // only short tasks would count, and more and more tasks would be admitted that
+        // miss their deadline.
         let stopped = !call.wanted && matches!(end, End::Answered(_) | End::Lost);
         if !stopped && !matches!(end, End::Answered(_)) {
             return;
@@ -123,7 +125,8 @@
         }
     }
 
-    /// Judges a back end by the end of a call; returns whether it goes out.
+    /// Updates the health of a backend after a call; returns whether the backend was
+    /// ejected.
     fn update_health(
         &mut self,
         now: Time,
@@ -168,7 +171,8 @@
         true
     }
 
-    /// Doubts the rest of a rack of which several back ends went out at once.
+    /// Suspects the remaining backends of a rack of which several were ejected within a
+    /// short time.
     fn suspect_rack(&mut self, now: Time, id: u32, out: &mut Vec<PlaceEffect>) {
         let backend = &self.backends[id as usize];
         if backend.rack.is_empty() {
@@ -187,11 +191,11 @@
         out.push(PlaceEffect::Log(peer_note(
             "rack_doubted",
             &rack_name,
-            String::from("several out"),
+            String::from("several ejected"),
         )));
     }
 
-    /// Starts what can be started on a back end that has room again.
+    /// Starts waiting tasks on a backend that has free capacity again.
     pub(crate) fn dispatch_backend(&mut self, now: Time, id: u32, out: &mut Vec<PlaceEffect>) {
         if self.backends[id as usize].worker {
             self.dispatch(now, ACCELERATED, out);
@@ -203,7 +207,7 @@
     }
 }
 
-/// Makes a log line on a back end or rack.
+/// Returns a log entry about a backend or rack.
 pub(crate) fn peer_note(event: &'static str, peer: &str, reason: String) -> Note {
     let pairs = vec![("peer", peer.to_owned()), ("reason", reason)];
     Note { level: Level::Warn, event, id: None, pairs }
--- a/endivestile_kernel/src/place/declared.rs
+++ b/endivestile_kernel/src/place/declared.rs
@@ -1,23 +1,23 @@
-//! What declared run times are worth.
+//! How far declared run times predict actual ones.
 
-/// Samples over which the worth is averaged.
+/// Number of samples over which the regression averages.
 const AVERAGED_SAMPLES: f64 = 256.0;
 
-/// Samples from which on a declared run time is used.
+/// Number of samples before declared run times are used.
 const MIN_SAMPLES: f64 = 32.0;
 
-/// Largest natural logarithm of a size that is believed, either way.
+/// Limit on the estimated size, as the absolute value of a natural logarithm.
 const MAX_LN_SIZE: f64 = 2.5;
 
-/// Part of the scatter in run times that declared ones must explain to be used.
+/// Minimum share of the variance of run times that declared ones must explain (R
+/// squared).
 const MIN_EXPLAINED: f64 = 0.1;
 
-/// Regression of run times on declared ones, in logarithms.
+/// Linear regression of run times on declared ones, both as logarithms.
 ///
-/// Declared run times are often far off. What counts is whether tasks that
-/// declare more run longer: a constant factor drops out, and where declared and
-/// true run times have nothing to do with each other the slope is zero and the
-/// declared ones are left out of all decisions.
+/// Declared run times are often far off. What matters is whether tasks that declare
+/// more run longer. A constant factor cancels out. Where declared and actual run
+/// times are unrelated, the slope is zero and the declared ones affect no decision.
 #[derive(Debug, Default)]
 pub(crate) struct DeclaredRunTimes {
     samples: f64,
@@ -29,7 +29,8 @@
 }
 
 impl DeclaredRunTimes {
-    /// Takes in a task: its declared run time, and its run time over that of its back end.
+    /// Records the declared run time of a task and the logarithm of its actual run time
+    /// relative to the typical one of its backend.
     pub(crate) fn record(&mut self, declared_ms: u32, ln_size: f64) {
         if declared_ms == 0 {
             return;
@@ -46,7 +47,8 @@
         self.cov = keep * (self.cov + weight * dx * dy);
     }
 
-    /// Returns the slope by which declared run times are believed.
+    /// Returns the slope of the regression, or 0 if declared run times explain too
+    /// little.
     pub(crate) fn slope(&self) -> f64 {
         let explained = self.cov * self.cov;
         if self.samples < MIN_SAMPLES || explained < MIN_EXPLAINED * self.var_x * self.var_y {
@@ -55,7 +57,7 @@
         (self.cov / self.var_x.max(1e-6)).clamp(0.0, 1.0)
     }
 
-    /// Returns the natural logarithm of a task's believed size; 0 for a usual one.
+    /// Returns the natural logarithm of a task's estimated size; 0 for a typical one.
     pub(crate) fn ln_size(&self, declared_ms: u32) -> f64 {
         let slope = self.slope();
         if declared_ms == 0 || slope == 0.0 {
--- a/endivestile_kernel/src/place/dispatch.rs
+++ b/endivestile_kernel/src/place/dispatch.rs
@@ -1,4 +1,4 @@
-//! Waiting tasks and their start.
+//! Selection and start of waiting tasks.
 
 use super::effect::PlaceEffect;
 use super::placer::{ACCELERATED, PLAIN, Placer};
@@ -8,40 +8,40 @@
 use super::timer::Timer;
 use crate::{AttemptId, Metric, Time};
 
-/// Teams whose first tasks are looked at before a pool waits.
+/// Number of teams whose first tasks are considered.
 const HEAD_TEAMS: usize = 4;
 
-/// Tasks of each of them that are looked at: on workers a small one may fit
-/// where a big one does not.
+/// Number of tasks considered per team: on workers a small task may fit where a
+/// larger one does not.
 const TASKS_PER_TEAM: usize = 4;
 
-/// Smaller tasks that may overtake one that does not fit before a worker is
-/// kept free for it.
+/// Number of smaller tasks that may overtake one that does not fit before a worker
+/// is reserved for it.
 const MAX_OVERTAKEN: u8 = 8;
 
-/// Times a middle task may exceed the usual run time before its back end is
-/// believed slower.
+/// Factor by which the elapsed time of the median running task may exceed the mean
+/// run time before its backend counts as slower.
 const OVERDUE_FACTOR: f64 = 3.0;
 
-/// Free back ends that are compared by rack.
+/// Number of free backends compared by rack.
 const RACK_CHOICES: usize = 4;
 
-/// What came of looking for a back end.
+/// Result of choosing a backend for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Pick {
-    /// This seat.
+    /// Start on this endpoint.
     At(usize),
-    /// None has room.
+    /// No backend has enough free capacity.
     Full,
-    /// A faster one is worth waiting for.
+    /// Waiting for a faster backend is better.
     Wait,
-    /// It would be too late on the one that is free.
+    /// On the free backend the task would miss its deadline.
     Late,
 }
 
 impl Placer {
-    /// Starts what can be started in all pools; accelerators are offered first
-    /// to the tasks that need them.
+    /// Starts waiting tasks in all pools. Accelerators are offered first to the tasks
+    /// that need them.
     pub(crate) fn dispatch_all(&mut self, now: Time, out: &mut Vec<PlaceEffect>) {
         self.dispatch(now, ACCELERATED, out);
         for pool in 0..self.pools.len() as u32 {
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Starts what can be started in a pool.
+    /// Starts waiting tasks of a pool.
     pub(crate) fn dispatch(&mut self, now: Time, pool: u32, out: &mut Vec<PlaceEffect>) {
         while let Some((slot, at)) = self.next_start(now, pool) {
             self.start(now, slot, at, out);
         }
     }
 
-    /// Returns the next task to start and its seat.
+    /// Returns the next task to start and its endpoint.
     fn next_start(&mut self, now: Time, pool: u32) -> Option<(u32, usize)> {
         let mut heads = [0; HEAD_TEAMS * TASKS_PER_TEAM];
         let count = self.heads(pool, &mut heads);
@@ -83,8 +83,7 @@
         None
     }
 
-    /// Returns whether a task of the same team as the first of `heads` is
-    /// smaller than it.
+    /// Returns whether one of `heads` is smaller than the first and of the same team.
     fn smaller_behind(&self, heads: &[u32]) -> bool {
         let sizes = heads.iter().filter_map(|slot| self.tasks.get(*slot));
         let mut sizes = sizes.map(|task| (task.team, task.ln_size));
@@ -112,7 +111,7 @@
         count
     }
 
-    /// Looks for a back end for a task.
+    /// Chooses a backend for a task.
     fn pick(&mut self, now: Time, id: u32, slot: u32, smaller_waits: bool) -> Pick {
         let Some(task) = self.tasks.get(slot) else { return Pick::Full };
         let (demand, run, reserved) = (task.demand(), task.order.key.run, task.reserved_worker);
@@ -149,8 +148,8 @@
         endpoint.filter(|_| backend.free().covers(demand)).map(|(_, at)| *at as usize)
     }
 
-    /// Returns the fastest seat with room, on another rack than the job's last
-    /// task among equals.
+    /// Returns the fastest endpoint with enough free capacity. Among equally fast ones
+    /// it prefers another rack than that of the job's last task.
     fn find_fastest(&mut self, now: Time, id: u32, demand: &Resources, run: u64) -> Option<usize> {
         let pool = &self.pools[id as usize];
         if pool.runs_on_workers() {
@@ -176,12 +175,12 @@
         Some(other.unwrap_or(first).at())
     }
 
-    /// Believes a back end slower whose tasks are long overdue; returns whether
-    /// that is new.
+    /// Raises the estimated run time of a backend whose tasks are long overdue. Returns
+    /// whether it changed.
     ///
-    /// A back end that has become slow shows it only when its first slow task
-    /// ends; until then it looks the fastest and fills up. A single long task
-    /// does not count, only the middle one of several.
+    /// A backend that becomes slow shows it only when its first slow task ends. Until
+    /// then it looks the fastest and fills up. The median running task counts, not the
+    /// longest, so that a single long task has no effect.
     fn mark_overdue(&mut self, now: Time, id: u32, at: usize) -> bool {
         let pool = &mut self.pools[id as usize];
         let backend = pool.endpoints[at].backend;
@@ -198,12 +197,12 @@
         true
     }
 
-    /// Counts that a task which did not fit was overtaken, and keeps a worker
-    /// free for it when that happens too often.
+    /// Counts that a task which did not fit was overtaken, and reserves a worker for it
+    /// once that happens too often.
     ///
-    /// Small tasks fill every gap; a task that needs most of a worker would
-    /// never find one that is empty enough and miss its deadline in an
-    /// otherwise quick pool.
+    /// Otherwise small tasks would fill every gap, and a task that needs most of a
+    /// worker would never find one empty enough and miss its deadline in a pool that is
+    /// otherwise fast.
     fn count_overtaken(&mut self, slot: u32) {
         let Some(task) = self.tasks.get_mut(slot) else { return };
         task.overtaken = task.overtaken.saturating_add(1);
@@ -226,7 +225,7 @@
         self.refresh(id);
     }
 
-    /// Wakes up when a task has waited long enough for a faster back end.
+    /// Sets how long a task waits for a faster backend, unless it is already set.
     fn arm_wait_limit(&mut self, now: Time, id: u32, slot: u32) {
         let Some(task) = self.tasks.get_mut(slot) else { return };
         if task.wait_until.is_some() {
@@ -239,7 +238,7 @@
         self.timers.insert((until, Timer::WaitLimit(id)));
     }
 
-    /// Starts a task on a seat of its pool.
+    /// Starts a task on an endpoint of its pool.
     fn start(&mut self, now: Time, slot: u32, at: usize, out: &mut Vec<PlaceEffect>) {
         self.dequeue(slot);
         let attempt = AttemptId(self.next_attempt);
@@ -270,8 +269,8 @@
         self.refresh(id);
     }
 
-    /// Starts what a task that left the queue kept from starting: on workers
-    /// it may have stood before smaller_waits ones, or had a worker kept free.
+    /// Starts tasks on workers that a removed task held back: it may have been ahead of
+    /// smaller ones or had a worker reserved.
     pub(crate) fn dispatch_after_removal(
         &mut self,
         now: Time,
--- a/endivestile_kernel/src/place/effect.rs
+++ b/endivestile_kernel/src/place/effect.rs
@@ -1,10 +1,10 @@
-//! What a placer is told at its start, and what it asks for.
+//! Settings and effects of a placer.
 
 use endivestile_config::model::Name;
 
 use crate::{AttemptId, Metric, Note, Order, Outcome, Peer, TaskKey};
 
-/// What a placer has to know from its start.
+/// Settings of a placer.
 #[derive(Debug, Clone)]
 pub struct PlacerSetup {
     /// Incarnation of this host.
@@ -13,31 +13,31 @@
     pub seed: u64,
 }
 
-/// What a placer asks of the kernel around it.
+/// Effects that the placer requests from the kernel.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlaceEffect {
-    /// Call a back end.
+    /// Call a backend to start a task.
     Start {
-        /// Number of the call.
+        /// Identifier of the call.
         attempt: AttemptId,
-        /// Name of the back end.
+        /// Name of the backend.
         server: Name,
-        /// Address of the back end, `IP:port`.
+        /// Address of the backend, `IP:port`.
         address: Name,
         /// Path to call; empty for a worker.
         path: Name,
         /// The order.
         order: Order,
     },
-    /// Stop a call whose answer nobody wants any more.
+    /// Stop a call whose answer is no longer needed.
     Abort(AttemptId),
-    /// Tell the home how its order ended.
+    /// Report the outcome of an order to its home.
     Ended {
-        /// The home.
+        /// Host that sent the order.
         home: Peer,
-        /// Key at the home.
+        /// Key of the task at its home.
         key: TaskKey,
-        /// How it ended.
+        /// Outcome.
         outcome: Outcome,
     },
     /// Write a log line.
--- a/endivestile_kernel/src/place/estimate.rs
+++ b/endivestile_kernel/src/place/estimate.rs
@@ -1,21 +1,21 @@
-//! Times that a pool expects.
+//! Time estimates of a pool.
 
 use super::pool::{DEFAULT_RUN_US, Pool};
 use super::resources::Resources;
 use crate::Time;
 
-/// Samples from which on deadlines are judged by learnt run times.
+/// Number of samples before deadlines are checked against learned run times.
 const MIN_SAMPLES: u32 = 8;
 
-/// Part of the capacity at which slots begin to be scarce.
+/// Load, as a fraction of the capacity, above which slots count as scarce.
 const SCARCE_LOAD: f64 = 0.9;
 
-/// Mean run times that have to be left at the start where slots are scarce.
+/// Mean run times that must remain at the start of a task at full load.
 const SCARCE_MARGIN_RUNS: f64 = 4.0;
 
 impl Pool {
-    /// Returns the time that a task which arrives now waits, in microseconds;
-    /// none when no back end is usable.
+    /// Returns the expected waiting time of a task that arrives now at the given share
+    /// of the pool, in microseconds; `None` if no backend is usable.
     pub(crate) fn wait_us(&self, share: f64) -> Option<f64> {
         let (units, rate) = self.bands.total();
         if units == 0.0 {
@@ -25,12 +25,13 @@
         Some((waiting + self.mean_units) * self.mean_ratio / rate / share.clamp(0.001, 1.0))
     }
 
-    /// Returns whether enough was learnt to judge deadlines by it.
+    /// Returns whether there are enough samples to check deadlines.
     pub(crate) const fn has_estimate(&self) -> bool {
         self.overall.samples >= MIN_SAMPLES
     }
 
-    /// Returns the shortest run time of a task of this size, 0 while too little is known.
+    /// Returns the shortest run time of a task of this size in microseconds, 0 without
+    /// enough samples.
     pub(crate) fn fastest_us(&self, ln_size: f64) -> u64 {
         if !self.has_estimate() {
             return 0;
@@ -38,8 +39,8 @@
         (self.bands.fastest_us().unwrap_or(0.0) * ln_size.exp()) as u64
     }
 
-    /// Returns the time that a task of a team which arrives now waits, in
-    /// microseconds: behind its own tasks at its part, or behind all at most.
+    /// Returns the expected waiting time of a team's next task, in microseconds: behind
+    /// the team's own tasks at its share of the pool, at most behind all waiting tasks.
     pub(crate) fn team_wait_us(&self, team: u32, weight: u32) -> f64 {
         let (units, rate) = self.bands.total();
         if units == 0.0 {
@@ -57,13 +58,14 @@
         (self.mean_us(at) as u64).min(wait as u64)
     }
 
-    /// Returns the time that has to be left when a task starts, in microseconds.
+    /// Returns the time that must remain until the deadline when a task starts, in
+    /// microseconds.
     ///
-    /// While slots are to spare a usual run time is enough: a task that turns
-    /// out too long costs nobody else. Where arrivals need all slots, each task
-    /// that is stopped at its deadline wastes what another one could have used,
-    /// and queues that are just short enough leave most tasks too little: at
-    /// one and a half times the capacity a third of it went to stopped tasks.
+    /// With spare slots one mean run time is enough: a task that turns out too long
+    /// delays nobody else. When arrivals need all slots, each task stopped at its
+    /// deadline wastes capacity that another could have used, and admitting tasks that
+    /// barely fit leaves most of them too little time: with one mean run time at all
+    /// loads, a third of the capacity went to stopped tasks at 150% load.
     pub(crate) fn start_margin_us(&self, now: Time, ln_size: f64) -> f64 {
         let capacity = self.bands.total().1 / self.mean_ratio;
         let load = self.arrivals.rate(now) / capacity;
--- a/endivestile_kernel/src/place/fit.rs
+++ b/endivestile_kernel/src/place/fit.rs
@@ -1,8 +1,9 @@
-//! Search of the first worker with enough room.
+//! First-fit search over workers.
 
 use super::resources::Resources;
 
-/// Maximum tree over the free room of workers, in the order of preference.
+/// Segment tree of maxima over the free capacity of workers, in order of
+/// preference.
 #[derive(Debug, Default)]
 pub(crate) struct FitTree {
     width: usize,
@@ -10,13 +11,13 @@
 }
 
 impl FitTree {
-    /// Makes a tree of `len` leaves without room.
+    /// Creates a tree of `len` leaves without capacity.
     pub(crate) fn new(len: usize) -> Self {
         let width = len.next_power_of_two().max(1);
         Self { width, nodes: vec![Resources::default(); 2 * width] }
     }
 
-    /// Sets the room of a leaf.
+    /// Sets the capacity of a leaf.
     pub(crate) fn set(&mut self, at: usize, free: Resources) {
         let mut node = self.width + at;
         if self.nodes[node] == free {
@@ -29,12 +30,12 @@
         }
     }
 
-    /// Returns the room of a leaf.
+    /// Returns the capacity of a leaf.
     pub(crate) fn free(&self, at: usize) -> Resources {
         self.nodes[self.width + at]
     }
 
-    /// Returns the first leaf from `from` on that holds `want`.
+    /// Returns the first leaf at or after `from` that covers `demand`.
     pub(crate) fn find(&self, demand: &Resources, from: usize) -> Option<usize> {
         if from >= self.width {
             return None;
--- a/endivestile_kernel/src/place/health.rs
+++ b/endivestile_kernel/src/place/health.rs
@@ -1,26 +1,26 @@
-//! Health of one back end, as its answers show it.
+//! Health of a backend, derived from the results of its calls.
 
 use crate::Time;
 
-/// Weight of failures in a row that takes a back end out.
+/// Total weight of consecutive failures that ejects a backend.
 const EJECT_WEIGHT: u32 = 6;
 
 /// Weight of a failure that took about as long as an answer.
 const SLOW_WEIGHT: u32 = 1;
 
-/// Weight of a failure that came much sooner than an answer, or without one.
+/// Weight of a failure that came much sooner than an answer, or of a lost answer.
 const FAST_WEIGHT: u32 = 2;
 
-/// First time out, in milliseconds; doubled with each probe that fails.
+/// Duration of the first ejection in milliseconds, doubled with each failed probe.
 const FIRST_EJECTION_MS: u64 = 200;
 
-/// Longest time out, in milliseconds.
+/// Longest ejection, in milliseconds.
 const MAX_EJECTION_MS: u64 = 15_000;
 
-/// Answers in a row after which earlier times out are forgotten.
+/// Consecutive answers after which earlier ejections no longer count.
 const FORGET_AFTER: u32 = 32;
 
-/// How a call counts for the health of its back end.
+/// Result of a call, as far as it concerns the health of its backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallResult {
     /// An answer.
@@ -29,33 +29,33 @@
     SlowFailure,
     /// A failure much sooner than the usual run time, or no whole answer.
     FastFailure,
-    /// No connection, or the back end said that it is leaving.
+    /// No connection, or the backend reported that it is leaving.
     Unavailable,
 }
 
-/// Health of one back end.
+/// Health of one backend.
 ///
-/// A back end that fails every task at once has free slots all the time and
-/// the shortest run times: left alone it swallows whole jobs within a second,
-/// which shows as bursts of errors with one back end's name. So every failure
-/// halves the tasks it may run at once, failures in a row take it out, and it
-/// comes back by a single task.
+/// A backend that fails every task immediately always has free slots and the
+/// shortest run times. Unless restricted it would attract whole jobs within a
+/// second, visible as bursts of errors from a single backend. So every failure
+/// halves the number of tasks that it may run, consecutive failures eject it, and
+/// it returns with a single probe task.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Health {
-    /// Tasks it may run at once now.
+    /// Number of tasks it may run at once.
     task_limit: u32,
-    /// Weight of the failures in a row.
+    /// Total weight of the consecutive failures.
     failure_weight: u32,
-    /// Times out in a row.
+    /// Consecutive ejections.
     ejections: u32,
-    /// Answers in a row.
+    /// Consecutive answers.
     successes: u32,
-    /// End of the time out, none while in use.
+    /// End of the ejection, `None` while in use.
     ejected_until: Option<Time>,
 }
 
 impl Health {
-    /// A back end that nothing speaks against.
+    /// Creates the state of a healthy backend.
     pub(crate) const fn new() -> Self {
         Self {
             task_limit: u32::MAX,
@@ -66,17 +66,17 @@
         }
     }
 
-    /// Returns whether it is in use.
+    /// Returns whether it is in use, that is, not ejected.
     pub(crate) const fn is_active(&self) -> bool {
         self.ejected_until.is_none()
     }
 
-    /// Returns the tasks it may run at once.
+    /// Returns the number of tasks it may run at once.
     pub(crate) const fn task_limit(&self) -> u32 {
         self.task_limit
     }
 
-    /// Returns the end of its time out.
+    /// Returns the end of its ejection.
     pub(crate) const fn ejected_until(&self) -> Option<Time> {
         self.ejected_until
     }
@@ -86,10 +86,11 @@
         self.failure_weight > 0 || self.ejected_until.is_some()
     }
 
-    /// Takes in how a call ended; returns whether it goes out by that.
+    /// Records the result of a call; returns whether it ejects the backend.
     ///
-    /// `running`: the tasks that ran there, this one among them. `spare`: most of
-    /// its peers fail as well, so that the tasks are to blame.
+    /// `running` counts the tasks that ran there, including this one. `lenient` means
+    /// that most other backends of the pool fail as well, so that the tasks are the
+    /// likely cause.
     pub(crate) fn record(
         &mut self,
         now: Time,
@@ -115,7 +116,7 @@
         if lenient && !unavailable {
             return false;
         }
-        // On probation one failure is enough.
+        // After an earlier ejection, one failure at the limit of a single task is enough.
         if unavailable
             || self.failure_weight >= EJECT_WEIGHT
             || self.task_limit == 1 && self.ejections > 0
@@ -142,7 +143,7 @@
         self.ejected_until = Some(now.after_ms(span));
     }
 
-    /// Ends the time out: one task may probe it.
+    /// Ends the ejection and allows one task as a probe.
     pub(crate) fn start_probe(&mut self) {
         self.ejected_until = None;
         self.failure_weight = 0;
@@ -150,19 +151,18 @@
         self.task_limit = 1;
     }
 
-    /// Puts the probe off.
+    /// Postpones the probe.
     pub(crate) fn postpone_probe(&mut self, ejected_until: Time) {
         self.ejected_until = Some(ejected_until);
     }
 
-    /// Lets one task at a time go there until an answer comes back; a failure
-    /// takes it out.
+    /// Limits it to one task at a time until an answer arrives; a failure ejects it.
     pub(crate) fn suspect(&mut self) {
         self.task_limit = 1;
         self.ejections = self.ejections.max(1);
     }
 
-    /// Returns whether it has answered since its last time out.
+    /// Returns whether it has answered since its last ejection.
     pub(crate) const fn is_confirmed(&self) -> bool {
         self.is_active() && self.successes > 0
     }
--- a/endivestile_kernel/src/place/mod.rs
+++ b/endivestile_kernel/src/place/mod.rs
@@ -1,7 +1,7 @@
-//! Placement: which back end runs a task, and when.
+//! Placement: which backend runs a task, and when.
 //!
-//! One placer owns the slots of the back ends in its host's share. A task stays
-//! in the placer's queue until a slot is free and worth taking.
+//! Each host has one placer. It owns the slots of the backends in its host's share
+//! and keeps a task queued until a slot is free and worth taking.
 
 mod admission;
 mod arrival_rate;
--- a/endivestile_kernel/src/place/placer.rs
+++ b/endivestile_kernel/src/place/placer.rs
@@ -1,4 +1,4 @@
-//! The owner of the slots of a host's share of back ends.
+//! State of the placer and its event handlers.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -17,16 +17,16 @@
 use super::timer::Timer;
 use crate::{AttemptId, Order, Outcome, Peer, Target, TaskKey, Time, View};
 
-/// Slot of the pool of tasks without accelerators.
+/// Index of the pool of tasks without accelerators.
 pub(crate) const PLAIN: u32 = 0;
 
-/// Slot of the pool of tasks with accelerators.
+/// Index of the pool of tasks with accelerators.
 pub(crate) const ACCELERATED: u32 = 1;
 
-/// Owner of the slots of the back ends in this host's share.
+/// Owner of the slots of the backends in this host's share.
 ///
-/// A pure state machine: time comes in with each call, and what is to be done
-/// goes out as effects.
+/// A pure state machine: each call passes the current time, and effects are
+/// returned in `out`.
 #[derive(Debug)]
 pub struct Placer {
     pub(crate) me: Peer,
@@ -53,7 +53,7 @@
 }
 
 impl Placer {
-    /// Makes a placer without back ends.
+    /// Creates a placer without backends.
     pub fn new(setup: PlacerSetup) -> Self {
         Self {
             me: setup.me,
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Takes over an accepted configuration; learnt speeds and running tasks of
-    /// back ends that stay are kept.
+    /// Applies an accepted configuration. Learned run times and running tasks of
+    /// backends that remain are kept.
     pub fn configure(
         &mut self,
         now: Time,
@@ -96,10 +96,10 @@
         self.rebuild(now, &specs, out);
     }
 
-    /// Takes over another view of the hosts.
+    /// Applies a new view of the hosts.
     ///
-    /// Waiting tasks that no back end of the new share can run end as not run,
-    /// so that their homes place them anew.
+    /// Waiting tasks that no backend of the new share can run end as not run, so that
+    /// their homes place them elsewhere.
     pub fn handle_view(&mut self, now: Time, view: &View, out: &mut Vec<PlaceEffect>) {
         self.teams.configure(&self.config.teams, view, &self.me);
         let specs = share::own_backends(&self.config, view, &self.me);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Takes in that a back end is leaving, or that it is not any more.
+    /// Marks a backend as leaving, or clears the mark.
     pub fn set_leaving(
         &mut self,
         now: Time,
@@ -126,7 +126,8 @@
         self.handle_backend_change(now, id, out);
     }
 
-    /// Takes in an order of a home: it is started, queued or refused at once.
+    /// Handles an order: starts, queues or refuses the task immediately. A repeated
+    /// order is ignored.
     pub fn handle_order(
         &mut self,
         now: Time,
@@ -176,8 +177,8 @@
         self.dispatch(now, pool, out);
     }
 
-    /// Drops a task: a waiting one is forgotten, a running one is stopped and
-    /// its slot is free when its call ends.
+    /// Drops a task at the request of its home. A waiting one is discarded; a running
+    /// one is stopped, and its slot becomes free when its call ends.
     pub fn handle_drop(
         &mut self,
         now: Time,
@@ -198,7 +199,7 @@
         self.dispatch_after_removal(now, pool, out);
     }
 
-    /// Forgets the waiting tasks of a home that is gone; running ones go on.
+    /// Discards the waiting tasks of a home that is gone. Running ones continue.
     pub fn handle_home_gone(&mut self, now: Time, home: &Peer, out: &mut Vec<PlaceEffect>) {
         let of_home = self.tasks.iter().filter(|(_, task)| task.home == *home);
         let (running, waiting): (Vec<_>, Vec<_>) =
@@ -217,17 +218,17 @@
         self.dispatch_all(now, out);
     }
 
-    /// Starts the planned stop: no new orders, what is held is finished.
+    /// Begins a planned shutdown: refuses new orders and finishes existing tasks.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Returns whether nothing waits or runs.
+    /// Returns whether no task is waiting or running.
     pub fn is_idle(&self) -> bool {
         self.tasks.is_empty()
     }
 
-    /// Returns whether any back end of the whole inventory could ever run a task.
+    /// Returns whether any backend of the whole inventory could ever run a task.
     pub fn can_ever_run(config: &Config, target: &Target) -> bool {
         share::can_ever_run(config, target)
     }
--- a/endivestile_kernel/src/place/policy.rs
+++ b/endivestile_kernel/src/place/policy.rs
@@ -1,21 +1,21 @@
-//! Placement policies, which register themselves by name.
+//! Registry of placement policies.
 
 use rand::rngs::SmallRng;
 
 use super::policy_input::PolicyInput;
 
-/// Name of the policy in use when the rules name none that exists.
+/// Policy to use if the rules name an unknown one.
 const DEFAULT_POLICY: &str = "earliest";
 
-/// Chooses a back end with room, or none to leave the task in the queue.
+/// Chooses a free backend, or `None` to leave the task in the queue.
 pub(crate) type PolicyFn = fn(&PolicyInput<'_>, &mut SmallRng) -> Option<usize>;
 
-/// A placement policy; `inventory::submit!` registers it.
+/// A placement policy, registered by `inventory::submit!`.
 #[derive(Debug)]
 pub struct PolicyPlugin {
     /// Name in the rules.
     pub name: &'static str,
-    /// Chooses a back end with room, or none to leave the task in the queue.
+    /// Chooses a free backend, or `None` to leave the task in the queue.
     pub choose: fn(&PolicyInput<'_>, &mut SmallRng) -> Option<usize>,
 }
 
@@ -25,7 +25,8 @@
     PolicyPlugin { name: DEFAULT_POLICY, choose: earliest }
 }
 
-/// Takes the fastest back end with room, unless waiting for a faster one ends sooner.
+/// Chooses the fastest free backend unless waiting for a faster one finishes
+/// sooner.
 fn earliest(input: &PolicyInput<'_>, _: &mut SmallRng) -> Option<usize> {
     let at = input.fastest()?;
     input.beats_waiting(at).then_some(at)
@@ -38,7 +39,7 @@
     names
 }
 
-/// Returns the policy of this name, or the default one.
+/// Returns the policy with this name, or the default one.
 pub(crate) fn policy_by_name(name: &str) -> PolicyFn {
     let find = |name: &str| {
         inventory::iter::<PolicyPlugin>().find(|plugin| plugin.name == name).map(|p| p.choose)
--- a/endivestile_kernel/src/place/policy_input.rs
+++ b/endivestile_kernel/src/place/policy_input.rs
@@ -1,26 +1,27 @@
-//! What a policy sees when it chooses a back end.
+//! Input of a placement policy.
 
 use super::pool::Pool;
 use super::resources::Resources;
 use crate::Time;
 
-/// Weight of the waiting of others against a slow start, while no slot is to spare.
+/// Weight of the delay that the queue causes against a start on a slow backend when
+/// the faster slots have no spare capacity.
 const QUEUE_COST_WEIGHT: f64 = 4.0;
 
-/// What a policy may know of the task.
+/// The task to place, as far as policies use it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TaskProfile {
-    /// Natural logarithm of its believed size.
+    /// Natural logarithm of its estimated size relative to a typical task.
     pub(crate) ln_size: f64,
-    /// Until when it waits for a faster back end, once it does.
+    /// Until when it waits for a faster backend; `None` before it has waited for one.
     pub(crate) wait_until: Option<Time>,
-    /// Whether a smaller task of its team waits right behind it.
+    /// Whether a smaller task of the same team waits behind it.
     pub(crate) smaller_waits: bool,
 }
 
-/// A choice of a back end for one task, as a policy sees it.
+/// Input of a placement policy: one task and the backends of its pool.
 ///
-/// Back ends are numbered from 0 to [`PolicyInput::count`] in no particular order.
+/// Backends are indexed from 0 to [`PolicyInput::count`] in no particular order.
 #[derive(Debug)]
 pub struct PolicyInput<'a> {
     pool: &'a Pool,
@@ -31,7 +32,8 @@
 }
 
 impl<'a> PolicyInput<'a> {
-    /// Offers a task at an instant; `near` is the fastest back end with room.
+    /// Creates the input for a task; `fastest_free` is the fastest backend with free
+    /// capacity.
     pub(crate) const fn new(
         pool: &'a Pool,
         demand: Resources,
@@ -42,12 +44,12 @@
         Self { pool, demand, fastest_free, now, task }
     }
 
-    /// Returns the number of back ends.
+    /// Returns the number of backends.
     pub fn count(&self) -> usize {
         self.pool.endpoints.len()
     }
 
-    /// Returns whether a back end has room for the task now.
+    /// Returns whether a backend has enough free capacity for the task.
     pub fn is_free(&self, at: usize) -> bool {
         if self.pool.runs_on_workers() {
             return self.pool.free_tree.free(at).covers(&self.demand);
@@ -55,7 +57,8 @@
         self.pool.endpoints[at].free_key.is_some()
     }
 
-    /// Returns the first back end with room from `from` on, around to the start.
+    /// Returns the first backend with enough free capacity from index `from` on,
+    /// wrapping around.
     pub fn next_free(&self, from: usize) -> Option<usize> {
         if self.pool.runs_on_workers() {
             let tree = &self.pool.free_tree;
@@ -65,37 +68,38 @@
         (0..count).map(|step| (from + step) % count).find(|at| self.is_free(*at))
     }
 
-    /// Returns the back end after the one that was chosen last.
+    /// Returns the index after the backend that was chosen last.
     pub fn cursor(&self) -> usize {
         self.pool.cursor
     }
 
-    /// Returns the tasks that this placer runs on a back end.
+    /// Returns the number of tasks that this placer runs on a backend.
     pub fn outstanding(&self, at: usize) -> u32 {
         self.pool.endpoints[at].running
     }
 
-    /// Returns the back end with room that is expected to be the fastest, and
-    /// among equals the one with fewer tasks on another rack than the job's last.
+    /// Returns the backend with free capacity that is expected to be the fastest. Ties
+    /// go to the one with fewer tasks, on another rack than the job's last task if
+    /// possible.
     pub fn fastest(&self) -> Option<usize> {
         self.fastest_free
     }
 
-    /// Returns whether taking this free back end is better than waiting for a
-    /// faster one, for the task and for those behind it.
+    /// Returns whether starting on this free backend is better than waiting for a
+    /// faster one, both for the task and for those behind it.
     ///
-    /// While a task would run here, each faster slot can start and finish as
-    /// many as fit into that time, less the one it is busy with on average. A
-    /// task behind as many others would be finished at the same time by waiting.
-    /// But each task that waits also delays those that come after it for as long
-    /// as the faster slots stay busy: the nearer arrivals are to what the faster
-    /// slots can carry, the fewer may wait, and none once they carry no more.
+    /// While the task would run here, the faster slots complete a certain number of
+    /// tasks, less those that they are running on average. A task with that many ahead
+    /// of it finishes at the same time if it waits. But each waiting task also delays
+    /// later ones for as long as the faster slots stay busy. The closer the arrival
+    /// rate is to the rate of the faster slots, the fewer tasks may wait, and none once
+    /// it exceeds that rate.
     ///
-    /// Where arrivals need all slots and a smaller task waits right behind, that
-    /// one takes the slow slot: it loses less by that.
+    /// When arrivals need all slots and a smaller task waits behind this one, the
+    /// smaller one takes the slow slot because it loses less time there.
     ///
-    /// A task that has already waited for as long as it would run here waits no
-    /// more: the faster slots are not given back as expected.
+    /// A task that has already waited as long as it would run here stops waiting: the
+    /// faster slots do not become free as expected.
     pub fn beats_waiting(&self, at: usize) -> bool {
         let size = self.task.ln_size.exp();
         let typical = self.pool.typical_us(at) * size;
@@ -121,18 +125,20 @@
     }
 }
 
-/// Returns how many may wait for faster slots, given the number at which a task
-/// is finished at the same time either way, and the part of the faster slots
-/// that arrivals leave.
+/// Returns how much work may wait for faster slots.
 ///
-/// With slots to spare the queue empties by itself, and each task that does not
-/// wait shortens it only until then: a part of `equal` may wait. Without any,
-/// the queue is a random walk up to the limit; its length weighed against the
-/// slow starts at the limit gives the square root. In between, the positive root
-/// of one equation goes over from one to the other.
+/// `break_even` is the amount at which a task finishes at the same time either way,
+/// `spare_share` the share of the faster slots that arrivals leave unused,
+/// `idle_share` the same for the slower slots.
 ///
-/// `idle` is the part of the slow slots that arrivals leave: where they need all
-/// of them, waiting only wastes capacity.
+/// With spare capacity the queue drains by itself, and a task that does not wait
+/// shortens it only until then: a fraction of `break_even` may wait. Without any,
+/// the queue length is a random walk up to the limit; weighing its length against
+/// the slow starts at the limit gives a square root. The positive root of one
+/// quadratic equation interpolates between the two cases.
+///
+/// Where arrivals need all slower slots, `idle_share` is 0 because waiting would
+/// only waste capacity.
 fn max_waiting(break_even: f64, spare_share: f64, idle_share: f64) -> f64 {
     let half = break_even * spare_share / 2.0;
     (half * half + QUEUE_COST_WEIGHT * idle_share * break_even).sqrt() + half
--- a/endivestile_kernel/src/place/pool.rs
+++ b/endivestile_kernel/src/place/pool.rs
@@ -1,4 +1,4 @@
-//! Back ends and waiting tasks of one service, or of one class of need.
+//! Backends and waiting tasks of one service, or of one class of need.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,13 +15,14 @@
 use super::work_by_size::WorkBySize;
 use crate::{Need, Time};
 
-/// Run time believed before any task has ended, in microseconds.
+/// Assumed run time before the first task has finished, in microseconds.
 pub(crate) const DEFAULT_RUN_US: f64 = 200_000.0;
 
-/// Samples after which a back end's speed is known well enough to judge sizes by.
+/// Number of samples after which a backend's run time is accurate enough to derive
+/// task sizes from it.
 const STEADY_SAMPLES: u32 = 8;
 
-/// Weight of a new sample in the ratio of mean to typical run time.
+/// Weight of a new sample in the ratio of the run time to the typical run time.
 const MEAN_RATIO_WEIGHT: f64 = 1.0 / 64.0;
 
 /// What a pool runs.
@@ -35,59 +36,60 @@
     Accelerated,
 }
 
-/// Back ends and waiting tasks of one service, or of one class of need.
+/// Backends and waiting tasks of one service, or of one class of need.
 #[derive(Debug)]
 pub(crate) struct Pool {
-    /// What it runs.
+    /// Tasks that it runs.
     pub(crate) kind: PoolKind,
     /// Path to call, empty for workers.
     pub(crate) path: Name,
-    /// Back ends; workers in the order of preference.
+    /// Endpoints; workers in order of preference.
     pub(crate) endpoints: Vec<Endpoint>,
-    /// Back ends before the seats were replaced, for their speeds.
+    /// Previous endpoints, kept for their run times while the endpoints are replaced.
     pub(crate) former_endpoints: Vec<Endpoint>,
-    /// Free backend servers, best first.
+    /// Free backend servers, in order of preference.
     pub(crate) free: BTreeSet<EndpointKey>,
-    /// Free resources of the workers.
+    /// Free capacity of the workers.
     pub(crate) free_tree: FitTree,
-    /// Whole resources of the usable workers.
+    /// Total capacity of the usable workers.
     pub(crate) capacity_tree: FitTree,
-    /// Usable capacity by speed.
+    /// Usable capacity by run time.
     pub(crate) bands: CapacityBands,
     /// Waiting tasks.
     pub(crate) queue: FairQueue,
-    /// Waiting tasks by need.
+    /// Number of waiting tasks by need.
     pub(crate) waiting_needs: BTreeMap<Need, u32>,
-    /// Capacity that the waiting tasks want.
+    /// Capacity that the waiting tasks need, in units.
     pub(crate) waiting_units: u64,
-    /// Rate at which wanted capacity arrives.
+    /// Arrival rate of the needed capacity.
     pub(crate) arrivals: ArrivalRate,
-    /// What declared run times are worth.
+    /// How far declared run times predict actual ones.
     pub(crate) declared: DeclaredRunTimes,
-    /// How work is spread over sizes of tasks.
+    /// Distribution of work over task sizes.
     pub(crate) work_by_size: WorkBySize,
-    /// Run time of all back ends together.
+    /// Run time over all backends.
     pub(crate) overall: RunTime,
-    /// Mean run time over typical run time.
+    /// Ratio of the mean to the typical (geometric mean) run time.
     pub(crate) mean_ratio: f64,
-    /// Typical capacity of one task.
+    /// Average capacity needed by one task, in units.
     pub(crate) mean_units: f64,
-    /// Starts so far, wrapping.
+    /// Number of starts, wrapping.
     pub(crate) starts: u32,
-    /// Where round robin goes on.
+    /// Index at which round robin continues.
     pub(crate) cursor: usize,
-    /// Job whose task was started last, and on which rack.
+    /// Job and rack of the last started task.
     pub(crate) last_started: Option<(u64, u32)>,
-    /// When a task may next be tried although it is believed too long for its deadline.
+    /// When the next trial of a task whose estimated run time exceeds its deadline is
+    /// allowed.
     pub(crate) next_trial: Time,
-    /// Usable seats whose last answer was a failure.
+    /// Number of usable endpoints whose last answer was a failure.
     pub(crate) failing_count: u32,
-    /// Usable seats.
+    /// Number of usable endpoints.
     pub(crate) usable_count: u32,
 }
 
 impl Pool {
-    /// Makes a pool without back ends.
+    /// Creates a pool without backends.
     pub(crate) fn new(kind: PoolKind) -> Self {
         Self {
             kind,
@@ -116,12 +118,12 @@
         }
     }
 
-    /// Returns whether its back ends are workers.
+    /// Returns whether its backends are workers.
     pub(crate) fn runs_on_workers(&self) -> bool {
         !matches!(self.kind, PoolKind::Service(_))
     }
 
-    /// Returns the part of a resources by which this pool counts capacity.
+    /// Returns the component of `resources` in which this pool counts capacity.
     pub(crate) const fn units(&self, resources: &Resources) -> u32 {
         match self.kind {
             PoolKind::Service(_) | PoolKind::Plain => resources.cpu,
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Replaces the seats; their capacity is counted at the next refresh.
+    /// Replaces the endpoints; their capacity is counted at the next refresh.
     pub(crate) fn replace_endpoints(&mut self, endpoints: Vec<Endpoint>) {
         self.free.clear();
         self.bands = CapacityBands::new();
@@ -142,24 +144,27 @@
         self.last_started = None;
     }
 
-    /// Returns the logarithm of a seat's typical run time: learned, or that of all.
+    /// Returns the natural logarithm of an endpoint's typical run time in microseconds:
+    /// the learned one, or that of all backends without samples, or the elapsed time of
+    /// overdue tasks if that is longer.
     pub(crate) fn ln_us(&self, at: usize) -> f64 {
         let run_time = &self.endpoints[at].run_time;
         let learned = if run_time.is_known() { run_time.mean_ln } else { self.overall.mean_ln };
         self.endpoints[at].overdue_ln.map_or(learned, |overdue_ln| learned.max(overdue_ln))
     }
 
-    /// Returns a seat's typical run time in microseconds.
+    /// Returns an endpoint's typical run time in microseconds.
     pub(crate) fn typical_us(&self, at: usize) -> f64 {
         self.ln_us(at).exp()
     }
 
-    /// Returns a seat's mean run time in microseconds.
+    /// Returns an endpoint's mean run time in microseconds.
     pub(crate) fn mean_us(&self, at: usize) -> f64 {
         self.typical_us(at) * self.mean_ratio
     }
 
-    /// Takes in the run time of a task with this believed size and declared run time.
+    /// Records the run time of a task; `hint` is its estimated size (natural logarithm)
+    /// and declared run time in milliseconds.
     pub(crate) fn record_run_time(&mut self, now: Time, at: usize, micros: u64, hint: (f64, u32)) {
         let (ln_size, declared_ms) = hint;
         let endpoint = &mut self.endpoints[at];
@@ -174,14 +179,14 @@
         self.overall.record(now, micros, ln_size);
     }
 
-    /// Takes a declared run time as a hint while nothing is learned.
+    /// Uses a declared run time as the estimate until the first task has finished.
     pub(crate) fn apply_hint(&mut self, declared_ms: u32) {
         if !self.overall.is_known() && declared_ms > 0 {
             self.overall.mean_ln = (f64::from(declared_ms) * 1_000.0).ln();
         }
     }
 
-    /// Counts the capacity and the free slots of a seat anew.
+    /// Updates the capacity and the free slots of an endpoint.
     pub(crate) fn refresh(&mut self, at: usize, state: &EndpointState) {
         let ln = self.ln_us(at);
         let band = CapacityBands::band(ln);
@@ -223,7 +228,7 @@
         endpoint.free_key = key;
     }
 
-    /// Returns whether a usable back end could run a task.
+    /// Returns whether any usable backend can run a task.
     pub(crate) fn can_run(&self, demand: &Resources) -> bool {
         if self.runs_on_workers() {
             return self.capacity_tree.find(demand, 0).is_some();
@@ -231,7 +236,7 @@
         self.bands.total().0 > 0.0
     }
 
-    /// Returns the best seat with resources for `want`.
+    /// Returns the preferred endpoint whose free capacity covers `demand`.
     pub(crate) fn first_free(&self, demand: &Resources) -> Option<usize> {
         if self.runs_on_workers() {
             let least = Resources { cpu: demand.cpu.max(1), ..*demand };
@@ -241,10 +246,10 @@
     }
 }
 
-/// What a refresh of a seat has to know of its back end.
+/// State of a backend from which an endpoint is refreshed.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndpointState {
-    /// Whether new tasks may go there.
+    /// Whether it accepts new tasks.
     pub(crate) usable: bool,
     /// Whether its last answer was a failure.
     pub(crate) failing: bool,
@@ -252,6 +257,6 @@
     pub(crate) capacity: Resources,
     /// Capacity free for this pool.
     pub(crate) free: Resources,
-    /// Tasks running.
+    /// Number of running tasks.
     pub(crate) running: u32,
 }
--- a/endivestile_kernel/src/place/queue.rs
+++ b/endivestile_kernel/src/place/queue.rs
@@ -1,17 +1,17 @@
-//! Waiting tasks of a pool, fair between teams.
+//! Weighted fair queue of the waiting tasks of a pool.
 
 use std::collections::BTreeSet;
 
 use super::team_queue::{Rank, TeamQueue};
 
-/// Waiting tasks of a pool.
+/// Waiting tasks of a pool, fair between teams.
 ///
-/// The team with the least service so far, for its weight, goes first. A
-/// team that was idle starts from the service of the others: it can't save
-/// up idle time for a later flood.
+/// The team with the least service relative to its weight goes first. A team that
+/// was idle starts at the virtual time of the others, so that it cannot accumulate
+/// idle time for a later burst.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
-    /// By number of the team.
+    /// Queues by index of the team.
     queues: Vec<TeamQueue>,
     by_vtime: BTreeSet<(u64, u32)>,
     clock: u64,
@@ -25,12 +25,12 @@
         self.waiting
     }
 
-    /// Returns the waiting tasks of a team.
+    /// Returns the number of waiting tasks of a team.
     pub(crate) fn waiting_of(&self, team: u32) -> usize {
         self.queues.get(team as usize).map_or(0, |queue| queue.tasks.len())
     }
 
-    /// Returns the part of the pool that a team gets while it waits.
+    /// Returns the share of the pool that a team gets while it has waiting tasks.
     pub(crate) fn share(&self, team: u32, weight: u32) -> f64 {
         let own = f64::from(weight.max(1));
         let others = if self.waiting_of(team) > 0 {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Adds `cost` microseconds to the service that a team has had.
+    /// Adds `cost` microseconds to the service of a team.
     pub(crate) fn charge(&mut self, team: u32, cost: u64) {
         let Some(queue) = self.queues.get_mut(team as usize) else { return };
         let next = queue.vtime.saturating_add(cost / u64::from(queue.weight.max(1)));
@@ -80,7 +80,7 @@
         Self::set_vtime(&mut self.by_vtime, queue, team, next);
     }
 
-    /// Takes `cost` microseconds back from the service that a team has had.
+    /// Subtracts `cost` microseconds from the service of a team.
     pub(crate) fn refund(&mut self, team: u32, cost: u64) {
         let Some(queue) = self.queues.get_mut(team as usize) else { return };
         let next = queue.vtime.saturating_sub(cost / u64::from(queue.weight.max(1)));
@@ -95,7 +95,8 @@
         queue.vtime = next;
     }
 
-    /// Returns the first tasks in fair order: up to `lines` teams, up to `depth` of each.
+    /// Returns the first tasks in fair order, at most `per_team` of each of at most
+    /// `teams` teams.
     pub(crate) fn heads(&self, teams: usize, per_team: usize) -> impl Iterator<Item = u32> + '_ {
         self.by_vtime
             .iter()
@@ -104,8 +105,8 @@
             .flat_map(move |queue| queue.tasks.values().take(per_team).copied())
     }
 
-    /// Returns the newest task of the team with the most waiting for its
-    /// weight, when that is more than `team` has.
+    /// Returns the newest task of the team with the longest queue relative to its
+    /// weight, if that is more than one task longer than that of `team`.
     pub(crate) fn newest_of_longest_queue(&self, team: u32, weight: u32) -> Option<u32> {
         let own = self.waiting_of(team) as u64 * 1_000 / u64::from(weight.max(1));
         let (_, queue) = self
--- a/endivestile_kernel/src/place/rack.rs
+++ b/endivestile_kernel/src/place/rack.rs
@@ -1,33 +1,33 @@
-//! Racks, which fail as a whole.
+//! Detection of racks that fail as a whole.
 
 use crate::Time;
 
-/// Back ends of a rack that go out within the window before the rest is doubted.
+/// Number of ejections within [`WINDOW_MS`] after which the rest of a rack is
+/// suspected.
 const SUSPECT_EJECTIONS: usize = 3;
 
-/// Window for that, in milliseconds.
+/// Time window in which ejections are counted, in milliseconds.
 const WINDOW_MS: u64 = 2_000;
 
 /// One rack.
 ///
-/// A switch or a power feed takes all its back ends at once. Each of them would
-/// take a slotful of tasks with it before its own failures show; once several
-/// are out, the others get one task at a time until they answer, and a single
-/// back end is probed for all that are out: each probe of a dead rack costs a
-/// caller's task.
+/// A failed switch or power feed takes down all backends of a rack at once. Each of
+/// them would lose a full set of tasks before its own failures are detected. Once
+/// several are ejected, the others get one task at a time until they answer. A
+/// single backend is probed on behalf of all ejected ones, because each probe of a
+/// dead rack costs a caller's task.
 #[derive(Debug, Default)]
 pub(crate) struct Rack {
-    /// Slots of its back ends.
+    /// Indexes of its backends.
     pub(crate) backends: Vec<u32>,
-    /// When back ends went out lately.
+    /// Times of recent ejections.
     ejections: Vec<Time>,
-    /// Back end that is probed for all, while the rack is in doubt.
+    /// Backend that is probed on behalf of all, while the rack is suspected.
     pub(crate) prober: Option<u32>,
 }
 
 impl Rack {
-    /// Takes in that a back end went out; returns whether the others come into
-    /// doubt by that.
+    /// Records an ejection; returns whether the rack becomes suspected.
     pub(crate) fn record_ejection(&mut self, now: Time, id: u32) -> bool {
         self.ejections.retain(|out| out.after_ms(WINDOW_MS) > now);
         self.ejections.push(now);
--- a/endivestile_kernel/src/place/rebuild.rs
+++ b/endivestile_kernel/src/place/rebuild.rs
@@ -1,4 +1,4 @@
-//! Changes of the share and of its back ends.
+//! Handling of changes to the share and its backends.
 
 use std::collections::HashMap;
 
@@ -16,7 +16,7 @@
 use crate::{Cause, Outcome, Time};
 
 impl Placer {
-    /// Returns whether the share holds the same back ends as before.
+    /// Returns whether the share contains the same backends as before.
     pub(crate) fn same_share(&self, specs: &[BackendSpec]) -> bool {
         let in_share = self.backends.iter().filter(|backend| backend.in_share).count();
         in_share == specs.len()
@@ -26,7 +26,7 @@
             })
     }
 
-    /// Takes over another share.
+    /// Applies a new share.
     pub(crate) fn rebuild(&mut self, now: Time, specs: &[BackendSpec], out: &mut Vec<PlaceEffect>) {
         for backend in &mut self.backends {
             backend.in_share = false;
@@ -63,7 +63,7 @@
         self.backend_ids.insert(spec.name.clone(), id);
     }
 
-    /// Forgets back ends that have left the share and run nothing any more.
+    /// Removes backends that have left the share and run no more tasks.
     fn remove_retired(&mut self) {
         for (id, backend) in self.backends.iter_mut().enumerate() {
             if backend.in_share || !backend.running.is_empty() {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Gives every listed back end its seats.
+    /// Assigns the backends of the share to pools.
     fn assign_endpoints(&mut self) {
         for backend in &mut self.backends {
             backend.endpoints.clear();
@@ -102,7 +102,7 @@
         self.assign_services();
         self.assign_workers(PLAIN);
         self.assign_workers(ACCELERATED);
-        // Slots of back ends are used anew: no speed may outlive its back end.
+        // Backend indexes are reused: a run time must not outlive its backend.
         for pool in &mut self.pools {
             pool.former_endpoints.clear();
         }
@@ -134,7 +134,8 @@
         pool
     }
 
-    /// Seats the workers of a class: fewer accelerators first, then the faster.
+    /// Assigns the workers to a pool of tasks with or without accelerators: those with
+    /// fewer accelerators first, then faster ones.
     pub(crate) fn assign_workers(&mut self, pool: u32) {
         let least = u32::from(pool == ACCELERATED);
         let in_share = self.backends.iter().enumerate().filter(|(_, backend)| {
@@ -177,7 +178,7 @@
         self.pools[pool as usize].replace_endpoints(endpoints);
     }
 
-    /// Counts the room of a back end anew in all its pools.
+    /// Updates the capacity of a backend in all its pools.
     pub(crate) fn refresh(&mut self, id: u32) {
         let backend = &self.backends[id as usize];
         let mut state = EndpointState {
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Keeps a back end that is not usable free for nobody.
+    /// Releases the reservation of a backend that is no longer usable.
     fn release_reservation(&mut self, id: u32) {
         let backend = &mut self.backends[id as usize];
         let reserved = if backend.is_usable() { None } else { backend.reserved_for.take() };
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Takes in that a back end became usable or stopped being so.
+    /// Handles that a backend became usable or unusable.
     pub(crate) fn handle_backend_change(&mut self, now: Time, id: u32, out: &mut Vec<PlaceEffect>) {
         self.release_reservation(id);
         self.refresh(id);
@@ -217,8 +218,8 @@
         self.dispatch_backend(now, id, out);
     }
 
-    /// Ends the waiting tasks of a pool that no usable back end can run, so
-    /// that their homes place them elsewhere.
+    /// Ends the waiting tasks of a pool that no usable backend can run, so that their
+    /// homes place them elsewhere.
     fn return_unrunnable(&mut self, id: u32, out: &mut Vec<PlaceEffect>) {
         let pool = &self.pools[id as usize];
         if pool.queue.waiting() == 0 {
--- a/endivestile_kernel/src/place/report.rs
+++ b/endivestile_kernel/src/place/report.rs
@@ -1,4 +1,4 @@
-//! What a placer tells of its share.
+//! Estimates and status of a placer's share.
 
 use super::placer::Placer;
 use super::pool::{Pool, PoolKind};
@@ -7,8 +7,8 @@
 use crate::{Figure, Need, Target, Task, Time};
 
 impl Placer {
-    /// Returns when a task would be finished if it were ordered now; none when
-    /// no usable back end of this share could run it.
+    /// Returns when a task would finish if it were ordered now; `None` if no usable
+    /// backend of this share can run it.
     pub fn expected_end(&self, now: Time, task: &Task) -> Option<Time> {
         let pool = &self.pools[self.pool_of(&task.target)? as usize];
         let demand = Resources::demand_of(&task.target);
@@ -18,12 +18,12 @@
         Some(now.after_us(pool.finish_us(&demand)))
     }
 
-    /// Returns whether what was learnt lets this share take the task, though the
-    /// expected end lies behind the deadline.
+    /// Returns whether this share takes the task although its expected end is past the
+    /// deadline: because there are too few samples to rely on, or as a trial.
     ///
-    /// A declaration alone refuses nothing, since it is often far off. A belief
-    /// that all tasks are too long is put to the test once a second: it would
-    /// refuse all of them for ever otherwise.
+    /// A declared run time alone never refuses a task, since it is often far off. An
+    /// estimate by which all tasks are too long is tested once per second; otherwise it
+    /// would refuse them forever.
     pub fn allows_trial(&self, now: Time, task: &Task, deadline: Time) -> bool {
         let Some(pool) = self.pool_of(&task.target) else { return false };
         let pool = &self.pools[pool as usize];
@@ -33,15 +33,15 @@
         (free && !pool.has_estimate()) || (too_long && now >= pool.next_trial)
     }
 
-    /// Returns whether a back end of this share that could run the task is free
-    /// although none has ended one yet, so that its run time is only guessed.
+    /// Returns whether a backend that can run the task is free but no task of its pool
+    /// has finished yet, so that its run time is only a guess.
     pub fn has_untried_backend(&self, task: &Task) -> bool {
         let Some(pool) = self.pool_of(&task.target) else { return false };
         let pool = &self.pools[pool as usize];
         !pool.overall.is_known() && pool.first_free(&Resources::demand_of(&task.target)).is_some()
     }
 
-    /// Returns the load of the share: one figure per service and class of need.
+    /// Returns the load of the share: one figure per service and per class of need.
     pub fn figures(&self, _now: Time) -> Vec<Figure> {
         let pools = self.pools.iter().filter(|pool| pool.usable_count > 0);
         pools.map(|pool| self.figure(pool)).collect()
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns how the back ends of the share stand.
+    /// Returns the status of the backends of the share, sorted by name.
     pub fn status(&self, _now: Time) -> Vec<ServerStatus> {
         let in_share = self.backends.iter().filter(|backend| backend.in_share);
         let mut all: Vec<ServerStatus> = in_share
@@ -100,7 +100,7 @@
     }
 }
 
-/// Names what a pool runs, with the most demanding need that waits.
+/// Returns the target of a pool, with the most demanding waiting need.
 fn target(pool: &Pool) -> Target {
     let largest_need = pool.waiting_needs.keys().next_back().copied();
     let need = |accelerators| Need { cpu_milli: 0, memory_mb: 0, accelerators };
--- a/endivestile_kernel/src/place/resources.rs
+++ b/endivestile_kernel/src/place/resources.rs
@@ -1,11 +1,11 @@
-//! Capacity of a back end.
+//! Resource vectors of backends and tasks.
 
 use crate::{Need, Target};
 
-/// Slots of a backend server, or what a worker has to spare.
+/// Slots of a backend server, or resources of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct Resources {
-    /// Slots, or thousandths of a core.
+    /// Slots, or millicores of a worker.
     pub(crate) cpu: u32,
     /// Memory in MiB.
     pub(crate) memory: u32,
@@ -14,12 +14,12 @@
 }
 
 impl Resources {
-    /// Capacity of a backend server.
+    /// Returns the capacity of a backend server with `count` slots.
     pub(crate) const fn slots(count: u32) -> Self {
         Self { cpu: count, memory: 0, accelerators: 0 }
     }
 
-    /// Returns what a task takes of its back end, never nothing at all.
+    /// Returns the capacity that a task needs, never zero.
     pub(crate) fn demand_of(target: &Target) -> Self {
         match target {
             Target::Service(_) => Self::slots(1),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns whether `want` fits.
+    /// Returns whether `demand` fits.
     pub(crate) const fn covers(&self, demand: &Self) -> bool {
         self.cpu >= demand.cpu
             && self.memory >= demand.memory
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns what is left without `other`, never below zero.
+    /// Returns the difference to `other`, never below zero.
     pub(crate) const fn minus(&self, other: &Self) -> Self {
         Self {
             cpu: self.cpu.saturating_sub(other.cpu),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns how much of `want` fits, in thousandths.
+    /// Returns the share of `demand` that fits, in thousandths.
     pub(crate) fn fit_permille(&self, demand: &Self) -> u64 {
         let permille =
             |have: u32, need: u32| u64::from(have.min(need)) * 1_000 / u64::from(need.max(1));
@@ -62,7 +62,7 @@
             .min(optional(self.accelerators, demand.accelerators))
     }
 
-    /// Returns the larger of each part.
+    /// Returns the component-wise maximum.
     pub(crate) fn max(&self, other: &Self) -> Self {
         Self {
             cpu: self.cpu.max(other.cpu),
--- a/endivestile_kernel/src/place/share.rs
+++ b/endivestile_kernel/src/place/share.rs
@@ -1,4 +1,4 @@
-//! The back ends whose slots this host counts.
+//! Selection of the backends in this host's share.
 
 use std::collections::HashSet;
 
@@ -7,14 +7,14 @@
 use super::resources::Resources;
 use crate::{Peer, Target, View};
 
-/// One back end of the inventory.
+/// One backend of the inventory.
 #[derive(Debug)]
 pub(crate) struct BackendSpec {
     /// Name.
     pub(crate) name: Name,
     /// Address, `IP:port`.
     pub(crate) address: Name,
-    /// Rack, empty when not known.
+    /// Rack, empty when unknown.
     pub(crate) rack: Name,
     /// Capacity.
     pub(crate) capacity: Resources,
@@ -22,10 +22,10 @@
     pub(crate) worker: bool,
 }
 
-/// Returns the back ends for which `view` names this host as placer.
+/// Returns the backends for which `view` names this host as the placer.
 pub(crate) fn own_backends(config: &Config, view: &View, me: &Peer) -> Vec<BackendSpec> {
-    // Hosts of another zone come in only for a zone that has none of its own:
-    // without this, each change hashes all back ends against all hosts.
+    // Hosts of another zone are considered only for zones without a live host.
+    // Otherwise each change would hash all backends against all hosts.
     let near = view.hosts.get(&me.host).map(|host| &host.zone);
     let zones: HashSet<&Name> = view.live().map(|host| &host.zone).collect();
     let mine = |zone: &Name, name: &str| {
@@ -51,7 +51,7 @@
     servers.chain(workers).collect()
 }
 
-/// Returns whether any back end of the whole inventory could ever run a task.
+/// Returns whether any backend of the whole inventory could ever run a task.
 pub(crate) fn can_ever_run(config: &Config, target: &Target) -> bool {
     match target {
         Target::Service(name) => {
--- a/endivestile_kernel/src/place/status.rs
+++ b/endivestile_kernel/src/place/status.rs
@@ -1,21 +1,21 @@
-//! State of a back end, for operators.
+//! Status of a backend, for operators.
 
 use std::fmt;
 
 use endivestile_config::model::Name;
 use serde::Serialize;
 
-/// Whether a back end is given tasks.
+/// Condition of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Condition {
     /// In use.
     Up,
-    /// In use with few tasks at once, until it has answered some.
+    /// In use with a reduced number of tasks, until it has answered some.
     Trial,
-    /// Taken out after failures, until its next probe.
+    /// Ejected after failures, until its next probe.
     Out,
-    /// Leaving: no new work.
+    /// Leaving: gets no new tasks.
     Leaving,
 }
 
@@ -30,19 +30,20 @@
     }
 }
 
-/// One back end of the share, as `endivectl status` shows it.
+/// Status of one backend of the share, as shown by `endivectl status`.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServerStatus {
-    /// Name of the back end.
+    /// Name of the backend.
     pub name: Name,
-    /// Slots of a backend server, thousandths of a core of a worker.
+    /// Slots of a backend server, or millicores of a worker.
     pub slots: u32,
-    /// Part of `slots` that is free.
+    /// Number of `slots` that are free.
     pub free: u32,
-    /// Tasks waiting in the queues that this back end serves.
+    /// Number of tasks waiting in the queues that this backend serves.
     pub waiting: u32,
-    /// Learnt run time of one task in microseconds, 0 when none ended yet.
+    /// Learned run time of one task in microseconds, 0 before the first one has
+    /// finished.
     pub speed_us: u64,
-    /// Whether it is given tasks.
+    /// Condition.
     pub health: Condition,
 }
--- a/endivestile_kernel/src/place/task_table.rs
+++ b/endivestile_kernel/src/place/task_table.rs
@@ -1,62 +1,64 @@
-//! Tasks that a placer holds, waiting or running.
+//! Table of the tasks of a placer, waiting or running.
 
 use super::resources::Resources;
 use super::team_queue::Rank;
 use crate::{AttemptId, Order, Peer, Time};
 
-/// One call to a back end.
+/// One call to a backend.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BackendCall {
-    /// Number of the call.
+    /// Identifier of the call.
     pub(crate) attempt: AttemptId,
-    /// Slot of the back end.
+    /// Index of the backend.
     pub(crate) backend: u32,
-    /// When it started.
+    /// Start time.
     pub(crate) started: Time,
-    /// Microseconds charged to its team.
+    /// Cost charged to its team, in microseconds.
     pub(crate) cost: u64,
     /// Whether the home still waits for the answer.
     pub(crate) wanted: bool,
 }
 
-/// One task.
+/// A waiting or running task.
 #[derive(Debug)]
 pub(crate) struct TaskEntry {
-    /// The home.
+    /// Host that sent the order.
     pub(crate) home: Peer,
     /// The order.
     pub(crate) order: Order,
-    /// Pool.
+    /// Index of its pool.
     pub(crate) pool: u32,
-    /// Number of its team.
+    /// Index of its team.
     pub(crate) team: u32,
-    /// Number of the order at this placer.
+    /// Sequence number of the order at this placer.
     pub(crate) seq: u64,
-    /// Natural logarithm of its believed size, 0 for a usual one.
+    /// Natural logarithm of its estimated size, 0 for a typical one.
     pub(crate) ln_size: f64,
-    /// Until when it waits for a faster back end than those that are free.
+    /// Until when it waits for a faster backend than the free ones; `None` before it
+    /// has waited for one.
     pub(crate) wait_until: Option<Time>,
     /// When it is given up unless it has started.
     pub(crate) expires_at: Time,
-    /// Calls that did not start it.
+    /// Number of calls that failed to start it.
     pub(crate) failed_starts: u8,
-    /// Smaller tasks that were started before it because it did not fit.
+    /// Number of smaller tasks that were started before it because it did not fit.
     pub(crate) overtaken: u8,
-    /// Whether it is tried although it is believed too long for its deadline.
+    /// Whether it is admitted as a trial although its estimated run time exceeds its
+    /// deadline.
     pub(crate) trial: bool,
-    /// Worker kept free for it.
+    /// Worker reserved for it.
     pub(crate) reserved_worker: Option<u32>,
-    /// The call, while it runs.
+    /// The current call, while it runs.
     pub(crate) call: Option<BackendCall>,
 }
 
 impl TaskEntry {
-    /// Returns its place among the tasks of its team.
+    /// Returns its rank among the tasks of its team.
     pub(crate) const fn rank(&self) -> Rank {
         Rank { arrived: self.order.arrived, left: self.order.left, seq: self.seq }
     }
 
-    /// Returns what it takes of a back end.
+    /// Returns the capacity that it needs.
     pub(crate) fn demand(&self) -> Resources {
         Resources::demand_of(&self.order.task.target)
     }
@@ -85,7 +87,7 @@
         self.slots.get(slot as usize)?.as_ref()
     }
 
-    /// Returns a task to change it.
+    /// Returns a task for modification.
     pub(crate) fn get_mut(&mut self, slot: u32) -> Option<&mut TaskEntry> {
         self.slots.get_mut(slot as usize)?.as_mut()
     }
@@ -103,7 +105,7 @@
         slots.filter_map(|(slot, task)| Some((slot as u32, task.as_ref()?)))
     }
 
-    /// Returns whether there is no task.
+    /// Returns whether the table is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.slots.len() == self.vacant.len()
     }
--- a/endivestile_kernel/src/place/teams.rs
+++ b/endivestile_kernel/src/place/teams.rs
@@ -1,4 +1,4 @@
-//! Teams, and this host's part of what each may hold.
+//! Teams and this host's share of their limits.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,18 +7,18 @@
 
 use crate::{HostState, HostView, Peer, View};
 
-/// One team as this placer sees it.
+/// State of one team at this placer.
 #[derive(Debug, Default)]
 pub(crate) struct TeamState {
-    /// Tasks held here, waiting or running.
+    /// Number of tasks of this placer, waiting or running.
     pub(crate) tasks: u32,
-    /// Tasks that may be held here.
+    /// Maximum number of tasks at this placer.
     pub(crate) host_limit: u32,
-    /// Share under contention.
+    /// Weight under contention.
     pub(crate) weight: u32,
 }
 
-/// All teams, numbered.
+/// All teams, by index.
 #[derive(Debug, Default)]
 pub(crate) struct Teams {
     ids: HashMap<Name, u32>,
@@ -26,11 +26,12 @@
 }
 
 impl Teams {
-    /// Takes over rules and view.
+    /// Applies new rules and a new view.
     ///
-    /// The parts of the live hosts add up to the limit exactly: whole parts by
-    /// weight, and what is left over one each to the first hosts in an order by
-    /// hash of team and host. No message is needed to agree on them.
+    /// The limits of the live hosts add up exactly to the limit of the team. Each host
+    /// gets its share by weight, rounded down. The remainder goes one each to the first
+    /// hosts in the order of a hash of team and host, so that hosts agree without
+    /// exchanging messages.
     pub(crate) fn configure(&mut self, rules: &BTreeMap<Name, Team>, view: &View, me: &Peer) {
         for state in &mut self.states {
             state.host_limit = 0;
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Returns the number of a team; one without rules may hold nothing.
+    /// Returns the index of a team. A team without rules may not run any tasks.
     pub(crate) fn id(&mut self, name: &Name) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -60,20 +61,20 @@
         &self.states[id as usize]
     }
 
-    /// Counts a task that is held from now on.
+    /// Counts a new task.
     pub(crate) fn add_task(&mut self, id: u32) {
         self.states[id as usize].tasks += 1;
     }
 
-    /// Counts a task that is held no more.
+    /// Removes a finished task from the count.
     pub(crate) fn remove_task(&mut self, id: u32) {
         let state = &mut self.states[id as usize];
         state.tasks = state.tasks.saturating_sub(1);
     }
 }
 
-/// Returns the hosts that have shares: the live ones, or the leaving ones when
-/// none lives.
+/// Returns the hosts that have shares: the live ones, or the leaving ones if there
+/// is no live one.
 fn sharing_hosts(view: &View) -> Vec<&HostView> {
     let live: Vec<&HostView> = view.live().collect();
     if !live.is_empty() {
--- a/endivestile_kernel/src/place/tick.rs
+++ b/endivestile_kernel/src/place/tick.rs
@@ -1,4 +1,4 @@
-//! What a placer does when an instant comes.
+//! Timer handling of the placer.
 
 use super::completion::peer_note;
 use super::effect::PlaceEffect;
@@ -6,20 +6,21 @@
 use super::timer::Timer;
 use crate::Time;
 
-/// Time between two looks at speeds that were not confirmed, in milliseconds.
+/// Interval between adjustments of stale run times, in milliseconds.
 const REVISIT_INTERVAL_MS: u64 = 5_000;
 
-/// Time after which a speed that was not confirmed drifts to that of all, in milliseconds.
+/// Time without a new sample after which a run time is stale, in milliseconds.
 const STALE_AFTER_MS: u64 = 20_000;
 
-/// Time after another back end's probe at which its result is looked at, in milliseconds.
+/// Delay before checking the probe of another backend of the rack, in milliseconds.
 const RACK_PROBE_RECHECK_MS: u64 = 50;
 
-/// Part of the way that it drifts at each look.
+/// Weight by which a stale run time moves towards the overall one at each
+/// adjustment.
 const DRIFT_WEIGHT: f64 = 0.25;
 
 impl Placer {
-    /// Does what is due.
+    /// Handles all expired timers.
     pub fn tick(&mut self, now: Time, out: &mut Vec<PlaceEffect>) {
         while let Some(&(due, timer)) = self.timers.first() {
             if due > now {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Returns when something is due.
+    /// Returns when the next timer expires.
     pub fn next_timer(&self) -> Option<Time> {
         self.timers.first().map(|(due, _)| *due).filter(|due| *due != Time::NEVER)
     }
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Lets a back end be probed by a task, unless another one of its rack is
-    /// probed for it.
+    /// Ends the ejection of a backend so that a task probes it, unless another backend
+    /// of its rack is being probed.
     fn probe(&mut self, now: Time, due: Time, id: u32, out: &mut Vec<PlaceEffect>) {
         if self.backends[id as usize].health.ejected_until() != Some(due) {
             return;
@@ -66,12 +67,13 @@
         }
         let backend = &mut self.backends[id as usize];
         backend.health.start_probe();
-        let note = peer_note("back_end_probed", &backend.name, String::from("time out over"));
+        let note = peer_note("back_end_probed", &backend.name, String::from("ejection ended"));
         out.push(PlaceEffect::Log(note));
         self.handle_backend_change(now, id, out);
     }
 
-    /// Returns when to look again at the back end that is probed for `id`.
+    /// Returns when to check again if another backend of the rack is being probed on
+    /// behalf of `id`.
     fn rack_probe_wait(&mut self, now: Time, id: u32) -> Option<Time> {
         let rack = self.racks.get_mut(self.backends[id as usize].rack_id as usize)?;
         let prober = rack.prober.filter(|prober| *prober != id)?;
@@ -84,7 +86,7 @@
         Some(until.unwrap_or(now).after_ms(RACK_PROBE_RECHECK_MS))
     }
 
-    /// Arms the next look at stale speeds.
+    /// Arms the next adjustment of stale run times.
     pub(crate) fn arm_revisit(&mut self, now: Time) {
         if self.revisit_at.is_none() {
             let due = now.after_ms(REVISIT_INTERVAL_MS);
@@ -93,11 +95,11 @@
         }
     }
 
-    /// Lets speeds drift to that of all when they were not confirmed for long,
-    /// and sorts the workers anew.
+    /// Moves stale run times that are slower than the overall one towards it, and sorts
+    /// the workers again.
     ///
-    /// A back end that was slow once gets no tasks while others are free, and
-    /// so could never show that it is fast again.
+    /// A backend that was slow once gets no tasks while others are free, so it would
+    /// never show that it has become fast again.
     fn revisit_run_times(&mut self, now: Time, out: &mut Vec<PlaceEffect>) {
         self.revisit_at = None;
         for pool in &mut self.pools {
--- a/endivestile_kernel/src/place/timer.rs
+++ b/endivestile_kernel/src/place/timer.rs
@@ -1,16 +1,17 @@
-//! What a placer does at an instant.
+//! Timers of the placer.
 
-/// What a placer does at an instant, by slot of the task, back end or pool.
+/// Action of an expired timer, with the slot of the task or the index of the pool
+/// or backend that it concerns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// Give up a waiting task that can't make its deadline.
+    /// Give up a waiting task that can no longer meet its deadline.
     Expire(u32),
-    /// Stop waiting for a faster back end.
+    /// Stop waiting for a faster backend.
     WaitLimit(u32),
-    /// Probe a back end that is out.
+    /// Probe an ejected backend.
     Probe(u32),
-    /// Believe refused slots free again.
+    /// Offer blocked slots again.
     Unblock(u32),
-    /// Look after speeds that were not confirmed for long.
+    /// Adjust run times without recent samples.
     RevisitRunTimes,
 }
--- a/endivestile_kernel/src/place/waiting.rs
+++ b/endivestile_kernel/src/place/waiting.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait, and their end without a start.
+//! Queueing of tasks and their end without a start.
 
 use super::effect::PlaceEffect;
 use super::placer::Placer;
@@ -6,7 +6,7 @@
 use crate::{Cause, Outcome, Target, Time};
 
 impl Placer {
-    /// Puts a task into the queue of its pool.
+    /// Adds a task to the queue of its pool.
     pub(crate) fn enqueue(&mut self, now: Time, slot: u32) {
         let Some(task) = self.tasks.get_mut(slot) else { return };
         let pool = &mut self.pools[task.pool as usize];
@@ -24,7 +24,7 @@
         self.waiting_count += 1;
     }
 
-    /// Takes a task out of the queue of its pool.
+    /// Removes a task from the queue of its pool.
     pub(crate) fn dequeue(&mut self, slot: u32) {
         let Some(task) = self.tasks.get_mut(slot) else { return };
         let pool = &mut self.pools[task.pool as usize];
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Ends a task that does not wait in a queue any more.
+    /// Ends a task that is not queued and reports its outcome to its home.
     pub(crate) fn finish(&mut self, slot: u32, outcome: Outcome, out: &mut Vec<PlaceEffect>) {
         let Some(task) = self.tasks.remove(slot) else { return };
         self.teams.remove_task(task.team);
@@ -58,7 +58,7 @@
         out.push(PlaceEffect::Ended { home, key, outcome });
     }
 
-    /// Forgets a task that does not wait in a queue any more.
+    /// Removes a task that is not queued, without reporting an outcome.
     pub(crate) fn discard(&mut self, slot: u32) {
         if let Some(task) = self.tasks.remove(slot) {
             self.teams.remove_task(task.team);
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Gives up a waiting task that can't make its deadline any more.
+    /// Gives up a waiting task that can no longer meet its deadline, or rearms its
+    /// timer.
     pub(crate) fn expire(&mut self, now: Time, slot: u32, out: &mut Vec<PlaceEffect>) {
         let Some(task) = self.tasks.get_mut(slot) else { return };
         let run_us =
@@ -84,7 +85,7 @@
     }
 }
 
-/// Returns the instant `micros` before `deadline`.
+/// Returns the time `micros` before `deadline`.
 fn before(deadline: Time, micros: u64) -> Time {
     if deadline == Time::NEVER {
         return deadline;
--- a/endivestile_kernel/src/place/work_by_size.rs
+++ b/endivestile_kernel/src/place/work_by_size.rs
@@ -1,22 +1,22 @@
-//! How work is spread over sizes of tasks.
+//! Distribution of work over task sizes.
 
-/// Bands in all.
+/// Number of bands.
 const BAND_COUNT: usize = 24;
 
 /// Bands per unit of the natural logarithm.
 const BANDS_PER_LN: f64 = 4.0;
 
-/// Number of tasks after which a task counts half.
+/// Factor by which older tasks decay with each new one.
 const DECAY: f64 = 1.0 - 1.0 / 512.0;
 
-/// Work by believed size of the task, recent tasks counting more.
+/// Work by estimated task size, weighting recent tasks more.
 #[derive(Debug)]
 pub(crate) struct WorkBySize {
     work: [f64; BAND_COUNT],
 }
 
 impl WorkBySize {
-    /// Makes a spread without tasks.
+    /// Creates an empty distribution.
     pub(crate) const fn new() -> Self {
         Self { work: [0.0; BAND_COUNT] }
     }
@@ -26,7 +26,7 @@
         (at.max(0.0) as usize).min(BAND_COUNT - 1)
     }
 
-    /// Counts a task.
+    /// Records a task.
     pub(crate) fn record(&mut self, ln_size: f64) {
         for work in &mut self.work {
             *work *= DECAY;
@@ -34,7 +34,7 @@
         self.work[Self::band(ln_size)] += ln_size.exp();
     }
 
-    /// Returns the part of the work in tasks of this size or larger.
+    /// Returns the share of the work in tasks of this size or larger.
     pub(crate) fn fraction_from(&self, ln_size: f64) -> f64 {
         let all: f64 = self.work.iter().sum();
         if all == 0.0 {
