--- a/endivestile_kernel/benches/place.rs
+++ b/endivestile_kernel/benches/place.rs
@@ -1,4 +1,4 @@
-//! Cost of a placement decision, and memory of what a placer holds.
+//! Cost of placement decisions, and memory use of a placer.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -18,25 +18,25 @@
 const TEAMS: usize = 170;
 
 /// Allocator that counts the bytes in use.
-struct Counting;
+struct CountingAllocator;
 
-static IN_USE: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call goes to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: all calls are forwarded unchanged to the system allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(ptr, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn name(prefix: &str, at: usize) -> Name {
     Name::from(format!("{prefix}{at:04}"))
@@ -79,19 +79,19 @@
     View { me, zone, hosts: [(Name::from("h"), host)].into(), store: true, inventory: true }
 }
 
-/// A placer under load, and the calls it has open.
-struct Load {
+/// A placer under load, and its running calls.
+struct LoadedPlacer {
     placer: Placer,
     me: Peer,
     teams: Vec<Name>,
-    open: std::collections::VecDeque<AttemptId>,
+    running: std::collections::VecDeque<AttemptId>,
     task: Arc<Task>,
     now: Time,
     run: u64,
     out: Vec<PlaceEffect>,
 }
 
-impl Load {
+impl LoadedPlacer {
     fn new(count: usize, workers: bool) -> Self {
         let me = Peer::new("h", 1);
         let mut placer = Placer::new(PlacerSetup { me: me.clone(), seed: 1 });
@@ -104,11 +104,11 @@
         };
         let task = Arc::new(Task { target, work: Bytes::new(), declared: 100 });
         let teams = (0..TEAMS).map(|at| name("m", at)).collect();
-        let open = std::collections::VecDeque::new();
-        Self { placer, me, teams, open, task, now: Time::ZERO, run: 0, out }
+        let running = std::collections::VecDeque::new();
+        Self { placer, me, teams, running, task, now: Time::ZERO, run: 0, out }
     }
 
-    fn order(&mut self) {
+    fn submit(&mut self) {
         self.run += 1;
         let order = Order {
             key: TaskKey { run: self.run, index: 0, attempt: 0 },
@@ -119,45 +119,46 @@
             task: self.task.clone(),
         };
         self.placer.handle_order(self.now, &self.me, order, &mut self.out);
-        self.collect();
+        self.collect_starts();
     }
 
-    fn end(&mut self) {
-        let Some(attempt) = self.open.pop_front() else { return };
+    fn finish_oldest(&mut self) {
+        let Some(attempt) = self.running.pop_front() else { return };
         self.placer.handle_end(self.now, attempt, End::Answered(Bytes::new()), &mut self.out);
-        self.collect();
+        self.collect_starts();
     }
 
-    fn collect(&mut self) {
+    fn collect_starts(&mut self) {
         for effect in self.out.drain(..) {
             if let PlaceEffect::Start { attempt, .. } = black_box(effect) {
-                self.open.push_back(attempt);
+                self.running.push_back(attempt);
             }
         }
     }
 
-    /// Fills all slots and the queue, then learns speeds for a while.
+    /// Fills all slots, queues `queued` more tasks, then runs enough tasks to learn run
+    /// times.
     fn fill(&mut self, queued: usize) {
         loop {
-            let before = self.open.len();
-            self.order();
-            if self.open.len() == before {
+            let before = self.running.len();
+            self.submit();
+            if self.running.len() == before {
                 break;
             }
         }
         for _ in 0..queued {
-            self.order();
+            self.submit();
         }
-        for _ in 0..self.open.len() * 4 {
+        for _ in 0..self.running.len() * 4 {
             self.step();
         }
     }
 
-    /// One task ends, the next starts in its place, and a new one is queued.
+    /// Queues a new task and ends the oldest running one, so that the next one starts.
     fn step(&mut self) {
         self.now = self.now.after_us(10 + self.run % 7);
-        self.order();
-        self.end();
+        self.submit();
+        self.finish_oldest();
     }
 }
 
@@ -168,7 +169,7 @@
         group.warm_up_time(Duration::from_millis(200));
         for count in [50, 500, 4_400] {
             for queued in [10, 100, 1_000] {
-                let mut load = Load::new(count, workers);
+                let mut load = LoadedPlacer::new(count, workers);
                 load.fill(queued);
                 let id = BenchmarkId::new(count.to_string(), queued);
                 group.bench_function(id, |b| b.iter(|| load.step()));
@@ -183,10 +184,10 @@
     group.sample_size(10).measurement_time(Duration::from_millis(800));
     for wave in [1_000, 10_000, 100_000] {
         group.bench_function(BenchmarkId::from_parameter(wave), |b| {
-            b.iter_custom(|rounds| {
+            b.iter_custom(|iterations| {
                 let mut spent = Duration::ZERO;
-                for _ in 0..rounds {
-                    spent += cancel(wave);
+                for _ in 0..iterations {
+                    spent += cancel_wave(wave);
                 }
                 spent / wave as u32
             });
@@ -195,8 +196,8 @@
     group.finish();
 }
 
-fn cancel(wave: usize) -> Duration {
-    let mut load = Load::new(50, false);
+fn cancel_wave(wave: usize) -> Duration {
+    let mut load = LoadedPlacer::new(50, false);
     load.fill(wave);
     let keys: Vec<TaskKey> =
         (0..=load.run).map(|run| TaskKey { run, index: 0, attempt: 0 }).collect();
@@ -207,7 +208,8 @@
     start.elapsed()
 }
 
-/// A change of the view at the target size: 26 zones of 8 hosts and 169 workers each.
+/// Changes of the view at the target size: 26 zones with 8 hosts and 169 workers
+/// each.
 fn view_changes(c: &mut Criterion) {
     let mut config = config(4_400, true);
     for (at, worker) in config.workers.values_mut().enumerate() {
@@ -235,15 +237,15 @@
 }
 
 fn memory() {
-    let before = IN_USE.load(Ordering::Relaxed);
-    let mut load = Load::new(4_400, false);
-    let base = IN_USE.load(Ordering::Relaxed);
+    let before = ALLOCATED.load(Ordering::Relaxed);
+    let mut load = LoadedPlacer::new(4_400, false);
+    let base = ALLOCATED.load(Ordering::Relaxed);
     load.fill(0);
-    let filled = IN_USE.load(Ordering::Relaxed);
+    let filled = ALLOCATED.load(Ordering::Relaxed);
     for _ in 0..100_000 {
-        load.order();
+        load.submit();
     }
-    let queued = IN_USE.load(Ordering::Relaxed);
+    let queued = ALLOCATED.load(Ordering::Relaxed);
     println!("bytes per back end, configuration included: {}", (base - before) / 4_400);
     println!("bytes per running task: {}", (filled - base) / (4_400 * SLOTS as usize));
     println!("bytes per queued task: {}", (queued - filled) / 100_000);
--- a/endivestile_kernel/tests/place_compare.rs
+++ b/endivestile_kernel/tests/place_compare.rs
@@ -1,4 +1,5 @@
-//! The policies side by side, in virtual time, against a clairvoyant list schedule.
+//! Comparison of the placement policies in virtual time, with a list schedule as
+//! reference.
 
 mod place_fake;
 
@@ -7,24 +8,24 @@
 use std::sync::Arc;
 
 use endivestile_kernel::{Outcome, Time};
-use place_fake::ideal::list_schedule;
+use place_fake::reference::list_schedule;
 use place_fake::trace::{Arrival, SERVERS, SLOTS, factors, trace};
-use place_fake::{Fake, Mode, order, servers};
+use place_fake::{Mode, Simulation, new_order, servers};
 use test_case::test_case;
 
 const SEEDS: [u64; 8] = [5, 6, 7, 8, 9, 10, 11, 12];
-/// When a burst comes, or a rack becomes slow.
-const TURN_US: u64 = 8_000_000;
+/// When a burst begins or a rack becomes slow.
+const CHANGE_US: u64 = 8_000_000;
 
 const POLICIES: [&str; 5] =
     ["earliest", "random", "round-robin", "least-outstanding", "two-choices"];
 
-/// What came of traces.
+/// Results of replayed traces.
 #[derive(Default)]
 struct Run {
     /// Response times of finished tasks, in microseconds.
     times: Vec<u64>,
-    /// Work finished, in microseconds on a back end of factor 1.
+    /// Finished work, in microseconds on a backend of factor 1.
     work: u64,
 }
 
@@ -39,30 +40,30 @@
 fn replay(policy: &str, trace: &[Arrival], declared: bool, slow: bool) -> Run {
     let mut config = servers(SERVERS, SLOTS);
     config.rules.policy = policy.into();
-    let mut fake = Fake::new(config);
+    let mut sim = Simulation::new(config);
     for (at, factor) in factors().into_iter().enumerate() {
-        fake.mode(&format!("b{at:04}"), Mode::Works(factor));
+        sim.set_mode(&format!("b{at:04}"), Mode::Runs(factor));
     }
     let mut left: HashMap<u64, u16> = HashMap::new();
     for task in trace {
         *left.entry(task.job).or_default() += 1;
     }
     for (run, task) in trace.iter().enumerate() {
-        fake.run_until(Time::from_micros(task.at_us));
-        if slow && task.at_us > TURN_US {
+        sim.run_until(Time::from_micros(task.at_us));
+        if slow && task.at_us > CHANGE_US {
             for at in 4..8 {
-                fake.mode(&format!("b{at:04}"), Mode::Works(factors()[at] * 5.0));
+                sim.set_mode(&format!("b{at:04}"), Mode::Runs(factors()[at] * 5.0));
             }
         }
-        let mut order = order(fake.now, run as u64, "a", task.size_us);
+        let mut order = new_order(sim.now, run as u64, "a", task.size_us);
         order.deadline = Time::from_micros(task.deadline_us);
         order.left = left[&task.job];
         Arc::make_mut(&mut order.task).declared = if declared { task.declared_ms } else { 0 };
-        fake.order(order);
+        sim.submit(order);
     }
-    fake.run_ms(60_000);
+    sim.run_ms(60_000);
     let mut run = Run::default();
-    for (at, key, outcome) in &fake.ended {
+    for (at, key, outcome) in &sim.ended {
         let task = trace[key.run as usize];
         if matches!(outcome, Outcome::Done(_)) {
             run.times.push(at.as_micros() - task.at_us);
@@ -81,8 +82,8 @@
     times[((times.len() - 1) as f64 * part) as usize] as f64 / 1_000.0
 }
 
-/// Prints response times of all policies and returns the table: `earliest` without
-/// and with declared run times, then the baselines.
+/// Prints the response times of all policies and returns the table: `earliest`
+/// without and with declared run times, then the baselines.
 fn compare(label: &str, traces: &[Vec<Arrival>], slow: bool) -> Vec<Row> {
     let offered: u64 = traces.iter().flatten().map(|task| task.size_us).sum();
     let mut table = Vec::new();
@@ -102,48 +103,48 @@
     table
 }
 
-// The back ends were bought over many years. A placer that does not know fast
-// from slow makes its callers wait for the slow ones while fast ones are free.
+// Backends differ in speed. A policy that ignores it makes callers wait for slow
+// backends while fast ones are free.
 #[test_case(30)]
 #[test_case(60)]
 #[test_case(80)]
 #[test_case(95)]
 #[test_case(110)]
-fn policies_against_ideal(load: u32) {
+fn policies_against_list_schedule(load: u32) {
     let traces = SEEDS.map(|seed| trace(load, 20, seed));
-    let ideal = traces.iter().flat_map(|trace| list_schedule(trace, &factors(), SLOTS));
-    println!("{load:>9}  {}", Row::new("list schedule", ideal.collect(), 100.0));
+    let reference = traces.iter().flat_map(|trace| list_schedule(trace, &factors(), SLOTS));
+    println!("{load:>9}  {}", Row::new("list schedule", reference.collect(), 100.0));
     let table = compare(&load.to_string(), &traces, false);
     assert!(table[1].p99 < table[0].p99, "declared run times make no difference");
 }
 
-// Arrivals rise fivefold for two seconds without a warning.
+// Arrivals rise fivefold for two seconds without warning.
 #[test]
 fn policies_burst() {
     let traces = SEEDS.map(|seed| {
         let mut all = trace(60, 20, seed);
         let burst = trace(240, 2, seed + 100);
         all.extend(burst.into_iter().map(|task| Arrival {
-            at_us: task.at_us + TURN_US,
-            deadline_us: task.deadline_us + TURN_US,
+            at_us: task.at_us + CHANGE_US,
+            deadline_us: task.deadline_us + CHANGE_US,
             job: task.job + 1_000_000,
             ..task
         }));
         all.sort_by_key(|task| task.at_us);
         all
     });
-    let ideal = traces.iter().flat_map(|trace| list_schedule(trace, &factors(), SLOTS));
-    println!("    burst  {}", Row::new("list schedule", ideal.collect(), 100.0));
+    let reference = traces.iter().flat_map(|trace| list_schedule(trace, &factors(), SLOTS));
+    println!("    burst  {}", Row::new("list schedule", reference.collect(), 100.0));
     compare("burst", &traces, false);
 }
 
-// A third of the back ends, a rack, becomes five times slower while in use.
+// A third of the backends, one rack, becomes five times slower while in use.
 #[test]
 fn policies_slow_rack() {
     compare("slow rack", &SEEDS.map(|seed| trace(50, 20, seed)), true);
 }
 
-/// One row of the table: response times in milliseconds, work done in percent.
+/// One row of the table: response times in milliseconds, finished work in percent.
 struct Row {
     name: String,
     p50: f64,
--- a/endivestile_kernel/tests/place_fake/mod.rs
+++ b/endivestile_kernel/tests/place_fake/mod.rs
@@ -1,8 +1,8 @@
-//! A tiny fake of back ends, in virtual time.
+//! A placer with simulated backends in virtual time.
 
 #![allow(dead_code, missing_docs, unreachable_pub)]
 
-pub mod ideal;
+pub mod reference;
 pub mod trace;
 
 use std::cmp::Reverse;
@@ -16,28 +16,28 @@
     PlacerSetup, Target, Task, TaskKey, Time, View,
 };
 
-/// How a fake back end treats a task.
+/// How a simulated backend treats a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Mode {
-    /// Runs it: its size times the factor.
-    Works(f64),
-    /// Fails it after a millisecond.
+    /// Runs it for its size times the factor.
+    Runs(f64),
+    /// Fails it after 1 ms.
     Fails,
-    /// Fails it after a tenth of a second.
+    /// Fails it after 100 ms.
     FailsSlowly,
     /// Refuses connections.
-    Down,
-    /// Says that it is full.
+    Refuses,
+    /// Reports that it is full.
     Busy,
-    /// Says that it is leaving.
+    /// Reports that it is leaving.
     Leaving,
-    /// Takes it and loses the answer after a millisecond.
-    Loses,
-    /// Takes it and never answers.
+    /// Accepts it and loses the answer after 1 ms.
+    LosesAnswer,
+    /// Accepts it and never answers.
     Hangs,
 }
 
-/// One start as the fakes saw it.
+/// One start of a task on a simulated backend.
 #[derive(Debug, Clone)]
 pub struct Start {
     pub at: Time,
@@ -47,7 +47,7 @@
     pub team: Name,
 }
 
-pub struct Fake {
+pub struct Simulation {
     pub placer: Placer,
     pub config: Config,
     pub view: View,
@@ -57,9 +57,9 @@
     pub ended: Vec<(Time, TaskKey, Outcome)>,
     pub notes: Vec<(Time, Note)>,
     pub running: BTreeMap<AttemptId, (Name, u32)>,
-    pub most: HashMap<Name, usize>,
-    ends: BinaryHeap<Reverse<(Time, AttemptId)>>,
-    how: HashMap<AttemptId, End>,
+    pub max_running: HashMap<Name, usize>,
+    pending_ends: BinaryHeap<Reverse<(Time, AttemptId)>>,
+    results: HashMap<AttemptId, End>,
     pub aborted: Vec<AttemptId>,
     out: Vec<PlaceEffect>,
 }
@@ -82,7 +82,8 @@
     View { me: home(), zone: Name::from("z"), hosts: hosts.collect(), store: true, inventory: true }
 }
 
-/// A configuration of one service `s` over `servers` of `slots` slots, racks of four.
+/// Returns a configuration with one service `s` on `count` servers of `slots`
+/// slots, four per rack.
 pub fn servers(count: usize, slots: u32) -> Config {
     let mut config = Config::default();
     let mut names = Vec::new();
@@ -127,8 +128,8 @@
     Target::Service(Name::from("s"))
 }
 
-/// An order of one task whose true size is `size_us` on a back end of factor 1.
-pub fn order(now: Time, run: u64, team: &str, size_us: u64) -> Order {
+/// Returns an order of one task that runs for `size_us` on a backend of factor 1.
+pub fn new_order(now: Time, run: u64, team: &str, size_us: u64) -> Order {
     Order {
         key: TaskKey { run, index: 0, attempt: 0 },
         team: Name::from(team),
@@ -148,13 +149,13 @@
     order
 }
 
-impl Fake {
+impl Simulation {
     pub fn new(config: Config) -> Self {
         Self::with_view(config, view(&[("h0", 1)]))
     }
 
     pub fn with_view(config: Config, view: View) -> Self {
-        let mut fake = Self {
+        let mut sim = Self {
             placer: Placer::new(PlacerSetup { me: home(), seed: 7 }),
             config,
             view,
@@ -164,63 +165,63 @@
             ended: Vec::new(),
             notes: Vec::new(),
             running: BTreeMap::new(),
-            most: HashMap::new(),
-            ends: BinaryHeap::new(),
-            how: HashMap::new(),
+            max_running: HashMap::new(),
+            pending_ends: BinaryHeap::new(),
+            results: HashMap::new(),
             aborted: Vec::new(),
             out: Vec::new(),
         };
-        fake.configure();
-        fake
+        sim.configure();
+        sim
     }
 
     pub fn configure(&mut self) {
         self.placer.configure(self.now, &self.config, &self.view, &mut self.out);
-        self.apply();
+        self.apply_effects();
     }
 
-    pub fn see(&mut self, view: View) {
+    pub fn set_view(&mut self, view: View) {
         self.view = view;
         self.placer.handle_view(self.now, &self.view, &mut self.out);
-        self.apply();
+        self.apply_effects();
     }
 
-    pub fn leaving(&mut self, name: &str, leaving: bool) {
+    pub fn set_leaving(&mut self, name: &str, leaving: bool) {
         self.placer.set_leaving(self.now, name, leaving, &mut self.out);
-        self.apply();
+        self.apply_effects();
     }
 
-    pub fn order(&mut self, order: Order) {
+    pub fn submit(&mut self, order: Order) {
         self.placer.handle_order(self.now, &home(), order, &mut self.out);
-        self.apply();
+        self.apply_effects();
     }
 
-    /// Orders `count` tasks of one size, numbered from `run`.
-    pub fn orders(&mut self, run: u64, count: u64, team: &str, size_us: u64) {
+    /// Submits `count` tasks of one size, numbered from `run`.
+    pub fn submit_many(&mut self, run: u64, count: u64, team: &str, size_us: u64) {
         for step in 0..count {
-            self.order(order(self.now, run + step, team, size_us));
+            self.submit(new_order(self.now, run + step, team, size_us));
         }
     }
 
     pub fn drop_task(&mut self, run: u64) {
         let key = TaskKey { run, index: 0, attempt: 0 };
         self.placer.handle_drop(self.now, &home(), key, &mut self.out);
-        self.apply();
+        self.apply_effects();
     }
 
-    pub fn home_gone(&mut self) {
+    pub fn remove_home(&mut self) {
         self.placer.handle_home_gone(self.now, &home(), &mut self.out);
-        self.apply();
+        self.apply_effects();
     }
 
-    pub fn mode(&mut self, name: &str, mode: Mode) {
+    pub fn set_mode(&mut self, name: &str, mode: Mode) {
         self.modes.insert(Name::from(name), mode);
     }
 
-    /// Lets time pass until `until`, back ends and timers in their order.
+    /// Advances the time to `until`, handling finished calls and timers in order.
     pub fn run_until(&mut self, until: Time) {
         loop {
-            let end = self.ends.peek().map(|Reverse((at, _))| *at);
+            let end = self.pending_ends.peek().map(|Reverse((at, _))| *at);
             let due = self.placer.next_timer();
             let next = end.into_iter().chain(due).min();
             let Some(next) = next.filter(|next| *next <= until) else { break };
@@ -229,7 +230,7 @@
                 self.finish();
             } else {
                 self.placer.tick(self.now, &mut self.out);
-                self.apply();
+                self.apply_effects();
             }
         }
         self.now = self.now.max(until);
@@ -243,31 +244,31 @@
         self.ended.iter().find(|(_, key, _)| key.run == run).map(|(_, _, outcome)| outcome)
     }
 
-    pub fn outcomes(&self, wanted: &Outcome) -> usize {
+    pub fn count_outcomes(&self, wanted: &Outcome) -> usize {
         self.ended.iter().filter(|(_, _, outcome)| outcome == wanted).count()
     }
 
-    pub fn done(&self) -> usize {
+    pub fn count_done(&self) -> usize {
         self.ended.iter().filter(|(_, _, outcome)| matches!(outcome, Outcome::Done(_))).count()
     }
 
-    pub fn started_on(&self, name: &str) -> usize {
+    pub fn starts_on(&self, name: &str) -> usize {
         self.starts.iter().filter(|start| start.server.as_ref() == name).count()
     }
 
-    pub fn started(&self, run: u64) -> Option<&Start> {
+    pub fn start_of(&self, run: u64) -> Option<&Start> {
         self.starts.iter().find(|start| start.key.run == run)
     }
 
     fn finish(&mut self) {
-        let Some(Reverse((_, attempt))) = self.ends.pop() else { return };
+        let Some(Reverse((_, attempt))) = self.pending_ends.pop() else { return };
         self.running.remove(&attempt);
-        let Some(end) = self.how.remove(&attempt) else { return };
+        let Some(end) = self.results.remove(&attempt) else { return };
         self.placer.handle_end(self.now, attempt, end, &mut self.out);
-        self.apply();
+        self.apply_effects();
     }
 
-    fn apply(&mut self) {
+    fn apply_effects(&mut self) {
         for effect in std::mem::take(&mut self.out) {
             match effect {
                 PlaceEffect::Start { attempt, server, order, .. } => {
@@ -275,8 +276,8 @@
                 }
                 PlaceEffect::Abort(attempt) => {
                     self.aborted.push(attempt);
-                    self.how.insert(attempt, End::Lost);
-                    self.ends.push(Reverse((self.now.after_us(100), attempt)));
+                    self.results.insert(attempt, End::Lost);
+                    self.pending_ends.push(Reverse((self.now.after_us(100), attempt)));
                 }
                 PlaceEffect::Ended { key, outcome, .. } => {
                     self.ended.push((self.now, key, outcome));
@@ -289,15 +290,15 @@
 
     fn start(&mut self, attempt: AttemptId, server: Name, order: Order) {
         let size = order.task.work.as_ref().try_into().map_or(1_000, u64::from_be_bytes);
-        let mode = self.modes.get(&server).copied().unwrap_or(Mode::Works(1.0));
+        let mode = self.modes.get(&server).copied().unwrap_or(Mode::Runs(1.0));
         let (after, end) = match mode {
-            Mode::Works(factor) => (size as f64 * factor, End::Answered(Bytes::from_static(b"x"))),
+            Mode::Runs(factor) => (size as f64 * factor, End::Answered(Bytes::from_static(b"x"))),
             Mode::Fails => (1_000.0, End::Rejected(500)),
             Mode::FailsSlowly => (100_000.0, End::Rejected(500)),
-            Mode::Down => (100.0, End::Unreachable),
+            Mode::Refuses => (100.0, End::Unreachable),
             Mode::Busy => (300.0, End::Busy),
             Mode::Leaving => (300.0, End::Leaving),
-            Mode::Loses => (1_000.0, End::Lost),
+            Mode::LosesAnswer => (1_000.0, End::Lost),
             Mode::Hangs => (f64::MAX, End::Lost),
         };
         let cpu = match order.task.target {
@@ -305,13 +306,13 @@
             Target::Service(_) => 1,
         };
         self.running.insert(attempt, (server.clone(), cpu));
-        let now_there = self.running.values().filter(|(name, _)| *name == server).count();
-        let most = self.most.entry(server.clone()).or_default();
-        *most = now_there.max(*most);
+        let concurrent = self.running.values().filter(|(name, _)| *name == server).count();
+        let peak = self.max_running.entry(server.clone()).or_default();
+        *peak = concurrent.max(*peak);
         self.starts.push(Start { at: self.now, attempt, server, key: order.key, team: order.team });
         if mode != Mode::Hangs {
-            self.how.insert(attempt, end);
-            self.ends.push(Reverse((self.now.after_us(after as u64), attempt)));
+            self.results.insert(attempt, end);
+            self.pending_ends.push(Reverse((self.now.after_us(after as u64), attempt)));
         }
     }
 }
--- a/endivestile_kernel/tests/place_fake/ideal.rs
+++ b/endivestile_kernel/tests/place_fake/reference.rs
@@ -1,13 +1,13 @@
-//! What a clairvoyant would have done with the same arrivals.
+//! Reference schedule with known run times.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use super::trace::Arrival;
 
-/// Returns response times by list schedule: in the order of arrival, each task on
-/// the slot that finishes it earliest, true run times known. A yardstick, not
-/// the optimum.
+/// Returns the response times of a list schedule: in order of arrival, each task
+/// runs on the slot that finishes it earliest, with actual run times known in
+/// advance. This is a yardstick, not the optimum.
 pub fn list_schedule(trace: &[Arrival], factors: &[f64], slots: u32) -> Vec<u64> {
     let mut free: Vec<BinaryHeap<Reverse<u64>>> =
         factors.iter().map(|_| (0..slots).map(|_| Reverse(0)).collect()).collect();
--- a/endivestile_kernel/tests/place_fake/trace.rs
+++ b/endivestile_kernel/tests/place_fake/trace.rs
@@ -1,4 +1,4 @@
-//! Arrival traces of fixed seeds.
+//! Arrival traces generated from fixed seeds.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -15,13 +15,13 @@
     pub job: u64,
 }
 
-/// Speeds that differ eightfold.
+/// Returns run time factors that differ up to eightfold.
 pub fn factors() -> Vec<f64> {
     (0..SERVERS).map(|at| [0.5, 1.0, 2.0, 4.0][at % 4]).collect()
 }
 
-/// Arrivals at `load` percent of capacity for `secs`: single tasks and jobs of up
-/// to 40, sizes from 50 ms to a second, a few of several seconds.
+/// Returns arrivals at `load` percent of capacity for `secs` seconds: single tasks
+/// and jobs of up to 40, with sizes from 50 ms to 1 s and 1% of 2 to 5 s.
 pub fn trace(load: u32, secs: u64, seed: u64) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let rate: f64 = factors().iter().map(|factor| f64::from(SLOTS) / factor).sum();
@@ -57,8 +57,8 @@
     tasks
 }
 
-/// Declares a run time: a third says nothing, the rest is off by up to fivefold
-/// either way, all of it three times too long.
+/// Returns a declared run time: 30% are unrelated to the actual one, the others
+/// deviate by up to a factor of five around three times the actual one.
 fn declare(rng: &mut SmallRng, size_us: u64) -> u32 {
     if rng.random_bool(0.3) {
         return rng.random_range(10..20_000);
--- a/endivestile_kernel/tests/place_queue.rs
+++ b/endivestile_kernel/tests/place_queue.rs
@@ -4,109 +4,109 @@
 
 use endivestile_config::model::{Name, Team};
 use endivestile_kernel::{Cause, HostState, Outcome, Peer, PlaceEffect, Placer, PlacerSetup, Time};
-use place_fake::{Fake, Mode, home, order, servers, view};
+use place_fake::{Mode, Simulation, home, new_order, servers, view};
 
 const FULL: Outcome = Outcome::NotRun(Cause::Full);
 const LIMIT: Outcome = Outcome::NotRun(Cause::Limit);
 const DEADLINE: Outcome = Outcome::NotRun(Cause::Deadline);
 const NO_BACKEND: Outcome = Outcome::NotRun(Cause::NoBackend);
 
-fn names(fake: &Fake, from: u64) -> Vec<u64> {
-    fake.starts.iter().map(|start| start.key.run).filter(|run| *run >= from).collect()
+fn names(sim: &Simulation, from: u64) -> Vec<u64> {
+    sim.starts.iter().map(|start| start.key.run).filter(|run| *run >= from).collect()
 }
 
-// One team floods the queue. Another one's single request would wait behind
-// all of the flood and be late at the gate.
+// One team floods the queue. A single request of another team must not wait behind
+// the flood.
 #[test]
 fn queue_flood_does_not_delay_others() {
-    let mut fake = Fake::new(servers(1, 2));
-    fake.orders(0, 1_000, "a", 100_000);
-    fake.run_ms(1_000);
-    fake.orders(5_000, 1, "b", 100_000);
-    fake.run_ms(210);
-    assert!(matches!(fake.outcome(5_000), Some(Outcome::Done(_))));
+    let mut sim = Simulation::new(servers(1, 2));
+    sim.submit_many(0, 1_000, "a", 100_000);
+    sim.run_ms(1_000);
+    sim.submit_many(5_000, 1, "b", 100_000);
+    sim.run_ms(210);
+    assert!(matches!(sim.outcome(5_000), Some(Outcome::Done(_))));
 }
 
 // Two teams keep more work waiting than fits. Their shares must follow their
-// weights, or the heavier payer waits longer than was agreed.
+// weights.
 #[test]
 fn queue_shares_by_weight() {
     let mut config = servers(2, 4);
     config.teams.insert(Name::from("b"), Team { limit: 1_000_000, weight: 3 });
-    let mut fake = Fake::new(config);
-    fake.orders(0, 2_000, "a", 100_000);
-    fake.orders(10_000, 2_000, "b", 100_000);
-    fake.run_ms(20_000);
-    let of = |name: &str| fake.starts.iter().filter(|s| s.team.as_ref() == name).count() as f64;
+    let mut sim = Simulation::new(config);
+    sim.submit_many(0, 2_000, "a", 100_000);
+    sim.submit_many(10_000, 2_000, "b", 100_000);
+    sim.run_ms(20_000);
+    let of = |name: &str| sim.starts.iter().filter(|s| s.team.as_ref() == name).count() as f64;
     let ratio = of("b") / of("a");
     assert!((2.8..3.2).contains(&ratio), "{ratio}");
 }
 
 #[test]
 fn queue_older_then_fewer_left() {
-    let mut fake = Fake::new(servers(1, 1));
-    fake.orders(0, 1, "a", 50_000);
-    let now = fake.now;
+    let mut sim = Simulation::new(servers(1, 1));
+    sim.submit_many(0, 1, "a", 50_000);
+    let now = sim.now;
     for (run, arrived, left) in [(11, 9, 1), (12, 5, 40), (13, 5, 2), (14, 1, 200)] {
-        let mut order = order(now, run, "a", 50_000);
+        let mut order = new_order(now, run, "a", 50_000);
         order.arrived = Time::from_micros(arrived);
         order.left = left;
-        fake.order(order);
+        sim.submit(order);
     }
-    fake.run_ms(1_000);
-    assert_eq!(names(&fake, 10), [14, 13, 12, 11]);
+    sim.run_ms(1_000);
+    assert_eq!(names(&sim, 10), [14, 13, 12, 11]);
 }
 
-// A task waits although it can't be finished in time any more. Its caller hears
-// of that only at the deadline, too late to go elsewhere.
+// A waiting task that can no longer finish in time is given up right away, not at
+// its deadline, so that its caller can still go elsewhere.
 #[test]
-fn queue_gives_up_at_once() {
-    let mut fake = Fake::new(servers(1, 1));
+fn queue_gives_up_late_task() {
+    let mut sim = Simulation::new(servers(1, 1));
     for run in 0..20 {
-        fake.orders(100 + run, 1, "a", 100_000);
-        fake.run_ms(100);
+        sim.submit_many(100 + run, 1, "a", 100_000);
+        sim.run_ms(100);
     }
-    fake.mode("b0000", Mode::Works(10.0));
-    fake.orders(0, 1, "a", 100_000);
-    let mut late = order(fake.now, 1, "a", 100_000);
-    late.deadline = fake.now.after_ms(300);
+    sim.set_mode("b0000", Mode::Runs(10.0));
+    sim.submit_many(0, 1, "a", 100_000);
+    let mut late = new_order(sim.now, 1, "a", 100_000);
+    late.deadline = sim.now.after_ms(300);
     let deadline = late.deadline;
-    fake.order(late);
-    fake.run_ms(2_000);
-    assert_eq!(fake.outcome(1), Some(&DEADLINE));
-    let at = fake.ended.iter().find(|(_, key, _)| key.run == 1).map(|(at, ..)| *at);
+    sim.submit(late);
+    sim.run_ms(2_000);
+    assert_eq!(sim.outcome(1), Some(&DEADLINE));
+    let at = sim.ended.iter().find(|(_, key, _)| key.run == 1).map(|(at, ..)| *at);
     let spare = deadline.since(at.expect("ended")).as_millis();
     assert!((80..=120).contains(&spare), "given up {spare} ms before the deadline");
 }
 
-// The queue holds seconds of work and a task has less time than that. It is
-// refused when it comes, not after it has waited in vain.
+// The queue holds more work than the time that a task has left. The task is
+// refused on arrival, not after it has waited in vain.
 #[test]
 fn queue_refuses_hopeless_arrival() {
-    let mut fake = Fake::new(servers(1, 1));
-    fake.orders(0, 60, "a", 100_000);
-    fake.run_ms(2_000);
-    let mut hopeless = order(fake.now, 1_000, "a", 100_000);
-    hopeless.deadline = fake.now.after_ms(1_000);
-    fake.order(hopeless);
-    assert_eq!(fake.outcome(1_000), Some(&DEADLINE));
-    assert_eq!(fake.ended.last().map(|(at, ..)| *at), Some(fake.now));
-}
-
-// Early tasks were long, so that every later one looks hopeless. Refusing all
-// of them would teach nothing, and the service would stay refused for ever.
+    let mut sim = Simulation::new(servers(1, 1));
+    sim.submit_many(0, 60, "a", 100_000);
+    sim.run_ms(2_000);
+    let mut hopeless = new_order(sim.now, 1_000, "a", 100_000);
+    hopeless.deadline = sim.now.after_ms(1_000);
+    sim.submit(hopeless);
+    assert_eq!(sim.outcome(1_000), Some(&DEADLINE));
+    assert_eq!(sim.ended.last().map(|(at, ..)| *at), Some(sim.now));
+}
+
+// Early tasks were long, so that every later one seems too long for its deadline.
+// Refusing all of them would never correct the estimate.
 #[test]
-fn queue_wrong_belief_is_corrected() {
-    let mut fake = Fake::new(servers(1, 4));
-    fake.orders(0, 40, "a", 5_000_000);
-    fake.run_ms(60_000);
+fn queue_wrong_estimate_is_corrected() {
+    let mut sim = Simulation::new(servers(1, 4));
+    sim.submit_many(0, 40, "a", 5_000_000);
+    sim.run_ms(60_000);
     let mut done = 0;
     for run in 0..1_000 {
-        let mut order = order(fake.now, 100 + run, "a", 50_000);
-        order.deadline = fake.now.after_ms(1_000);
-        fake.order(order);
-        fake.run_ms(100);
-        done += usize::from(matches!(fake.outcome(100 + run), Some(Outcome::Done(_))));
+        let mut order = new_order(sim.now, 100 + run, "a", 50_000);
+        order.deadline = sim.now.after_ms(1_000);
+        sim.submit(order);
+        sim.run_ms(100);
+        done += usize::from(matches!(sim.outcome(100 + run), Some(Outcome::Done(_))));
     }
     assert!(done > 700, "{done} of 1000");
 }
@@ -115,23 +115,23 @@
 fn queue_full_refuses_the_flood() {
     let mut config = servers(1, 1);
     config.rules.queue_limit = 10;
-    let mut fake = Fake::new(config);
-    fake.orders(0, 50, "a", 100_000);
-    assert_eq!(fake.outcomes(&FULL), 39);
-    fake.orders(1_000, 5, "b", 100_000);
-    assert!((1_000..1_005).all(|run| fake.outcome(run).is_none()));
-    assert_eq!(fake.outcomes(&FULL), 44);
-    fake.run_ms(5_000);
-    assert_eq!(fake.done(), 11);
-}
-
-// A team sends more than it may hold to one host. The parts of all hosts must
-// add up to the limit, neither more nor less, without a word between them.
+    let mut sim = Simulation::new(config);
+    sim.submit_many(0, 50, "a", 100_000);
+    assert_eq!(sim.count_outcomes(&FULL), 39);
+    sim.submit_many(1_000, 5, "b", 100_000);
+    assert!((1_000..1_005).all(|run| sim.outcome(run).is_none()));
+    assert_eq!(sim.count_outcomes(&FULL), 44);
+    sim.run_ms(5_000);
+    assert_eq!(sim.count_done(), 11);
+}
+
+// A team sends more than its limit to every host. The limits of all hosts must add
+// up to the limit of the team without messages between them.
 #[test]
-fn limit_parts_add_up() {
+fn limit_host_limits_add_up() {
     let hosts = [("h0", 1), ("h1", 2), ("h2", 4), ("h3", 1)];
     for limit in [1, 3, 10, 1_001] {
-        let mut held = 0;
+        let mut accepted = 0;
         for (name, _) in hosts {
             let mut config = servers(64, 1);
             config.teams.insert(Name::from("a"), Team { limit, weight: 1 });
@@ -140,115 +140,120 @@
             let mut out = Vec::new();
             placer.configure(Time::ZERO, &config, &view(&hosts), &mut out);
             for run in 0..2_000 {
-                placer.handle_order(Time::ZERO, &me, order(Time::ZERO, run, "a", 1_000), &mut out);
+                placer.handle_order(
+                    Time::ZERO,
+                    &me,
+                    new_order(Time::ZERO, run, "a", 1_000),
+                    &mut out,
+                );
             }
             let refused = |effect: &&PlaceEffect| matches!(effect, PlaceEffect::Ended { .. });
-            held += 2_000 - out.iter().filter(refused).count() as u32;
+            accepted += 2_000 - out.iter().filter(refused).count() as u32;
         }
-        assert_eq!(held, limit);
+        assert_eq!(accepted, limit);
     }
 }
 
-// Operators stop the last host. Until it is gone it still has all back ends, and
-// refusing everybody for a limit would cut requests off.
+// The last host is leaving. It still owns all backends and must not refuse tasks
+// because of a limit of zero.
 #[test]
 fn limit_last_host_leaving() {
-    let mut fake = Fake::new(servers(1, 4));
+    let mut sim = Simulation::new(servers(1, 4));
     let mut last = view(&[("h0", 1)]);
     if let Some(host) = last.hosts.get_mut("h0") {
         host.state = HostState::Leaving;
     }
-    fake.see(last);
-    fake.orders(0, 3, "a", 100_000);
-    assert_eq!(fake.starts.len(), 3);
+    sim.set_view(last);
+    sim.submit_many(0, 3, "a", 100_000);
+    assert_eq!(sim.starts.len(), 3);
 }
 
 #[test]
 fn limit_counts_waiting_and_running() {
     let mut config = servers(1, 1);
     config.teams.insert(Name::from("a"), Team { limit: 3, weight: 1 });
-    let mut fake = Fake::new(config);
-    fake.orders(0, 5, "a", 100_000);
-    assert_eq!(fake.outcomes(&LIMIT), 2);
-    fake.drop_task(2);
-    fake.orders(10, 2, "a", 100_000);
-    assert_eq!(fake.outcomes(&LIMIT), 3);
-    fake.run_ms(1_000);
-    fake.orders(20, 3, "a", 100_000);
-    assert_eq!(fake.outcomes(&LIMIT), 3);
-}
-
-// Callers cancel ten thousand tasks at once. Those that wait vanish without a
-// start; those that run are stopped, and their slots come back once only.
+    let mut sim = Simulation::new(config);
+    sim.submit_many(0, 5, "a", 100_000);
+    assert_eq!(sim.count_outcomes(&LIMIT), 2);
+    sim.drop_task(2);
+    sim.submit_many(10, 2, "a", 100_000);
+    assert_eq!(sim.count_outcomes(&LIMIT), 3);
+    sim.run_ms(1_000);
+    sim.submit_many(20, 3, "a", 100_000);
+    assert_eq!(sim.count_outcomes(&LIMIT), 3);
+}
+
+// Callers cancel ten thousand tasks at once. Waiting ones end without a start;
+// running ones are stopped and free their slots exactly once.
 #[test]
-fn drop_wave() {
-    let mut fake = Fake::new(servers(10, 4));
-    fake.orders(0, 10_000, "a", 100_000);
+fn drop_many() {
+    let mut sim = Simulation::new(servers(10, 4));
+    sim.submit_many(0, 10_000, "a", 100_000);
     for run in (0..10_000).rev() {
-        fake.drop_task(run);
+        sim.drop_task(run);
     }
-    assert_eq!(fake.aborted.len(), 40);
-    fake.run_ms(10);
-    assert!(fake.placer.is_idle());
-    assert_eq!(fake.starts.len(), 40);
-    assert!(fake.ended.is_empty());
-    fake.orders(20_000, 100, "a", 100_000);
-    assert_eq!(fake.starts.len(), 80);
+    assert_eq!(sim.aborted.len(), 40);
+    sim.run_ms(10);
+    assert!(sim.placer.is_idle());
+    assert_eq!(sim.starts.len(), 40);
+    assert!(sim.ended.is_empty());
+    sim.submit_many(20_000, 100, "a", 100_000);
+    assert_eq!(sim.starts.len(), 80);
 }
 
-// A home dies with tasks waiting here. Nobody wants them any more: starting
-// them would take slots from the living.
+// A home fails while its tasks wait here. Starting them would take slots from
+// tasks that are still needed.
 #[test]
-fn home_gone_forgets_waiting() {
-    let mut fake = Fake::new(servers(1, 2));
-    fake.orders(0, 10, "a", 100_000);
-    fake.home_gone();
-    fake.run_ms(1_000);
-    assert_eq!(fake.starts.len(), 2);
-    assert!(fake.ended.is_empty());
-    assert!(fake.placer.is_idle());
-}
-
-// Another host takes over this host's back ends. The tasks that wait here would
-// wait for slots that are counted elsewhere now.
+fn home_gone_discards_waiting() {
+    let mut sim = Simulation::new(servers(1, 2));
+    sim.submit_many(0, 10, "a", 100_000);
+    sim.remove_home();
+    sim.run_ms(1_000);
+    assert_eq!(sim.starts.len(), 2);
+    assert!(sim.ended.is_empty());
+    assert!(sim.placer.is_idle());
+}
+
+// Another host takes over this host's backends. The tasks waiting here must end as
+// not run, since this placer no longer owns the slots.
 #[test]
 fn view_share_lost() {
-    let mut fake = Fake::new(servers(1, 1));
-    fake.orders(0, 3, "a", 100_000);
+    let mut sim = Simulation::new(servers(1, 1));
+    sim.submit_many(0, 3, "a", 100_000);
     let mut other = view(&[("h0", 1), ("h1", 1)]);
     if let Some(host) = other.hosts.get_mut("h0") {
         host.state = HostState::Leaving;
     }
-    fake.see(other);
-    assert_eq!(fake.outcomes(&NO_BACKEND), 2);
-    fake.run_ms(200);
-    assert_eq!(fake.done(), 1);
-    fake.see(view(&[("h0", 1)]));
-    fake.orders(10, 1, "a", 100_000);
-    fake.run_ms(200);
-    assert_eq!(fake.done(), 2);
+    sim.set_view(other);
+    assert_eq!(sim.count_outcomes(&NO_BACKEND), 2);
+    sim.run_ms(200);
+    assert_eq!(sim.count_done(), 1);
+    sim.set_view(view(&[("h0", 1)]));
+    sim.submit_many(10, 1, "a", 100_000);
+    sim.run_ms(200);
+    assert_eq!(sim.count_done(), 2);
 }
 
 #[test]
-fn stop_finishes_what_is_held() {
-    let mut fake = Fake::new(servers(1, 1));
-    fake.orders(0, 3, "a", 100_000);
-    fake.placer.stop();
-    fake.orders(10, 1, "a", 100_000);
-    assert_eq!(fake.outcome(10), Some(&Outcome::NotRun(Cause::Stopping)));
-    assert!(!fake.placer.is_idle());
-    fake.run_ms(1_000);
-    assert_eq!(fake.done(), 3);
-    assert!(fake.placer.is_idle());
+fn stop_finishes_queued_tasks() {
+    let mut sim = Simulation::new(servers(1, 1));
+    sim.submit_many(0, 3, "a", 100_000);
+    sim.placer.stop();
+    sim.submit_many(10, 1, "a", 100_000);
+    assert_eq!(sim.outcome(10), Some(&Outcome::NotRun(Cause::Stopping)));
+    assert!(!sim.placer.is_idle());
+    sim.run_ms(1_000);
+    assert_eq!(sim.count_done(), 3);
+    assert!(sim.placer.is_idle());
 }
 
 #[test]
 fn order_repeated_key_ignored() {
-    let mut fake = Fake::new(servers(1, 4));
-    fake.orders(0, 1, "a", 100_000);
-    fake.orders(0, 1, "a", 100_000);
-    fake.run_ms(1_000);
-    assert_eq!((fake.starts.len(), fake.ended.len()), (1, 1));
-    assert_eq!(fake.starts[0].team.as_ref(), "a");
-    assert_eq!(home(), fake.view.me);
+    let mut sim = Simulation::new(servers(1, 4));
+    sim.submit_many(0, 1, "a", 100_000);
+    sim.submit_many(0, 1, "a", 100_000);
+    sim.run_ms(1_000);
+    assert_eq!((sim.starts.len(), sim.ended.len()), (1, 1));
+    assert_eq!(sim.starts[0].team.as_ref(), "a");
+    assert_eq!(home(), sim.view.me);
 }
