--- a/endivestile_kernel/benches/place.rs
+++ b/endivestile_kernel/benches/place.rs
@@ -246,7 +246,7 @@
         load.submit();
     }
     let queued = ALLOCATED.load(Ordering::Relaxed);
-    println!("bytes per back end, configuration included: {}", (base - before) / 4_400);
+    println!("bytes per backend, configuration included: {}", (base - before) / 4_400);
     println!("bytes per running task: {}", (filled - base) / (4_400 * SLOTS as usize));
     println!("bytes per queued task: {}", (queued - filled) / 100_000);
 }
--- a/endivestile_kernel/src/place/arrival_rate.rs
+++ b/endivestile_kernel/src/place/arrival_rate.rs
@@ -3,9 +3,9 @@
 use crate::Time;
 
 /// Time constant of the average, in microseconds.
-const AVERAGED_US: f64 = 2_000_000.0;
+const TIME_CONSTANT_US: f64 = 2_000_000.0;
 
-/// Shortest span by which a rate is divided, in microseconds.
+/// Minimum observed time by which a rate is divided, in microseconds.
 const MIN_SPAN_US: f64 = 100_000.0;
 
 /// Exponentially weighted average of the arrival rate.
@@ -40,7 +40,7 @@
 
     fn decayed(&self, now: Time) -> (f64, f64) {
         let gap = now.since(self.last).as_micros() as f64;
-        let decay = (-gap / AVERAGED_US).exp();
-        (self.units * decay, self.span_us * decay + AVERAGED_US * (1.0 - decay))
+        let decay = (-gap / TIME_CONSTANT_US).exp();
+        (self.units * decay, self.span_us * decay + TIME_CONSTANT_US * (1.0 - decay))
     }
 }
--- a/endivestile_kernel/src/place/backend.rs
+++ b/endivestile_kernel/src/place/backend.rs
@@ -117,13 +117,13 @@
         if self.capacity.accelerators == 0 {
             return free;
         }
-        let keep = |capacity: u32| {
+        let reserve = |capacity: u32| {
             let part = u64::from(capacity) * u64::from(free.accelerators);
             (part / u64::from(self.capacity.accelerators) / 4) as u32
         };
         let reserved = Resources {
-            cpu: keep(self.capacity.cpu),
-            memory: keep(self.capacity.memory),
+            cpu: reserve(self.capacity.cpu),
+            memory: reserve(self.capacity.memory),
             accelerators: 0,
         };
         free.minus(&reserved)
--- a/endivestile_kernel/src/place/completion.rs
+++ b/endivestile_kernel/src/place/completion.rs
@@ -58,7 +58,7 @@
         end: End,
         out: &mut Vec<PlaceEffect>,
     ) {
-        if !call.wanted {
+        if !call.awaited {
             self.discard(slot);
             return;
         }
@@ -105,7 +105,7 @@
         // A task stopped at its deadline ran at least this long. Without these samples
         // only short tasks would count, and more and more tasks would be admitted that
         // miss their deadline.
-        let stopped = !call.wanted && matches!(end, End::Answered(_) | End::Lost);
+        let stopped = !call.awaited && matches!(end, End::Answered(_) | End::Lost);
         if !stopped && !matches!(end, End::Answered(_)) {
             return;
         }
@@ -141,7 +141,7 @@
         let fast = now.since(call.started).as_micros() as f64
             <= pool.overall.mean_ln.exp() * FAST_FRACTION;
         let result = match end {
-            End::Lost if !call.wanted => return false,
+            End::Lost if !call.awaited => return false,
             End::Answered(_) => CallResult::Success,
             End::Rejected(status) if *status < SERVER_ERROR => CallResult::Success,
             End::Rejected(_) if !fast => CallResult::SlowFailure,
--- a/endivestile_kernel/src/place/declared.rs
+++ b/endivestile_kernel/src/place/declared.rs
@@ -41,10 +41,10 @@
         let (dx, dy) = (x - self.mean_x, ln_size - self.mean_y);
         self.mean_x += dx * weight;
         self.mean_y += dy * weight;
-        let keep = 1.0 - weight;
-        self.var_x = keep * (self.var_x + weight * dx * dx);
-        self.var_y = keep * (self.var_y + weight * dy * dy);
-        self.cov = keep * (self.cov + weight * dx * dy);
+        let decay = 1.0 - weight;
+        self.var_x = decay * (self.var_x + weight * dx * dx);
+        self.var_y = decay * (self.var_y + weight * dy * dy);
+        self.cov = decay * (self.cov + weight * dx * dy);
     }
 
     /// Returns the slope of the regression, or 0 if declared run times explain too
--- a/endivestile_kernel/src/place/dispatch.rs
+++ b/endivestile_kernel/src/place/dispatch.rs
@@ -254,7 +254,7 @@
         pool.starts = pool.starts.wrapping_add(1);
         pool.endpoints[at].last_start = pool.starts;
         pool.last_started = Some((task.order.key.run, pool.endpoints[at].rack));
-        task.call = Some(BackendCall { attempt, backend: id, started: now, cost, wanted: true });
+        task.call = Some(BackendCall { attempt, backend: id, started: now, cost, awaited: true });
         let backend = &mut self.backends[id as usize];
         backend.add_task(now, slot, &demand);
         out.push(PlaceEffect::Start {
--- a/endivestile_kernel/src/place/health.rs
+++ b/endivestile_kernel/src/place/health.rs
@@ -27,7 +27,7 @@
     Success,
     /// A failure after about the usual run time.
     SlowFailure,
-    /// A failure much sooner than the usual run time, or no whole answer.
+    /// A failure much sooner than the usual run time, or an incomplete answer.
     FastFailure,
     /// No connection, or the backend reported that it is leaving.
     Unavailable,
--- a/endivestile_kernel/src/place/placer.rs
+++ b/endivestile_kernel/src/place/placer.rs
@@ -189,7 +189,7 @@
         let Some(slot) = self.task_by_key.remove(&(home.clone(), key)) else { return };
         let Some(task) = self.tasks.get_mut(slot) else { return };
         if let Some(call) = task.call.as_mut() {
-            call.wanted = false;
+            call.awaited = false;
             out.push(PlaceEffect::Abort(call.attempt));
             return;
         }
@@ -208,7 +208,7 @@
             if let Some(task) = self.tasks.get_mut(slot) {
                 self.task_by_key.remove(&(task.home.clone(), task.order.key));
                 task.call =
-                    task.call.map(|call| super::task_table::BackendCall { wanted: false, ..call });
+                    task.call.map(|call| super::task_table::BackendCall { awaited: false, ..call });
             }
         }
         for (slot, _) in waiting {
--- a/endivestile_kernel/src/place/policy_input.rs
+++ b/endivestile_kernel/src/place/policy_input.rs
@@ -88,14 +88,14 @@
     /// Returns whether starting on this free backend is better than waiting for a
     /// faster one, both for the task and for those behind it.
     ///
-    /// While the task would run here, the faster slots complete a certain number of
-    /// tasks, less those that they are running on average. A task with that many ahead
-    /// of it finishes at the same time if it waits. But each waiting task also delays
-    /// later ones for as long as the faster slots stay busy. The closer the arrival
-    /// rate is to the rate of the faster slots, the fewer tasks may wait, and none once
-    /// it exceeds that rate.
+    /// While the task would run here, the faster slots can start and finish as many
+    /// tasks as fit into that time, less the one that each of them is busy with on
+    /// average. A task with that many ahead of it would finish at the same time by
+    /// waiting. But each waiting task also delays later ones for as long as the faster
+    /// slots stay busy. The closer the arrival rate is to the rate of the faster slots,
+    /// the fewer tasks may wait, and none once it exceeds that rate.
     ///
-    /// When arrivals need all slots and a smaller task waits behind this one, the
+    /// When arrivals need all slots and a smaller task waits right behind this one, the
     /// smaller one takes the slow slot because it loses less time there.
     ///
     /// A task that has already waited as long as it would run here stops waiting: the
@@ -137,8 +137,8 @@
 /// the slow starts at the limit gives a square root. The positive root of one
 /// quadratic equation interpolates between the two cases.
 ///
-/// Where arrivals need all slower slots, `idle_share` is 0 because waiting would
-/// only waste capacity.
+/// An `idle_share` of 0 means that arrivals need all slower slots; waiting then
+/// only wastes capacity.
 fn max_waiting(break_even: f64, spare_share: f64, idle_share: f64) -> f64 {
     let half = break_even * spare_share / 2.0;
     (half * half + QUEUE_COST_WEIGHT * idle_share * break_even).sqrt() + half
--- a/endivestile_kernel/src/place/share.rs
+++ b/endivestile_kernel/src/place/share.rs
@@ -26,10 +26,10 @@
 pub(crate) fn own_backends(config: &Config, view: &View, me: &Peer) -> Vec<BackendSpec> {
     // Hosts of another zone are considered only for zones without a live host.
     // Otherwise each change would hash all backends against all hosts.
-    let near = view.hosts.get(&me.host).map(|host| &host.zone);
+    let own_zone = view.hosts.get(&me.host).map(|host| &host.zone);
     let zones: HashSet<&Name> = view.live().map(|host| &host.zone).collect();
     let mine = |zone: &Name, name: &str| {
-        (near == Some(zone) || !zones.contains(zone))
+        (own_zone == Some(zone) || !zones.contains(zone))
             && view.placer(zone, name).is_some_and(|host| host.peer.host == me.host)
     };
     let servers = config.servers.iter().filter(|(name, server)| mine(&server.zone, name));
--- a/endivestile_kernel/src/place/task_table.rs
+++ b/endivestile_kernel/src/place/task_table.rs
@@ -16,7 +16,7 @@
     /// Cost charged to its team, in microseconds.
     pub(crate) cost: u64,
     /// Whether the home still waits for the answer.
-    pub(crate) wanted: bool,
+    pub(crate) awaited: bool,
 }
 
 /// A waiting or running task.
--- a/endivestile_kernel/src/place/tick.rs
+++ b/endivestile_kernel/src/place/tick.rs
@@ -22,28 +22,28 @@
 impl Placer {
     /// Handles all expired timers.
     pub fn tick(&mut self, now: Time, out: &mut Vec<PlaceEffect>) {
-        while let Some(&(due, timer)) = self.timers.first() {
-            if due > now {
+        while let Some(&(expiry, timer)) = self.timers.first() {
+            if expiry > now {
                 return;
             }
             self.timers.pop_first();
-            self.handle_timer(now, due, timer, out);
+            self.handle_timer(now, expiry, timer, out);
         }
     }
 
     /// Returns when the next timer expires.
     pub fn next_timer(&self) -> Option<Time> {
-        self.timers.first().map(|(due, _)| *due).filter(|due| *due != Time::NEVER)
+        self.timers.first().map(|(expiry, _)| *expiry).filter(|expiry| *expiry != Time::NEVER)
     }
 
-    fn handle_timer(&mut self, now: Time, due: Time, timer: Timer, out: &mut Vec<PlaceEffect>) {
+    fn handle_timer(&mut self, now: Time, expiry: Time, timer: Timer, out: &mut Vec<PlaceEffect>) {
         match timer {
             Timer::Expire(slot) => self.expire(now, slot, out),
             Timer::WaitLimit(pool) => self.dispatch(now, pool, out),
-            Timer::Probe(id) => self.probe(now, due, id, out),
+            Timer::Probe(id) => self.probe(now, expiry, id, out),
             Timer::Unblock(id) => {
                 let backend = &mut self.backends[id as usize];
-                if backend.blocked_until() != Some(due) {
+                if backend.blocked_until() != Some(expiry) {
                     return;
                 }
                 backend.unblock();
@@ -56,8 +56,8 @@
 
     /// Ends the ejection of a backend so that a task probes it, unless another backend
     /// of its rack is being probed.
-    fn probe(&mut self, now: Time, due: Time, id: u32, out: &mut Vec<PlaceEffect>) {
-        if self.backends[id as usize].health.ejected_until() != Some(due) {
+    fn probe(&mut self, now: Time, expiry: Time, id: u32, out: &mut Vec<PlaceEffect>) {
+        if self.backends[id as usize].health.ejected_until() != Some(expiry) {
             return;
         }
         if let Some(until) = self.rack_probe_wait(now, id) {
@@ -89,9 +89,9 @@
     /// Arms the next adjustment of stale run times.
     pub(crate) fn arm_revisit(&mut self, now: Time) {
         if self.revisit_at.is_none() {
-            let due = now.after_ms(REVISIT_INTERVAL_MS);
-            self.revisit_at = Some(due);
-            self.timers.insert((due, Timer::RevisitRunTimes));
+            let expiry = now.after_ms(REVISIT_INTERVAL_MS);
+            self.revisit_at = Some(expiry);
+            self.timers.insert((expiry, Timer::RevisitRunTimes));
         }
     }
 
--- a/endivestile_kernel/tests/place_choice.rs
+++ b/endivestile_kernel/tests/place_choice.rs
@@ -122,8 +122,8 @@
         }
         sim.run_ms(10);
     }
-    let big = sim.start_of(9_999).expect("the large task started");
-    assert!(big.at < Time::ZERO.after_ms(1_000), "started at {:?}", big.at);
+    let large = sim.start_of(9_999).expect("the large task started");
+    assert!(large.at < Time::ZERO.after_ms(1_000), "started at {:?}", large.at);
 }
 
 #[test]
--- a/endivestile_kernel/tests/place_fake/mod.rs
+++ b/endivestile_kernel/tests/place_fake/mod.rs
@@ -222,8 +222,8 @@
     pub fn run_until(&mut self, until: Time) {
         loop {
             let end = self.pending_ends.peek().map(|Reverse((at, _))| *at);
-            let due = self.placer.next_timer();
-            let next = end.into_iter().chain(due).min();
+            let timer = self.placer.next_timer();
+            let next = end.into_iter().chain(timer).min();
             let Some(next) = next.filter(|next| *next <= until) else { break };
             self.now = self.now.max(next);
             if end == Some(next) {
@@ -244,8 +244,8 @@
         self.ended.iter().find(|(_, key, _)| key.run == run).map(|(_, _, outcome)| outcome)
     }
 
-    pub fn count_outcomes(&self, wanted: &Outcome) -> usize {
-        self.ended.iter().filter(|(_, _, outcome)| outcome == wanted).count()
+    pub fn count_outcomes(&self, expected: &Outcome) -> usize {
+        self.ended.iter().filter(|(_, _, outcome)| outcome == expected).count()
     }
 
     pub fn count_done(&self) -> usize {
--- a/endivestile_kernel/tests/place_queue.rs
+++ b/endivestile_kernel/tests/place_queue.rs
@@ -75,8 +75,8 @@
     sim.run_ms(2_000);
     assert_eq!(sim.outcome(1), Some(&DEADLINE));
     let at = sim.ended.iter().find(|(_, key, _)| key.run == 1).map(|(at, ..)| *at);
-    let spare = deadline.since(at.expect("ended")).as_millis();
-    assert!((80..=120).contains(&spare), "given up {spare} ms before the deadline");
+    let spare_ms = deadline.since(at.expect("ended")).as_millis();
+    assert!((80..=120).contains(&spare_ms), "given up {spare_ms} ms before the deadline");
 }
 
 // The queue holds more work than the time that a task has left. The task is
