--- a/endivestile_kernel/src/place/fit.rs
+++ b/endivestile_kernel/src/place/fit.rs
@@ -1,8 +1,9 @@
-//! Search of the first worker with enough room.
+//! First-fit search over workers.
 
 use super::resources::Resources;
 
-/// Maximum tree over the free room of workers, in the order of preference.
+/// Segment tree of maxima over the free capacity of workers, in order of
+/// preference.
 #[derive(Debug, Default)]
 pub(crate) struct FitTree {
     width: usize,
@@ -10,36 +11,36 @@
 }
 
 impl FitTree {
-    /// Makes a tree of `len` leaves without room.
+    /// Creates a tree of `len` leaves without capacity.
     pub(crate) fn new(len: usize) -> Self {
         let width = len.next_power_of_two().max(1);
         Self { width, nodes: vec![Resources::default(); 2 * width] }
     }
 
-    /// Sets the room of a leaf.
-    pub(crate) fn set(&mut self, at: usize, room: Resources) {
+    /// Sets the capacity of a leaf.
+    pub(crate) fn set(&mut self, at: usize, free: Resources) {
         let mut node = self.width + at;
-        if self.nodes[node] == room {
+        if self.nodes[node] == free {
             return;
         }
-        self.nodes[node] = room;
+        self.nodes[node] = free;
         while node > 1 {
             node /= 2;
             self.nodes[node] = self.nodes[2 * node].max(&self.nodes[2 * node + 1]);
         }
     }
 
-    /// Returns the room of a leaf.
-    pub(crate) fn room(&self, at: usize) -> Resources {
+    /// Returns the capacity of a leaf.
+    pub(crate) fn free(&self, at: usize) -> Resources {
         self.nodes[self.width + at]
     }
 
-    /// Returns the first leaf from `from` on that holds `want`.
-    pub(crate) fn find(&self, want: &Resources, from: usize) -> Option<usize> {
+    /// Returns the first leaf at or after `from` that covers `demand`.
+    pub(crate) fn find(&self, demand: &Resources, from: usize) -> Option<usize> {
         if from >= self.width {
             return None;
         }
-        self.descend(1, self.width, 0, (want, from))
+        self.descend(1, self.width, 0, (demand, from))
     }
 
     fn descend(
@@ -49,8 +50,8 @@
         start: usize,
         query: (&Resources, usize),
     ) -> Option<usize> {
-        let (want, from) = query;
-        if start + span <= from || !self.nodes[node].holds(want) {
+        let (demand, from) = query;
+        if start + span <= from || !self.nodes[node].covers(demand) {
             return None;
         }
         if span == 1 {
--- a/endivestile_kernel/src/place/share.rs
+++ b/endivestile_kernel/src/place/share.rs
@@ -1,4 +1,4 @@
-//! The back ends whose slots this host counts.
+//! Selection of the backends in this host's share.
 
 use std::collections::HashSet;
 
@@ -7,29 +7,29 @@
 use super::resources::Resources;
 use crate::{Peer, Target, View};
 
-/// One back end of the inventory.
+/// One backend of the inventory.
 #[derive(Debug)]
 pub(crate) struct BackendSpec {
     /// Name.
     pub(crate) name: Name,
     /// Address, `IP:port`.
     pub(crate) address: Name,
-    /// Rack, empty when not known.
+    /// Rack, empty when unknown.
     pub(crate) rack: Name,
     /// Capacity.
-    pub(crate) total: Resources,
+    pub(crate) capacity: Resources,
     /// Whether it is a worker.
     pub(crate) worker: bool,
 }
 
-/// Returns the back ends for which `view` names this host as placer.
-pub(crate) fn share(config: &Config, view: &View, me: &Peer) -> Vec<BackendSpec> {
-    // Hosts of another zone come in only for a zone that has none of its own:
-    // without this, each change hashes all back ends against all hosts.
-    let near = view.hosts.get(&me.host).map(|host| &host.zone);
+/// Returns the backends for which `view` names this host as the placer.
+pub(crate) fn own_backends(config: &Config, view: &View, me: &Peer) -> Vec<BackendSpec> {
+    // Hosts of another zone are considered only for zones without a live host.
+    // Otherwise each change would hash all backends against all hosts.
+    let own_zone = view.hosts.get(&me.host).map(|host| &host.zone);
     let zones: HashSet<&Name> = view.live().map(|host| &host.zone).collect();
     let mine = |zone: &Name, name: &str| {
-        (near == Some(zone) || !zones.contains(zone))
+        (own_zone == Some(zone) || !zones.contains(zone))
             && view.placer_of(zone, name).is_some_and(|host| host.peer.host == me.host)
     };
     let servers = config.servers.iter().filter(|(name, server)| mine(&server.zone, name));
@@ -38,20 +38,20 @@
         name: name.clone(),
         address: server.address.clone(),
         rack: server.rack.clone(),
-        total: Resources::slots(server.slots.min(server.connections)),
+        capacity: Resources::slots(server.slots.min(server.connections)),
         worker: false,
     });
     let workers = workers.map(|(name, worker)| BackendSpec {
         name: name.clone(),
         address: worker.address.clone(),
         rack: worker.rack.clone(),
-        total: worker_room(worker),
+        capacity: worker_resources(worker),
         worker: true,
     });
     servers.chain(workers).collect()
 }
 
-/// Returns whether any back end of the whole inventory could ever run a task.
+/// Returns whether any backend of the whole inventory could ever run a task.
 pub(crate) fn can_ever_run(config: &Config, target: &Target) -> bool {
     match target {
         Target::Service(name) => {
@@ -63,13 +63,13 @@
             })
         }
         Target::Need(need) => {
-            let want = Resources::from(*need);
-            config.workers.values().any(|worker| worker_room(worker).holds(&want))
+            let demand = Resources::from(*need);
+            config.workers.values().any(|worker| worker_resources(worker).covers(&demand))
         }
     }
 }
 
-fn worker_room(worker: &endivestile_config::model::Worker) -> Resources {
+fn worker_resources(worker: &endivestile_config::model::Worker) -> Resources {
     Resources {
         cpu: worker.cpu_milli,
         memory: worker.memory_mb,
--- a/endivestile_kernel/src/place/teams.rs
+++ b/endivestile_kernel/src/place/teams.rs
@@ -1,4 +1,4 @@
-//! Teams, and this host's part of what each may hold.
+//! Teams and this host's share of their limits.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,18 +7,18 @@
 
 use crate::{HostState, HostView, Peer, View};
 
-/// One team as this placer sees it.
+/// State of one team at this placer.
 #[derive(Debug, Default)]
 pub(crate) struct TeamState {
-    /// Tasks held here, waiting or running.
-    pub(crate) held: u32,
-    /// Tasks that may be held here.
-    pub(crate) part: u32,
-    /// Share under contention.
+    /// Number of tasks of this placer, waiting or running.
+    pub(crate) tasks: u32,
+    /// Maximum number of tasks at this placer.
+    pub(crate) host_limit: u32,
+    /// Weight under contention.
     pub(crate) weight: u32,
 }
 
-/// All teams, numbered.
+/// All teams, by index.
 #[derive(Debug, Default)]
 pub(crate) struct Teams {
     ids: HashMap<Name, u32>,
@@ -26,31 +26,32 @@
 }
 
 impl Teams {
-    /// Takes over rules and view.
+    /// Applies new rules and a new view.
     ///
-    /// The parts of the live hosts add up to the limit exactly: whole parts by
-    /// weight, and what is left over one each to the first hosts in an order by
-    /// hash of team and host. No message is needed to agree on them.
+    /// The limits of the live hosts add up exactly to the limit of the team. Each host
+    /// gets its share by weight, rounded down. The remainder goes one each to the first
+    /// hosts in the order of a hash of team and host, so that hosts agree without
+    /// exchanging messages.
     pub(crate) fn configure(&mut self, rules: &BTreeMap<Name, Team>, view: &View, me: &Peer) {
         for state in &mut self.states {
-            state.part = 0;
+            state.host_limit = 0;
         }
-        let hosts = sharers(view);
+        let hosts = sharing_hosts(view);
         for (name, team) in rules {
             let id = self.id(name);
             let state = &mut self.states[id as usize];
             state.weight = team.weight;
-            state.part = part(team.limit, name, &hosts, me);
+            state.host_limit = host_limit(team.limit, name, &hosts, me);
         }
     }
 
-    /// Returns the number of a team; one without rules may hold nothing.
+    /// Returns the index of a team. A team without rules may not run any tasks.
     pub(crate) fn id(&mut self, name: &Name) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
         let id = self.states.len() as u32;
-        self.states.push(TeamState { held: 0, part: 0, weight: 1 });
+        self.states.push(TeamState { tasks: 0, host_limit: 0, weight: 1 });
         self.ids.insert(name.clone(), id);
         id
     }
@@ -60,21 +61,21 @@
         &self.states[id as usize]
     }
 
-    /// Counts a task that is held from now on.
-    pub(crate) fn hold(&mut self, id: u32) {
-        self.states[id as usize].held += 1;
+    /// Counts a new task.
+    pub(crate) fn add_task(&mut self, id: u32) {
+        self.states[id as usize].tasks += 1;
     }
 
-    /// Counts a task that is held no more.
-    pub(crate) fn release(&mut self, id: u32) {
+    /// Removes a finished task from the count.
+    pub(crate) fn remove_task(&mut self, id: u32) {
         let state = &mut self.states[id as usize];
-        state.held = state.held.saturating_sub(1);
+        state.tasks = state.tasks.saturating_sub(1);
     }
 }
 
-/// Returns the hosts that have shares: the live ones, or the leaving ones when
-/// none lives.
-fn sharers(view: &View) -> Vec<&HostView> {
+/// Returns the hosts that have shares: the live ones, or the leaving ones if there
+/// is no live one.
+fn sharing_hosts(view: &View) -> Vec<&HostView> {
     let live: Vec<&HostView> = view.live().collect();
     if !live.is_empty() {
         return live;
@@ -82,16 +83,16 @@
     view.hosts.values().filter(|host| host.state == HostState::Leaving).collect()
 }
 
-fn part(limit: u32, team: &str, hosts: &[&HostView], me: &Peer) -> u32 {
+fn host_limit(limit: u32, team: &str, hosts: &[&HostView], me: &Peer) -> u32 {
     let sum: u64 = hosts.iter().map(|host| u64::from(host.weight.max(1))).sum();
     let whole = |weight: u32| u64::from(limit) * u64::from(weight.max(1)) / sum.max(1);
     let Some(own) = hosts.iter().find(|host| host.peer.host == me.host) else { return 0 };
-    let given: u64 = hosts.iter().map(|host| whole(host.weight)).sum();
-    let over = u64::from(limit).saturating_sub(given);
+    let assigned: u64 = hosts.iter().map(|host| whole(host.weight)).sum();
+    let remainder = u64::from(limit).saturating_sub(assigned);
     let seed = xxh3_64(team.as_bytes());
-    let turn = |host: &str| xxh3_64_with_seed(host.as_bytes(), seed);
-    let mine = (turn(&me.host), &me.host);
-    let others = hosts.iter().map(|host| (turn(&host.peer.host), &host.peer.host));
-    let before = others.filter(|other| *other < mine).count() as u64;
-    whole(own.weight) as u32 + u32::from(before < over)
+    let hash = |host: &str| xxh3_64_with_seed(host.as_bytes(), seed);
+    let own_rank = (hash(&me.host), &me.host);
+    let others = hosts.iter().map(|host| (hash(&host.peer.host), &host.peer.host));
+    let before = others.filter(|other| *other < own_rank).count() as u64;
+    whole(own.weight) as u32 + u32::from(before < remainder)
 }
