--- a/endivestile_testkit/src/fleet/calls.rs
+++ b/endivestile_testkit/src/fleet/calls.rs
@@ -1,4 +1,4 @@
-//! Callers of the world: what they hand in, and how it ends.
+//! Simulated callers: the jobs that they submit, and the outcomes.
 
 use endivestile_config::model::Name;
 use endivestile_kernel::CallId;
@@ -7,32 +7,41 @@
 use super::worker::no_need;
 use super::world::{FleetWorld, ScheduledEvent, Work};
 
-/// Time after which a caller without an answer sends its job again, in microseconds.
+/// Time after which a caller without an answer submits its job again, in microseconds.
 const RESUBMIT_DELAY_US: u64 = 1_300_000;
 
-/// A call of a caller.
+/// A call and its outcome.
 #[derive(Debug)]
 pub(crate) struct CallLog {
-    /// Name in the story.
+    /// Name of the call in the story.
     pub(crate) name: String,
-    /// The job's id.
+    /// Id of the job.
     pub(crate) id: Name,
-    /// Host and incarnation that took it.
+    /// Host that accepted the call, and its incarnation.
     pub(crate) front: (Name, u64),
-    /// When.
+    /// Virtual time of the call, in microseconds.
     pub(crate) made_at: u64,
-    /// How it ended; none of the second when the connection broke.
+    /// Virtual time and outcome of its end; the outcome is `None` if the connection broke.
     pub(crate) ended: Option<(u64, Option<JobEnd>)>,
-    /// What was handed in, with its instants from zero, and its work.
+    /// The job, with its deadline counted from zero, and the duration of each task in
+    /// milliseconds.
     pub(crate) submission: (Job, u64),
-    /// Whether it is sent again when it ends without an answer.
+    /// Whether the caller submits the job again after an end without an answer.
     pub(crate) resubmit: bool,
 }
 
 impl FleetWorld {
-    /// Hands a job in at a host; its deadline is counted from zero.
-    pub(crate) fn submit(&mut self, name: &str, at: &Name, job: Job, work_ms: u64, resubmit: bool) {
-        let Some(host) = self.hosts.get(at).filter(|host| host.fleet.is_some()) else { return };
+    /// Submits a job to a host; the job's deadline is counted from zero. Does nothing if the
+    /// host is dead.
+    pub(crate) fn submit(
+        &mut self,
+        name: &str,
+        front: &Name,
+        job: Job,
+        work_ms: u64,
+        resubmit: bool,
+    ) {
+        let Some(host) = self.hosts.get(front).filter(|host| host.fleet.is_some()) else { return };
         let (incarnation, time) = (host.incarnation, host.time(self.now));
         let number = self.calls.len() as u64;
         let need = job.steps.first().map_or_else(no_need, |step: &Step| step.need);
@@ -41,7 +50,7 @@
         let log = CallLog {
             name: name.to_owned(),
             id: job.id.clone(),
-            front: (at.clone(), incarnation),
+            front: (front.clone(), incarnation),
             made_at: self.now,
             ended: None,
             submission: (job.clone(), work_ms),
@@ -51,10 +60,10 @@
         let time_budget = job.deadline.as_micros();
         self.schedule_at(self.now + time_budget, ScheduledEvent::CallerDeadline { call: number });
         let job = Job { arrived: time, deadline: time.after_us(time_budget), ..job };
-        self.deliver(at, incarnation, FleetEvent::Call { call: CallId(number), job });
+        self.deliver(front, incarnation, FleetEvent::Call { call: CallId(number), job });
     }
 
-    /// Lets a caller hang up.
+    /// Closes the connection of the caller of this name.
     pub(crate) fn disconnect_caller(&mut self, name: &str) {
         let open = self.calls.iter().find(|(_, call)| call.name == name);
         if let Some((number, _)) = open {
@@ -62,6 +71,7 @@
         }
     }
 
+    /// Closes the connection of an open call and cancels it at its host.
     pub(crate) fn disconnect(&mut self, number: u64) {
         let Some(call) = self.calls.get(&number).filter(|call| call.ended.is_none()) else {
             return;
@@ -71,10 +81,12 @@
         self.deliver(&host, incarnation, FleetEvent::Cancel(CallId(number)));
     }
 
+    /// Records the answer to a call.
     pub(crate) fn handle_answer(&mut self, number: u64, end: JobEnd) {
         self.end_call(number, Some(end));
     }
 
+    /// Records the end of a call; schedules its resubmission if the outcome is unknown.
     pub(crate) fn end_call(&mut self, number: u64, end: Option<JobEnd>) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&number).filter(|call| call.ended.is_none()) else {
@@ -87,19 +99,20 @@
         }
     }
 
-    /// Sends a job again, at any host of the zone that lives.
+    /// Submits a job again to a live host of the same zone.
     pub(crate) fn resubmit_call(&mut self, number: u64) {
         let Some(call) = self.calls.get(&number) else { return };
         let (name, (job, work_ms)) = (format!("{}+", call.name), call.submission.clone());
         let zone = self.hosts.get(&call.front.0).map(|host| host.zone.clone());
-        let lives = self.hosts.iter().filter(|(_, host)| {
+        let alive = self.hosts.iter().filter(|(_, host)| {
             host.fleet.is_some() && host.paused.is_none() && Some(&host.zone) == zone.as_ref()
         });
-        let lives: Vec<Name> = lives.map(|(name, _)| name.clone()).collect();
-        let Some(at) = lives.get(number as usize % lives.len().max(1)).cloned() else { return };
-        self.submit(&name, &at, job, work_ms, false);
+        let alive: Vec<Name> = alive.map(|(name, _)| name.clone()).collect();
+        let Some(front) = alive.get(number as usize % alive.len().max(1)).cloned() else { return };
+        self.submit(&name, &front, job, work_ms, false);
     }
 
+    /// Ends every open call to one incarnation of a host without an answer.
     pub(crate) fn end_connections(&mut self, host: &Name, incarnation: u64) {
         let front = (host.clone(), incarnation);
         let open =
--- a/endivestile_testkit/src/fleet/host.rs
+++ b/endivestile_testkit/src/fleet/host.rs
@@ -1,4 +1,4 @@
-//! Hosts in the world: fleets that start, pause and end.
+//! Simulated hosts: their processes start, pause and end, and read the store.
 
 use std::collections::BTreeMap;
 
@@ -11,49 +11,50 @@
 
 use super::world::{FleetWorld, ScheduledEvent};
 
-/// Lease of workers in the worlds, in milliseconds.
+/// Duration of worker leases, in milliseconds.
 const WORKER_LEASE_MS: u64 = 650;
-/// Lease of other hosts' tasks, in milliseconds.
+/// Duration of the leases of tasks that other hosts forward, in milliseconds.
 const HOST_LEASE_MS: u64 = 520;
-/// Wait before frames are sent, in microseconds: what comes together shares them.
+/// Delay before a host sends its frames, in microseconds; effects of events that arrive
+/// meanwhile share the frames.
 const FLUSH_DELAY_US: u64 = 50;
 
-/// A host.
+/// A simulated host.
 #[derive(Debug)]
 pub(crate) struct Host {
     /// Availability zone.
     pub(crate) zone: Name,
-    /// Processor time that it may use, in thousandths of a core.
+    /// Processor time that the host may use, in thousandths of a core.
     pub(crate) cpu_milli: u32,
-    /// Bandwidth of its link, in kilobits a second; 0 when it is not known.
+    /// Bandwidth of the host's link, in kilobits per second; 0 if unknown.
     pub(crate) link_kbps: u32,
-    /// Its fleet, none while it is dead.
+    /// State machine under test; `None` while the process is dead.
     pub(crate) fleet: Option<Fleet>,
-    /// Incarnation.
+    /// Number of the process start.
     pub(crate) incarnation: u64,
-    /// When this incarnation's clock read zero.
+    /// Virtual time at which this incarnation's clock read zero, in microseconds.
     pub(crate) clock_zero: u64,
-    /// Events that came while it was paused.
+    /// Events that arrived during a pause; `None` while the process runs.
     pub(crate) paused: Option<Vec<FleetEvent>>,
-    /// Time for which its clock stood still while paused.
+    /// Whether a flush is scheduled.
     pub(crate) flush_scheduled: bool,
-    /// When it next wakes.
+    /// Virtual time of the next wake-up.
     pub(crate) wake_at: u64,
-    /// Processor time that each event takes, in microseconds.
+    /// Processor time that each event takes, in microseconds; 0 for none.
     pub(crate) event_cost_us: u64,
-    /// Until when its processor is busy with events that have come.
+    /// Virtual time until which the processor is busy with earlier events.
     pub(crate) busy_until: u64,
-    /// Zones that the store has told it to evacuate or to take back: the revision of that,
-    /// and when it was told.
+    /// Evacuation state of each zone that this incarnation received: the revision, and the
+    /// virtual time at which it arrived.
     pub(crate) evacuations: BTreeMap<Name, (u64, u64)>,
-    /// Whether it has read the store, and nothing has kept it from watching since.
+    /// Whether the host has read the store and its watch has not broken since.
     pub(crate) synced: bool,
-    /// Whether it owned workers when it was last looked at.
+    /// Whether the host owned workers at the last flush.
     pub(crate) owned_workers: bool,
 }
 
 impl Host {
-    /// Returns its registration.
+    /// Returns the host's registration.
     fn entry(&self, name: &Name, leaving: bool) -> HostEntry {
         let peer = Peer::new(name.clone(), self.incarnation);
         let (zone, address) = (self.zone.clone(), name.clone());
@@ -67,14 +68,14 @@
         }
     }
 
-    /// Returns the host's clock.
+    /// Returns the time on the host's own clock.
     pub(crate) fn time(&self, now: u64) -> Time {
         Time::from_micros(now - self.clock_zero)
     }
 }
 
 impl FleetWorld {
-    /// Starts a host's process.
+    /// Starts a host's process, unless it runs already.
     pub fn start(&mut self, name: &Name) {
         let (now, incarnation) = (self.now, self.incarnations + 1);
         let Some(host) = self.hosts.get_mut(name) else { return };
@@ -111,7 +112,7 @@
         );
     }
 
-    /// Kills a host's process; callers lose their connections.
+    /// Kills a host's process; its callers lose their connections.
     pub fn kill(&mut self, name: &Name) {
         let Some(host) = self.hosts.get_mut(name) else { return };
         host.fleet = None;
@@ -120,14 +121,14 @@
         self.end_connections(name, incarnation);
     }
 
-    /// Freezes a host's process.
+    /// Pauses a host's process.
     pub fn pause(&mut self, name: &Name) {
         if let Some(host) = self.hosts.get_mut(name).filter(|host| host.fleet.is_some()) {
             host.paused.get_or_insert_default();
         }
     }
 
-    /// Lets a frozen process go on; what came meanwhile comes first.
+    /// Resumes a paused process; it handles the events of the pause before its timers.
     pub fn resume(&mut self, name: &Name) {
         let Some(host) = self.hosts.get_mut(name) else { return };
         let incarnation = host.incarnation;
@@ -140,13 +141,13 @@
         self.schedule_at(self.now, ScheduledEvent::Wake { host: name.clone(), incarnation });
     }
 
-    /// Tells a host to stop gracefully.
+    /// Requests a graceful shutdown of a host.
     pub fn stop(&mut self, name: &Name) {
         let incarnation = self.hosts.get(name).map_or(0, |host| host.incarnation);
         self.deliver(name, incarnation, FleetEvent::Shutdown);
     }
 
-    /// Hands an event to a host, in its turn if the host is short of processor time.
+    /// Delivers an event to a host, after earlier ones if events take processor time there.
     pub(crate) fn deliver(&mut self, name: &Name, incarnation: u64, event: FleetEvent) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(name) else { return };
@@ -158,6 +159,7 @@
         self.schedule_at(at, ScheduledEvent::Handle { host, incarnation, event });
     }
 
+    /// Passes an event to a host's fleet, or queues it during a pause.
     pub(crate) fn handle_event(&mut self, name: &Name, incarnation: u64, event: FleetEvent) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(name).filter(|host| host.incarnation == incarnation)
@@ -171,9 +173,9 @@
         let time = host.time(now);
         let Some(fleet) = &mut host.fleet else { return };
         if let FleetEvent::Evacuation(state) = &event {
-            let told = host.evacuations.entry(state.zone.clone()).or_default();
-            if told.0 < state.revision {
-                *told = (state.revision, now);
+            let known = host.evacuations.entry(state.zone.clone()).or_default();
+            if known.0 < state.revision {
+                *known = (state.revision, now);
             }
         }
         fleet.handle(time, event);
@@ -186,6 +188,7 @@
         }
     }
 
+    /// Flushes a host's fleet, applies its effects and schedules its next wake-up.
     pub(crate) fn flush(&mut self, name: &Name, incarnation: u64) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(name).filter(|host| host.incarnation == incarnation)
@@ -201,8 +204,8 @@
         let Some(fleet) = &mut host.fleet else { return };
         let mut effects = Vec::new();
         fleet.flush(time, &mut effects);
-        let owned = std::mem::replace(&mut host.owned_workers, fleet.owns_workers());
-        let listed = host.owned_workers && !owned;
+        let owned_before = std::mem::replace(&mut host.owned_workers, fleet.owns_workers());
+        let gained_workers = host.owned_workers && !owned_before;
         let wake = clock_zero + fleet.deadline().as_micros();
         if wake != host.wake_at {
             host.wake_at = wake;
@@ -211,7 +214,7 @@
         for effect in effects {
             self.apply_effect(name, incarnation, effect);
         }
-        if listed {
+        if gained_workers {
             let host = name.clone();
             self.schedule_at(
                 now + self.store.delay_us / 2,
@@ -220,6 +223,7 @@
         }
     }
 
+    /// Handles a timer of a host once its processor is free.
     pub(crate) fn wake(&mut self, name: &Name, incarnation: u64) {
         let Some(host) = self.hosts.get(name).filter(|host| host.incarnation == incarnation) else {
             return;
@@ -233,6 +237,7 @@
         }
     }
 
+    /// Carries out an effect that a host's fleet requested.
     fn apply_effect(&mut self, name: &Name, incarnation: u64, effect: FleetEffect) {
         match effect {
             FleetEffect::Answer { call, end } => self.handle_answer(call.0, end),
@@ -312,7 +317,7 @@
         }
     }
 
-    /// Tells every host that can hear the store of a key.
+    /// Sends a key's value to every host that can reach the store.
     pub(crate) fn publish(&mut self, key: &Name) {
         let hosts: Vec<(Name, u64)> =
             self.hosts.iter().map(|(name, host)| (name.clone(), host.incarnation)).collect();
@@ -321,6 +326,7 @@
         }
     }
 
+    /// Sends a key's value to a host, as a watch does.
     fn send_key(&mut self, host: &Name, incarnation: u64, key: &Name) {
         let Some((revision, value)) = self.store.keys.get(key).cloned() else { return };
         if self.store.down || !self.net.reaches(host, crate::world::net::STORE) {
@@ -338,7 +344,7 @@
         self.schedule_at(at, ScheduledEvent::Event { host: host.clone(), incarnation, event });
     }
 
-    /// Has a zone evacuated, or takes it back, and tells every host that can hear the store.
+    /// Evacuates a zone or ends its evacuation, and notifies every host that can reach the store.
     pub fn evacuate(&mut self, zone: &Name, evacuated: bool) {
         self.store.set_evacuated(zone, evacuated);
         let hosts: Vec<(Name, u64)> =
@@ -348,7 +354,7 @@
         }
     }
 
-    /// Tells a host of a zone's state, as a watch does.
+    /// Sends a zone's evacuation state to a host, as a watch does.
     fn send_evacuation(&mut self, host: &Name, incarnation: u64, zone: &Name) {
         if self.store.down || !self.net.reaches(host, crate::world::net::STORE) {
             return;
@@ -360,14 +366,16 @@
         self.schedule_at(at, ScheduledEvent::Event { host: host.clone(), incarnation, event });
     }
 
-    /// Tells a host what operators have written: all that stands at the first reading, also
-    /// after the store was away, and later what it was told of before, as watches do.
+    /// Sends a host the evacuated zones and those whose state it received before, as watches do.
+    /// The first read, and the first after an outage of the store, ends with a marker that all
+    /// states have been read.
     fn send_evacuations(&mut self, host: &Name, incarnation: u64) {
-        let told = self.hosts.get(host).map(|host| host.evacuations.clone()).unwrap_or_default();
+        let known = self.hosts.get(host).map(|host| host.evacuations.clone()).unwrap_or_default();
         let zones: Vec<Name> = self.store.evacuations.keys().cloned().collect();
         for zone in zones {
-            let stands = self.store.evacuations.get(&zone).is_some_and(|(_, evacuated)| *evacuated);
-            if stands || told.contains_key(&zone) {
+            let is_evacuated =
+                self.store.evacuations.get(&zone).is_some_and(|(_, evacuated)| *evacuated);
+            if is_evacuated || known.contains_key(&zone) {
                 self.send_evacuation(host, incarnation, &zone);
             }
         }
@@ -380,7 +388,8 @@
         self.schedule_at(at, ScheduledEvent::Event { host: host.clone(), incarnation, event });
     }
 
-    /// Reads the whole store for a host, as after each break of its watch.
+    /// Reads the whole store for a host, as after each break of its watch, and repeats every
+    /// 500 ms.
     pub(crate) fn read_store(&mut self, name: &Name, incarnation: u64) {
         if !self
             .hosts
@@ -411,7 +420,7 @@
         }
     }
 
-    /// Reads the list of workers for a host.
+    /// Reads the list of workers for a host, if it can reach the store.
     pub(crate) fn read_worker_list(&mut self, name: &Name, incarnation: u64) {
         if self.store.down || !self.net.reaches(name, crate::world::net::STORE) {
             return;
@@ -423,6 +432,7 @@
         );
     }
 
+    /// Returns the registrations of the workers that the store lists.
     fn worker_list_event(&self) -> FleetEvent {
         let workers = self.workers.values().filter(|worker| worker.is_listed(self.now));
         FleetEvent::Workers(workers.map(|worker| worker.entry.clone()).collect())
--- a/endivestile_testkit/src/fleet/mod.rs
+++ b/endivestile_testkit/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Fleets of a whole deployment in virtual time, over fakes of the store and of
-//! workers with leases, fences and room.
+//! Simulation of a whole deployment's fleets in virtual time, with fakes of the store and of
+//! workers that have leases, fencing tokens and a capacity.
 
 mod calls;
 mod check;
--- a/endivestile_testkit/src/fleet/story.rs
+++ b/endivestile_testkit/src/fleet/story.rs
@@ -1,4 +1,4 @@
-//! Stories of fleets: scripted scenarios, one step a line.
+//! Stories of fleets: scripted scenarios, one step per line.
 //!
 //! `docs/SCENARIOS.md` lists the steps.
 
@@ -13,25 +13,26 @@
 use super::world::FleetWorld;
 use crate::step::{Step, span_ms};
 
-/// Milliseconds in which the hosts of a new world find each other.
+/// Time for the hosts of a new world to find each other, in milliseconds.
 const SETTLE_MS: u64 = 3_000;
-/// Milliseconds until a job's deadline, unless the story says otherwise.
+/// Default time until a job's deadline, in milliseconds.
 const DEADLINE_MS: u64 = 3_000;
 
+/// A story in progress.
 struct Story {
     world: FleetWorld,
-    out: String,
+    output: String,
 }
 
-/// Tells a story of fleets and returns what it printed.
+/// Runs a story of fleets and returns its output.
 ///
 /// # Errors
-/// Names the first line that is no step.
+/// Returns the first line that is not a valid step, with the reason.
 pub fn run_fleet_story(text: &str) -> Result<String, String> {
     let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     let first = Step::read(lines.next().unwrap_or_default());
     if first.words.first() != Some(&"world") {
-        return Err(format!("a story starts with `world`: {}", first.line));
+        return Err(format!("first line is not a `world` step: {}", first.line));
     }
     let zones: Vec<&str> = first.pairs.get("zones").copied().unwrap_or("a").split(',').collect();
     let cpu = first.number("cpu", 32_000)? as u32;
@@ -50,15 +51,16 @@
     }
     world.stagger_registration(first.span("register", 0)?);
     world.run(SETTLE_MS);
-    let mut story = Story { world, out: String::new() };
+    let mut story = Story { world, output: String::new() };
     for line in lines {
         let step = Step::read(line);
         story.step(&step).map_err(|error| format!("{line}: {error}"))?;
     }
-    Ok(story.out)
+    Ok(story.output)
 }
 
 impl Story {
+    /// Executes one step.
     fn step(&mut self, step: &Step<'_>) -> Result<(), String> {
         match step.words[0] {
             "run" => self.world.run(span_ms(step.word(1)?)?),
@@ -70,23 +72,24 @@
             "hosts" => self.hosts(),
             "starts" => self.starts(),
             "holds" => {
-                let holds = std::mem::take(&mut self.world.observed.renewals);
-                let _ = writeln!(self.out, "holds: {holds}");
+                let renewals = std::mem::take(&mut self.world.observed.renewals);
+                let _ = writeln!(self.output, "holds: {renewals}");
             }
             "later" => self.later(span_ms(step.word(1)?)?),
             "runs" => {
                 let runs: u32 =
                     self.world.observed.starts.values().map(|count| *count as u32).sum();
-                let _ = writeln!(self.out, "runs: {runs}");
+                let _ = writeln!(self.output, "runs: {runs}");
             }
             "check" => self.check(),
             "settled" => self.settled(),
-            "trace" => self.out.push_str(&self.world.trace.join("\n")),
+            "trace" => self.output.push_str(&self.world.trace.join("\n")),
             _ => self.fault(step)?,
         }
         Ok(())
     }
 
+    /// Executes a step that changes the world.
     fn fault(&mut self, step: &Step<'_>) -> Result<(), String> {
         let name = |at: usize| step.word(at).map(Name::from);
         match step.words[0] {
@@ -103,7 +106,7 @@
             "cut" => self.world.net.cut(step.word(1)?, step.word(2)?),
             "cost" => {
                 let event_cost_us = span_ms(step.word(2)?)? * 1_000;
-                let host = self.world.hosts.get_mut(&name(1)?).ok_or("no such host")?;
+                let host = self.world.hosts.get_mut(&name(1)?).ok_or("unknown host")?;
                 host.event_cost_us = event_cost_us;
             }
             "mute" => self.world.net.block(step.word(1)?, step.word(2)?),
@@ -117,7 +120,7 @@
                 let version = self.world.table.version + 1;
                 self.world.table = RouteTable { version, ..RouteTable::default() }.into();
             }
-            verb => return Err(format!("no step `{verb}`")),
+            verb => return Err(format!("unknown step `{verb}`")),
         }
         Ok(())
     }
@@ -129,14 +132,14 @@
             "up" => store.down = false,
             "slow" => store.delay_us = span_ms(step.word(2)?)? * 1_000,
             "loses" => store.answers_to_lose = step.parse(2)?,
-            word => return Err(format!("down, up, slow or loses, not `{word}`")),
+            word => return Err(format!("expected store down, up, slow or loses, found `{word}`")),
         }
         Ok(())
     }
 
     fn worker(&mut self, step: &Step<'_>) -> Result<(), String> {
         let (name, now) = (Name::from(step.word(1)?), self.world.now);
-        let worker = self.world.workers.get_mut(&name).ok_or("no such worker")?;
+        let worker = self.world.workers.get_mut(&name).ok_or("unknown worker")?;
         worker.advance(now);
         match step.word(2)? {
             "good" => {
@@ -152,7 +155,7 @@
             "crash" => worker.restart(now),
             "drains" => worker.entry.leaving = true,
             "gone" => worker.entry.address = Name::from(""),
-            word => return Err(format!("no behaviour `{word}`")),
+            word => return Err(format!("unknown worker behaviour `{word}`")),
         }
         self.world.schedule_worker(&name);
         Ok(())
@@ -171,7 +174,7 @@
 
     fn submit_one(&mut self, step: &Step<'_>, suffix: &str) -> Result<(), String> {
         let name = format!("{}{suffix}", step.word(1)?);
-        let at = Name::from(step.pairs.get("at").copied().ok_or("at is missing")?);
+        let at = Name::from(step.pairs.get("at").copied().ok_or("at=HOST is missing")?);
         let id = step.pairs.get("id").map_or_else(|| name.clone(), |id| format!("{id}{suffix}"));
         let work = step.number("ms", 100)?;
         let estimate = step.number("told", work)? as u32;
@@ -209,6 +212,7 @@
         Ok(())
     }
 
+    /// Prints the outcome of each call.
     fn answers(&mut self) {
         for call in self.world.calls.values() {
             let answer = match &call.ended {
@@ -216,40 +220,40 @@
                 Some((_, None)) => String::from("connection ended"),
                 Some((at, Some(end))) => {
                     let ms = (at - call.made_at) / 1_000;
-                    format!("{} {ms} ms", told(end))
+                    format!("{} {ms} ms", end_label(end))
                 }
             };
-            let _ = writeln!(self.out, "{} {answer}", call.name);
+            let _ = writeln!(self.output, "{} {answer}", call.name);
         }
     }
 
-    /// Prints how many calls ended in each way.
+    /// Prints the number of calls by outcome.
     fn counts(&mut self) {
         let mut counts = std::collections::BTreeMap::<String, u32>::new();
         for call in self.world.calls.values() {
             let answer = match &call.ended {
                 None => String::from("waits"),
                 Some((_, None)) => String::from("connection ended"),
-                Some((_, Some(end))) => told(end),
+                Some((_, Some(end))) => end_label(end),
             };
             *counts.entry(answer).or_default() += 1;
         }
         for (answer, count) in counts {
-            let _ = writeln!(self.out, "{answer}: {count}");
+            let _ = writeln!(self.output, "{answer}: {count}");
         }
     }
 
-    /// Tells how many calls took longer.
+    /// Prints how many calls took longer than `ms` milliseconds.
     fn later(&mut self, ms: u64) {
-        let took = |call: &&super::calls::CallLog| {
+        let is_later = |call: &&super::calls::CallLog| {
             let end = call.ended.as_ref().map_or(self.world.now, |(at, _)| *at);
             end - call.made_at > ms * 1_000
         };
-        let count = self.world.calls.values().filter(took).count();
-        let _ = writeln!(self.out, "later than {ms} ms: {count}");
+        let count = self.world.calls.values().filter(is_later).count();
+        let _ = writeln!(self.output, "later than {ms} ms: {count}");
     }
 
-    /// Tells the records that stand in the store, alike ones of a zone once.
+    /// Prints the ownership records in the store; pools of a zone with equal records share a line.
     fn owners(&mut self) {
         let mut pools: BTreeMap<String, u32> = BTreeMap::new();
         for (key, (_, value)) in &self.world.store.keys {
@@ -260,10 +264,11 @@
             }
         }
         for (line, count) in pools {
-            let _ = writeln!(self.out, "{line} pools={count}");
+            let _ = writeln!(self.output, "{line} pools={count}");
         }
     }
 
+    /// Prints the state of each host's process.
     fn hosts(&mut self) {
         for (name, host) in &self.world.hosts {
             let state = match (&host.fleet, &host.paused) {
@@ -271,43 +276,50 @@
                 (Some(_), Some(_)) => "paused",
                 (Some(_), None) => "running",
             };
-            let _ = writeln!(self.out, "{name} {state}");
+            let _ = writeln!(self.output, "{name} {state}");
         }
     }
 
+    /// Prints the number of task starts by worker.
     fn starts(&mut self) {
         for (worker, count) in &self.world.observed.starts {
-            let _ = writeln!(self.out, "{worker} {count}");
+            let _ = writeln!(self.output, "{worker} {count}");
         }
     }
 
+    /// Prints the breaches of guarantees.
     fn check(&mut self) {
         for breach in self.world.breaches() {
-            let _ = writeln!(self.out, "{breach}");
+            let _ = writeln!(self.output, "{breach}");
         }
         if self.world.breaches().is_empty() {
-            self.out.push_str("every promise kept\n");
+            self.output.push_str("every promise kept\n");
         }
     }
 
+    /// Prints the open calls.
     fn settled(&mut self) {
         let open = self.world.unanswered();
         match open.as_slice() {
-            [] => self.out.push_str("every call answered\n"),
+            [] => self.output.push_str("every call answered\n"),
             open => {
-                let _ = writeln!(self.out, "no answer: {}", open.join(" "));
+                let _ = writeln!(self.output, "no answer: {}", open.join(" "));
             }
         }
     }
 }
 
-fn told(end: &JobEnd) -> String {
+/// Returns an outcome as stories print it.
+fn end_label(end: &JobEnd) -> String {
     match end.reason() {
         None => end.label().to_owned(),
         Some(reason) => format!("{} {}", end.label(), reason.label()),
     }
 }
 
+/// Parses a comma-separated list of numbers.
 fn numbers(list: &str) -> Result<Vec<u32>, String> {
-    list.split(',').map(|word| word.parse().map_err(|_| format!("no number: `{word}`"))).collect()
+    list.split(',')
+        .map(|word| word.parse().map_err(|_| format!("not a number: `{word}`")))
+        .collect()
 }
--- a/endivestile_testkit/src/fleet/worker.rs
+++ b/endivestile_testkit/src/fleet/worker.rs
@@ -1,5 +1,5 @@
-//! A worker that keeps leases, refuses lower fencing tokens and starts what it
-//! is told to start, whether it has room or not.
+//! Simulated worker: it grants leases, refuses lower fencing tokens and starts every requested
+//! task, even beyond its capacity.
 
 use std::collections::BTreeMap;
 
@@ -10,70 +10,75 @@
     StopRequest, WorkerEntry,
 };
 
-/// Longest lease that it grants, in milliseconds.
+/// Longest lease that a worker grants, in milliseconds.
 const MAX_LEASE_MS: u64 = 1_000;
 
-/// Time that a stop takes, in microseconds.
+/// Time from a stop request to the end of the run, in microseconds.
 const STOP_US: u64 = 50_000;
 
 /// How a worker behaves.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Behaviour {
-    /// As it should.
+    /// Works without faults.
     Good,
-    /// Fails all that it starts.
+    /// Fails every run shortly after its start.
     Errors,
-    /// Makes no progress.
+    /// Starts runs, but makes no progress.
     Hangs,
-    /// Takes so many times longer.
+    /// Runs tasks slower by this factor.
     Slow(f64),
-    /// Leaves orders unanswered and carries them out so many milliseconds later.
+    /// Leaves start and stop requests unanswered and executes them this many milliseconds later.
     Late(u64),
 }
 
 /// A run at a worker.
 #[derive(Debug, Clone)]
 pub(crate) struct Run {
-    /// What it takes.
+    /// Resources that the run uses.
     pub(crate) need: Need,
-    /// Work left, in microseconds at speed 1.
+    /// Remaining work, in microseconds at speed 1.
     left_us: f64,
-    /// Work in all.
+    /// Total work, in microseconds at speed 1.
     total_us: f64,
-    /// When the work was last brought up to date.
-    at: u64,
-    /// When it fails, if it does.
+    /// Virtual time at which `left_us` was last updated.
+    updated_at: u64,
+    /// Virtual time at which the run fails, if it does.
     fails_at: Option<u64>,
-    /// When a stop has been carried out, if it was told to stop.
+    /// Virtual time at which a requested stop takes effect.
     stops_at: Option<u64>,
 }
 
-/// One worker.
+/// State of a worker.
 #[derive(Debug)]
 pub(crate) struct Worker {
-    /// Its registration.
+    /// Registration in the store.
     pub(crate) entry: WorkerEntry,
-    /// How it behaves.
+    /// Current behaviour.
     pub(crate) behaviour: Behaviour,
-    /// Whether it answers at all.
+    /// Whether the worker leaves every call unanswered.
     pub(crate) unresponsive: bool,
-    /// Virtual time from which on the store lists it.
+    /// Virtual time from which the store lists the worker.
     pub(crate) listed_from: u64,
-    /// Its speed.
+    /// Speed; a run at speed 2 takes half as long as at speed 1.
     pub(crate) speed: f64,
-    /// What runs.
+    /// Active runs by task and run number.
     pub(crate) runs: BTreeMap<(Name, u32), Run>,
-    /// Virtual time at which its clock read zero.
+    /// Virtual time at which the worker's clock read zero.
     clock_zero: u64,
+    /// Highest fencing token seen.
     token: u64,
+    /// Expiry of the lease on the worker's clock, in milliseconds.
     lease_until_ms: u64,
+    /// Highest run number of each task that was started or stopped.
     highest_run: BTreeMap<Name, u32>,
+    /// Ended runs that no renewal has acknowledged yet.
     ends: Vec<EndRecord>,
-    number: u64,
+    /// Number of the last end record.
+    last_end: u64,
 }
 
 impl Worker {
-    /// Starts a worker at `now`.
+    /// Creates a worker that starts at `now`.
     pub(crate) fn new(now: u64, entry: WorkerEntry, speed: f64) -> Self {
         Self {
             entry,
@@ -87,11 +92,11 @@
             lease_until_ms: 0,
             highest_run: BTreeMap::new(),
             ends: Vec::new(),
-            number: 0,
+            last_end: 0,
         }
     }
 
-    /// Crashes and starts again, knowing nothing.
+    /// Restarts the worker as a new incarnation that has lost all state.
     pub(crate) fn restart(&mut self, now: u64) {
         let mut entry = self.entry.clone();
         entry.incarnation += 1;
@@ -102,6 +107,7 @@
         (now - self.clock_zero) / 1_000
     }
 
+    /// Returns the work done per microsecond, in microseconds at speed 1.
     fn rate(&self) -> f64 {
         match self.behaviour {
             Behaviour::Hangs => 0.0,
@@ -110,65 +116,69 @@
         }
     }
 
-    /// Returns when something happens here by itself.
+    /// Returns the virtual time of the next end of a run or of the lease.
     pub(crate) fn next_change(&self) -> Option<u64> {
         let rate = self.rate();
         let ends = self.runs.values().flat_map(|run| {
-            let done = (rate > 0.0).then(|| run.at + (run.left_us / rate).ceil() as u64);
+            let done = (rate > 0.0).then(|| run.updated_at + (run.left_us / rate).ceil() as u64);
             done.into_iter().chain(run.fails_at).chain(run.stops_at)
         });
         let expiry = (!self.runs.is_empty()).then(|| self.clock_zero + self.lease_until_ms * 1_000);
         ends.chain(expiry).min()
     }
 
-    /// Brings runs up to date: some end, or lapse with the lease.
+    /// Advances the runs to `now`; returns those that ended, also by expiry of the lease.
     pub(crate) fn advance(&mut self, now: u64) -> Vec<(Name, u32, RunEnd)> {
         let rate = self.rate();
         let expired = self.clock_zero + self.lease_until_ms * 1_000 <= now;
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for ((task, number), run) in &mut self.runs {
-            run.left_us -= (now - run.at) as f64 * rate;
-            run.at = now;
+            run.left_us -= (now - run.updated_at) as f64 * rate;
+            run.updated_at = now;
             if run.left_us < 1.0 {
-                over.push((task.clone(), *number, RunEnd::Done));
+                finished.push((task.clone(), *number, RunEnd::Done));
             } else if run.stops_at.is_some_and(|at| at <= now) {
-                over.push((task.clone(), *number, RunEnd::Stopped));
+                finished.push((task.clone(), *number, RunEnd::Stopped));
             } else if run.fails_at.is_some_and(|at| at <= now) {
-                over.push((task.clone(), *number, RunEnd::Failed));
+                finished.push((task.clone(), *number, RunEnd::Failed));
             } else if expired {
-                over.push((task.clone(), *number, RunEnd::Expired));
+                finished.push((task.clone(), *number, RunEnd::Expired));
             }
         }
-        for (task, number, end) in &over {
+        for (task, number, end) in &finished {
             self.end(task, *number, *end);
         }
-        over
+        finished
     }
 
+    /// Removes a run and records its end.
     fn end(&mut self, task: &Name, run: u32, end: RunEnd) {
         self.runs.remove(&(task.clone(), run));
         self.raise_run(task, run);
-        self.number += 1;
-        self.ends.push(EndRecord { number: self.number, task: task.clone(), run, end });
+        self.last_end += 1;
+        self.ends.push(EndRecord { number: self.last_end, task: task.clone(), run, end });
     }
 
+    /// Raises the highest run number of a task.
     fn raise_run(&mut self, task: &Name, run: u32) {
         let highest_run = self.highest_run.entry(task.clone()).or_default();
         *highest_run = (*highest_run).max(run);
     }
 
+    /// Records a fencing token; returns whether it is outdated.
     fn check_fence(&mut self, token: u64) -> bool {
-        let fenced = token < self.token;
+        let outdated = token < self.token;
         self.token = self.token.max(token);
-        fenced
+        outdated
     }
 
+    /// Extends the lease, at most by the longest lease that is granted.
     fn extend_lease(&mut self, now: u64, lease_until_ms: u64) {
         let longest = self.clock_ms(now) + MAX_LEASE_MS;
         self.lease_until_ms = self.lease_until_ms.max(lease_until_ms.min(longest));
     }
 
-    /// Carries out an order to start a task of this work.
+    /// Executes a request to start a task with this need and work.
     pub(crate) fn start(
         &mut self,
         now: u64,
@@ -191,13 +201,19 @@
         }
         self.extend_lease(now, order.lease_until);
         let fails_at = (self.behaviour == Behaviour::Errors).then_some(now + 5_000);
-        let run =
-            Run { need, left_us: work_us, total_us: work_us, at: now, fails_at, stops_at: None };
+        let run = Run {
+            need,
+            left_us: work_us,
+            total_us: work_us,
+            updated_at: now,
+            fails_at,
+            stops_at: None,
+        };
         self.runs.insert(id, run);
         StartResult::Started(self.clock_ms(now))
     }
 
-    /// Carries out an order to stop.
+    /// Executes a request to stop a run; returns the worker's clock in milliseconds.
     pub(crate) fn stop(&mut self, now: u64, order: &StopRequest) -> Result<u64, CallError> {
         if self.check_fence(order.token) {
             return Err(CallError::Fenced);
@@ -209,7 +225,7 @@
         Ok(self.clock_ms(now))
     }
 
-    /// Takes a hold; returns whether there is something to tell at once.
+    /// Handles a lease renewal; returns whether it is to be answered at once.
     pub(crate) fn renew(&mut self, now: u64, order: &RenewRequest) -> Result<bool, CallError> {
         if self.check_fence(order.token) {
             return Err(CallError::Fenced);
@@ -221,7 +237,7 @@
         Ok(!self.ends.is_empty() || order.wait_ms == 0)
     }
 
-    /// Returns what a hold is answered.
+    /// Returns the answer to a lease renewal.
     pub(crate) fn renew_reply(&self, now: u64) -> RenewReply {
         let running = self.runs.iter().map(|((task, run), state)| RunStatus {
             task: task.clone(),
@@ -236,18 +252,18 @@
         }
     }
 
-    /// Returns whether there are ends to tell.
+    /// Returns whether there are ends that no renewal has acknowledged.
     pub(crate) fn has_ends(&self) -> bool {
         !self.ends.is_empty()
     }
 }
 
-/// Nothing taken.
+/// Returns a need of no resources.
 pub(crate) fn no_need() -> Need {
     Need { cpu_milli: 0, memory_mb: 0, accelerators: 0 }
 }
 
-/// The registration of a worker of a zone.
+/// Returns the registration of a worker of a zone.
 pub(crate) fn worker_entry(zone: &str, index: u64, cpu: u32) -> WorkerEntry {
     let id = Name::from(format!("{zone}-w{index}"));
     WorkerEntry {
--- a/endivestile_testkit/src/fleet/worker_calls.rs
+++ b/endivestile_testkit/src/fleet/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of hosts to workers, and what happens there.
+//! Calls of hosts to workers: transport, timeouts and execution.
 
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{CallError, FleetEvent, StartResult, WorkerCall};
@@ -7,6 +7,7 @@
 use super::world::{FleetWorld, ScheduledEvent, Work};
 
 impl FleetWorld {
+    /// Handles a call that reaches a worker. Renewals without ended runs are held open.
     pub(crate) fn handle_worker_call(&mut self, call_id: u64, worker: &Name) {
         let Some((host, _, call)) = self.open_worker_calls.get(&call_id).cloned() else { return };
         if let WorkerCall::Start(order) = &call {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Carries an order out; returns what the worker answers.
+    /// Executes a call at its worker and checks the worker; returns the answer.
     pub(crate) fn execute_call(&mut self, call: &WorkerCall) -> Option<FleetEvent> {
         let now = self.now;
         let worker = match call {
@@ -60,9 +61,9 @@
                 let id = order.task.split('.').next().unwrap_or_default();
                 let work = self.job_work.get(id).cloned();
                 let work = work.unwrap_or(Work { us: 1.0, need: no_need(), near: None });
-                let far = work.near.is_some_and(|near| !state.entry.labels.contains(&near));
-                let times = if far { f64::from(self.remote_milli) / 1_000.0 } else { 1.0 };
-                let (work_us, need) = (work.us * times, work.need);
+                let remote = work.near.is_some_and(|near| !state.entry.labels.contains(&near));
+                let factor = if remote { f64::from(self.remote_milli) / 1_000.0 } else { 1.0 };
+                let (work_us, need) = (work.us * factor, work.need);
                 let new = !state.runs.contains_key(&(order.task.clone(), order.run));
                 let end = state.start(now, order, need, work_us);
                 if new && matches!(end, StartResult::Started(_)) {
@@ -96,6 +97,7 @@
         Some(event)
     }
 
+    /// Executes a delayed call, unless the worker has restarted since.
     pub(crate) fn execute_late_call(
         &mut self,
         call: &WorkerCall,
@@ -111,6 +113,7 @@
         }
     }
 
+    /// Sends an answer to a host, if the network lets it pass.
     pub(crate) fn send_reply(
         &mut self,
         call_id: u64,
@@ -124,6 +127,7 @@
         }
     }
 
+    /// Answers an open renewal with the worker's current state.
     pub(crate) fn answer_renewal(&mut self, call_id: u64, worker: &Name) {
         if self.open_renewals.remove(&call_id).is_none() {
             return;
@@ -142,6 +146,7 @@
         self.send_reply(call_id, &host, worker, event);
     }
 
+    /// Reports an unanswered call to its host as lost.
     pub(crate) fn time_out_call(&mut self, call_id: u64) {
         let Some((host, host_incarnation, call)) = self.open_worker_calls.remove(&call_id) else {
             return;
@@ -167,7 +172,7 @@
         self.deliver(&host, host_incarnation, event);
     }
 
-    /// Brings a worker up to date, and tells those who wait of ends.
+    /// Advances a worker's runs to the current time.
     pub(crate) fn advance_worker(&mut self, worker: &Name) {
         let now = self.now;
         if let Some(state) = self.workers.get_mut(worker) {
@@ -175,12 +180,14 @@
         }
     }
 
+    /// Handles an end of a run or of the lease at a worker.
     pub(crate) fn handle_worker_wake(&mut self, worker: &Name) {
         self.advance_worker(worker);
         self.report_ends(worker);
         self.schedule_worker(worker);
     }
 
+    /// Answers the open renewals of a worker that has ended runs.
     pub(crate) fn report_ends(&mut self, worker: &Name) {
         if !self.workers.get(worker).is_some_and(Worker::has_ends) {
             return;
@@ -196,6 +203,7 @@
         }
     }
 
+    /// Schedules the next change at a worker.
     pub(crate) fn schedule_worker(&mut self, worker: &Name) {
         let next = self.workers.get(worker).and_then(Worker::next_change);
         if let Some(at) = next {
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -1,4 +1,4 @@
-//! The world: what happens when, and what callers saw.
+//! State and event loop of the simulated deployment.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,67 +19,67 @@
 use crate::timeline::Timeline;
 use crate::world::net::{Network, STORE};
 
-/// Time for an answer of the store, in microseconds.
+/// Time from a request to the store to its answer, in microseconds.
 const STORE_DELAY_US: u64 = 4_000;
-/// Processor time of a host that says nothing of it, in thousandths of a core.
+/// Default processor time of a host, in thousandths of a core.
 const HOST_CPU_MILLI: u32 = 250;
-/// Distance between zones, in microseconds.
+/// Additional one-way delay between zones, in microseconds.
 const CROSS_ZONE_US: u64 = 1_400;
 
-/// Something that is going to happen.
+/// Event on the timeline.
 #[derive(Debug)]
 pub(crate) enum ScheduledEvent {
     /// An event reaches one incarnation of a host.
     Event { host: Name, incarnation: u64, event: FleetEvent },
-    /// An event has had its turn at a host that is short of processor time.
+    /// A host has had processor time for an event and handles it.
     Handle { host: Name, incarnation: u64, event: FleetEvent },
-    /// A host wakes.
+    /// A timer of a host is due.
     Wake { host: Name, incarnation: u64 },
-    /// A host has taken in what came together.
+    /// A host has collected the events of its flush delay.
     Flush { host: Name, incarnation: u64 },
     /// A call reaches a worker.
     Arrive { call_id: u64, worker: Name },
-    /// A hold has waited long enough.
+    /// The wait of an open renewal ends.
     AnswerRenewal { call_id: u64, worker: Name },
-    /// A call's answer reaches its host.
+    /// The answer to a worker call reaches its host.
     Reply { call_id: u64, event: FleetEvent },
-    /// A call has got no answer in time.
+    /// A worker call has got no answer in time.
     CallTimeout { call_id: u64 },
-    /// Something ends at a worker.
+    /// A run or the lease ends at a worker.
     WorkerWake { worker: Name },
-    /// An order left unanswered is carried out, unless the worker that held it
-    /// back has started anew since.
+    /// A worker executes a call that it left unanswered, unless it has restarted since.
     LateCall { call: WorkerCall, worker: Name, worker_incarnation: u64 },
-    /// A change reaches the store.
+    /// A compare-and-swap reaches the store.
     Swap { host: Name, incarnation: u64, token: u64, op: StoreOp },
     /// A host registers.
     Register { entry: HostEntry },
     /// A host reads the whole store.
     ReadStore { host: Name, incarnation: u64 },
-    /// A host that has come to own workers reads their list.
+    /// A host that has become owner of workers reads their list.
     ReadWorkerList { host: Name, incarnation: u64 },
-    /// A caller's patience ends.
+    /// The deadline of a call passes, and its caller disconnects.
     CallerDeadline { call: u64 },
-    /// A caller that got no answer sends its job again.
+    /// A caller that got no answer submits its job again.
     Resubmit { call: u64 },
-    /// A host has drained and ends.
+    /// A host has drained, and its process ends.
     Drained { host: Name, incarnation: u64 },
 }
 
-/// What a task of a job takes.
+/// Work of each task of a job.
 #[derive(Debug, Clone)]
 pub(crate) struct Work {
-    /// Time near its data on a worker of speed 1, in microseconds.
+    /// Run time near the task's data on a worker of speed 1, in microseconds.
     pub(crate) us: f64,
-    /// Room.
+    /// Resources.
     pub(crate) need: Need,
-    /// Label of the workers that are near its data.
+    /// Label of the workers that are near the task's data.
     pub(crate) near: Option<Name>,
 }
 
-/// A deployment in virtual time.
+/// Simulated deployment in virtual time.
 #[derive(Debug)]
 pub struct FleetWorld {
+    /// Virtual time, in microseconds.
     pub(crate) now: u64,
     pub(crate) hosts: BTreeMap<Name, Host>,
     pub(crate) workers: BTreeMap<Name, Worker>,
@@ -87,33 +87,40 @@
     pub(crate) net: Network,
     pub(crate) table: Arc<RouteTable>,
     pub(crate) calls: BTreeMap<u64, CallLog>,
+    /// Work by job id.
     pub(crate) job_work: BTreeMap<Name, Work>,
+    /// Id of the last call to a worker.
     pub(crate) last_call_id: u64,
+    /// Open calls to workers by id: host, its incarnation and the call.
     pub(crate) open_worker_calls: BTreeMap<u64, (Name, u64, WorkerCall)>,
+    /// Number of process starts so far.
     pub(crate) incarnations: u64,
     pub(crate) policy: Policy,
-    /// How many times longer a task takes away from its data, in thousandths.
+    /// Factor on the run time of a task away from its data, in thousandths.
     pub(crate) remote_milli: u32,
     pub(crate) observed: Observed,
+    /// Whether log lines of the hosts are collected in `trace`.
     pub(crate) trace_enabled: bool,
     pub(crate) trace: Vec<String>,
     pub(crate) rng: SmallRng,
+    /// Workers of the renewals that are held open, by call id.
     pub(crate) open_renewals: BTreeMap<u64, Name>,
     timeline: Timeline<ScheduledEvent>,
 }
 
 impl FleetWorld {
-    /// Makes a world with so many hosts and workers in each zone, all running.
+    /// Creates a world with this many hosts and workers in each zone, all running.
     pub fn new(zones: &[&str], hosts: u64, workers: u64, cpu: u32, seed: u64) -> Self {
         Self::with_hosts(zones, &vec![HOST_CPU_MILLI; hosts as usize], workers, cpu, seed)
     }
 
-    /// Makes a world whose zones have a host of each of these thousandths of a core.
+    /// Creates a world with one host per zone for each entry of `hosts`, its processor time in
+    /// thousandths of a core.
     pub fn with_hosts(zones: &[&str], hosts: &[u32], workers: u64, cpu: u32, seed: u64) -> Self {
         Self::with_policy(Policy::default(), zones, hosts, workers, cpu, seed)
     }
 
-    /// Makes such a world under other policies.
+    /// Creates a world as [`FleetWorld::with_hosts`] does, under a given scheduling policy.
     pub fn with_policy(
         policy: Policy,
         zones: &[&str],
@@ -122,7 +129,7 @@
         cpu: u32,
         seed: u64,
     ) -> Self {
-        let mut places: BTreeMap<Name, Name> = BTreeMap::new();
+        let mut zone_of: BTreeMap<Name, Name> = BTreeMap::new();
         let mut world = Self {
             now: 0,
             hosts: BTreeMap::new(),
@@ -147,16 +154,16 @@
         for zone in zones {
             for (index, cpu_milli) in (1..).zip(hosts) {
                 let name = Name::from(format!("{zone}{index}"));
-                places.insert(name.clone(), Name::from(*zone));
+                zone_of.insert(name.clone(), Name::from(*zone));
                 world.hosts.insert(name, Host::in_zone(zone, *cpu_milli));
             }
             for index in 1..=workers {
                 let entry = worker_entry(zone, index, cpu);
-                places.insert(entry.id.clone(), Name::from(*zone));
+                zone_of.insert(entry.id.clone(), Name::from(*zone));
                 world.workers.insert(entry.id.clone(), Worker::new(0, entry, 1.0));
             }
         }
-        world.net = Network::from_zones(places, CROSS_ZONE_US);
+        world.net = Network::from_zones(zone_of, CROSS_ZONE_US);
         let names: Vec<Name> = world.hosts.keys().cloned().collect();
         for name in names {
             world.start(&name);
@@ -164,7 +171,7 @@
         world
     }
 
-    /// Lets `millis` milliseconds pass.
+    /// Advances the virtual time by `millis` milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
         while let Some((at, scheduled)) = self.timeline.next(end) {
@@ -174,13 +181,13 @@
         self.now = end;
     }
 
-    /// Gives every host a link of this bandwidth and starts them anew.
+    /// Sets the bandwidth of every host's link and restarts all hosts.
     pub(crate) fn set_link_bandwidth(&mut self, link_kbps: u32) {
         self.restart_all(|host| host.link_kbps = link_kbps);
     }
 
-    /// Lets tasks away from their data take so many thousandths of the time, and starts the
-    /// hosts anew with that setting.
+    /// Sets the factor on the run time of tasks away from their data, in thousandths, and restarts
+    /// all hosts.
     pub(crate) fn set_remote_factor(&mut self, remote_milli: u32) {
         self.remote_milli = remote_milli;
         self.restart_all(|_| {});
@@ -197,7 +204,7 @@
         }
     }
 
-    /// Lets the workers register one after the other, over `millis` milliseconds.
+    /// Spreads the registrations of the workers over `millis` milliseconds.
     pub(crate) fn stagger_registration(&mut self, millis: u64) {
         let count = self.workers.len().max(1) as u64;
         for (at, worker) in (0..).zip(self.workers.values_mut()) {
@@ -205,11 +212,12 @@
         }
     }
 
-    /// Cuts two hosts, zones, workers or one of them and the store from each other.
+    /// Cuts the network between two ends, each a host, a worker, a zone or the store.
     pub fn cut(&mut self, a: &str, b: &str) {
         self.net.cut(a, b);
     }
 
+    /// Schedules an event, not before the current time.
     pub(crate) fn schedule_at(&mut self, at: u64, scheduled: ScheduledEvent) {
         self.timeline.plan(at.max(self.now), scheduled);
     }
@@ -256,31 +264,33 @@
         }
     }
 
+    /// Executes a compare-and-swap of a host; a lost one times out after 700 ms.
     fn swap(&mut self, host: Name, incarnation: u64, token: u64, op: &StoreOp) {
         let at = self.now + self.store.delay_us / 2;
-        let mut stored = StoreResult::Lost;
+        let mut answer = StoreResult::Lost;
         if !self.store.down && self.net.reaches(&host, STORE) {
             let (outcome, key) = self.store.swap(op);
-            stored = outcome;
+            answer = outcome;
             if let Some(key) = key {
                 self.publish(&key);
             }
             if self.store.answers_to_lose > 0 {
                 self.store.answers_to_lose -= 1;
-                stored = StoreResult::Lost;
+                answer = StoreResult::Lost;
             }
         }
-        let at = if stored == StoreResult::Lost { at + 700_000 } else { at };
+        let at = if answer == StoreResult::Lost { at + 700_000 } else { at };
         self.schedule_at(
             at,
             ScheduledEvent::Event {
                 host,
                 incarnation,
-                event: FleetEvent::StoreCallEnded { op_id: token, result: stored },
+                event: FleetEvent::StoreCallEnded { op_id: token, result: answer },
             },
         );
     }
 
+    /// Writes a host's registration, or retries later if the store is out of reach.
     fn register(&mut self, entry: &HostEntry) {
         let host = &entry.peer.host;
         if self.store.down || !self.net.reaches(host, STORE) {
@@ -289,7 +299,7 @@
             return;
         }
         let key = Name::from(format!("{HOST_KEY_PREFIX}{host}"));
-        let value = Bytes::from(serde_json::to_vec(entry).expect("an entry is plain data"));
+        let value = Bytes::from(serde_json::to_vec(entry).expect("a host entry serializes"));
         self.store.put(&key, value);
         self.publish(&key);
     }
@@ -317,7 +327,7 @@
 }
 
 impl Worker {
-    /// Returns whether the store lists it at `now`.
+    /// Returns whether the store lists the worker at `now`.
     pub(crate) fn is_listed(&self, now: u64) -> bool {
         !self.entry.address.is_empty() && self.listed_from <= now
     }
--- a/endivestile_testkit/src/world.rs
+++ b/endivestile_testkit/src/world.rs
@@ -1,7 +1,7 @@
-//! Kernels of a whole deployment in virtual time, over fakes at their interfaces.
+//! Simulation of a whole deployment's kernels in virtual time, with fakes at their interfaces.
 //!
-//! The fakes know messages kept, delayed, lost and repeated, and hosts up,
-//! paused and gone; they model no more of the outside than that.
+//! The fakes delay, lose and repeat messages, and let hosts run, pause and end; they model
+//! nothing else of the environment.
 
 mod backend;
 mod call;
@@ -31,42 +31,42 @@
 use self::platform::Platform;
 use crate::timeline::Timeline;
 
-/// Seconds since 1970 at the start of every world.
+/// Wall-clock time at the start of every world, in seconds since 1970.
 pub const WALL_S: u64 = 1_764_720_000;
 
-/// Something that is going to happen.
+/// Event on the timeline.
 #[derive(Debug)]
 enum ScheduledEvent {
     /// An event reaches one incarnation of a host.
     Event { host: Name, incarnation: u64, event: Event },
-    /// A host's kernel asked to be woken.
+    /// A timer of a host's kernel is due.
     Wake { host: Name, incarnation: u64 },
-    /// A host has taken in what came at about the same time.
+    /// A host has collected the events of its flush delay.
     Flush { host: Name, incarnation: u64 },
-    /// A call reaches a back end.
+    /// A call reaches a backend server or worker.
     Arrive(backend::AttemptCall),
-    /// A back end is done with a call.
+    /// A backend server or worker finishes a call.
     Finish(backend::AttemptCall),
-    /// A call to a back end has outlived its deadline.
+    /// The deadline of a call to a backend server or worker passes.
     Expire(backend::AttemptCall),
     /// A call reaches the store.
     Store { host: Name, incarnation: u64, op_id: u64, op: endivestile_kernel::StoreOp },
-    /// The store looks at its leases.
+    /// The store checks its leases.
     CheckLeases,
 }
 
-/// A start of a task as a back end saw it.
+/// Start of a task as a backend server or worker saw it.
 #[derive(Debug, Clone)]
 pub struct TaskStart {
-    /// The work, `<id>/<index>`.
+    /// Work of the task, `<name>/<index>`.
     pub work: String,
-    /// Back end.
+    /// Name of the backend server or worker.
     pub server: Name,
-    /// Virtual time, in microseconds.
+    /// Virtual time of the start, in microseconds.
     pub at: u64,
 }
 
-/// A deployment in virtual time.
+/// Simulated deployment in virtual time.
 #[derive(Debug)]
 pub struct World {
     now: u64,
@@ -74,21 +74,24 @@
     configs: BTreeMap<u64, Arc<Config>>,
     sim_hosts: BTreeMap<Name, SimHost>,
     backends: BTreeMap<Name, Backend>,
+    /// Open calls to backend servers and workers, by host, incarnation and attempt.
     open_attempts: BTreeSet<(Name, u64, u64)>,
     platform: Platform,
     net: Network,
     calls: BTreeMap<u64, CallLog>,
     starts: Vec<TaskStart>,
     breaches: Vec<String>,
+    /// Whether a cut, frame loss or an outage of the store may delay configurations.
     faulty: bool,
     seeded: bool,
+    /// Number of process starts so far.
     incarnations: u64,
     rng: SmallRng,
 }
 
 impl World {
-    /// Makes a world in which every host of the configuration runs; `seeded`
-    /// says whether their settings name each other.
+    /// Creates a world in which every host of the configuration runs; `seeded` says whether
+    /// their settings name each other.
     pub fn new(config: Config, seed: u64, seeded: bool) -> Self {
         let config = Arc::new(config);
         let backends = Backend::from_config(&config);
@@ -131,7 +134,7 @@
         &self.calls
     }
 
-    /// Lets `millis` milliseconds pass.
+    /// Advances the virtual time by `millis` milliseconds.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis * 1_000;
         while let Some((at, scheduled)) = self.timeline.next(end) {
@@ -158,15 +161,18 @@
         }
     }
 
+    /// Schedules an event, not before the current time.
     fn schedule_at(&mut self, at: u64, scheduled: ScheduledEvent) {
         self.timeline.plan(at.max(self.now), scheduled);
     }
 
+    /// Delivers an event to a host after `micros` microseconds.
     fn deliver_in(&mut self, micros: u64, host: &Name, incarnation: u64, event: Event) {
         let scheduled = ScheduledEvent::Event { host: host.clone(), incarnation, event };
         self.schedule_at(self.now + micros, scheduled);
     }
 
+    /// Returns the newest accepted configuration.
     fn config(&self) -> Arc<Config> {
         let newest = self.configs.last_key_value().map(|(_, config)| config.clone());
         newest.expect("a world starts with a configuration")
--- a/endivestile_testkit/src/world/backend.rs
+++ b/endivestile_testkit/src/world/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers and workers.
+//! Simulated backend servers and workers.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,24 @@
 
 use super::{ScheduledEvent, TaskStart, World};
 
-/// How a back end behaves.
+/// Behaviour of a backend server or worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendMode {
-    /// Answers after its run time.
+    /// Answers after the task's run time.
     Good,
     /// Refuses connections.
     Refuse,
-    /// Takes the task and closes without an answer.
+    /// Starts the task and closes the connection without an answer.
     Close,
     /// Fails every task at once with an error status.
     Fail,
-    /// Takes the task and never answers.
+    /// Starts the task and never answers.
     Hang,
-    /// Says that it is leaving.
+    /// Rejects tasks because it is leaving.
     Leaving,
 }
 
-/// One back end.
+/// State of a backend server or worker.
 #[derive(Debug)]
 pub(super) struct Backend {
     address: Name,
@@ -34,13 +34,13 @@
     running: u32,
     /// Run time of a task, in milliseconds.
     pub(super) task_ms: u64,
-    /// Behaviour.
+    /// Current behaviour.
     pub(super) mode: BackendMode,
-    /// Since when it is leaving, in microseconds.
+    /// Virtual time since which it is leaving, in microseconds.
     pub(super) leaving: Option<u64>,
 }
 
-/// A call to a back end.
+/// Call of a host to a backend server or worker: one attempt to run a task.
 #[derive(Debug, Clone)]
 pub(super) struct AttemptCall {
     host: Name,
@@ -51,7 +51,7 @@
 }
 
 impl Backend {
-    /// Makes every back end of the configuration, all good.
+    /// Creates all backend servers and workers of the configuration without faults.
     pub(super) fn from_config(config: &Config) -> BTreeMap<Name, Self> {
         let make = |address: &Name, slots: u32| Self {
             address: address.clone(),
@@ -70,6 +70,7 @@
 }
 
 impl World {
+    /// Sends a task to the backend server or worker at an address.
     pub(super) fn start_attempt(
         &mut self,
         host: &Name,
@@ -93,10 +94,14 @@
         self.open_attempts.insert(attempt_call.key());
         self.schedule_at(self.now + delay, ScheduledEvent::Arrive(attempt_call.clone()));
         let Some(sim_host) = self.sim_hosts.get(host) else { return };
-        let left = request.deadline.since(sim_host.clock(self.now));
-        self.schedule_at(self.now + left.as_micros() as u64, ScheduledEvent::Expire(attempt_call));
+        let remaining = request.deadline.since(sim_host.clock(self.now));
+        self.schedule_at(
+            self.now + remaining.as_micros() as u64,
+            ScheduledEvent::Expire(attempt_call),
+        );
     }
 
+    /// Handles a call that reaches a backend server or worker.
     pub(super) fn handle_attempt(&mut self, attempt_call: AttemptCall) {
         let Some(backend) = self.backends.get_mut(&attempt_call.server) else { return };
         match backend.mode {
@@ -114,7 +119,7 @@
             BackendMode::Hang => {}
             _ => {
                 backend.running += 1;
-                // A tenth either way, so that ends do not fall together.
+                // Run times vary by 10% so that tasks do not end at the same time.
                 let base = backend.task_ms * 1_000;
                 let spread = self.rng.random_range(0..=base / 5);
                 let at = self.now + base - base / 10 + spread;
@@ -123,20 +128,27 @@
         }
     }
 
+    /// Ends a task whose run time has passed; its result is lost if the server has a fault or
+    /// cannot reach the host.
     pub(super) fn finish_attempt(&mut self, attempt_call: AttemptCall) {
         let Some(backend) = self.backends.get_mut(&attempt_call.server) else { return };
         backend.running -= 1;
-        let whole = backend.mode == BackendMode::Good
+        let completed = backend.mode == BackendMode::Good
             && self.net.reaches(&attempt_call.host, &attempt_call.server);
-        let end =
-            if whole { AttemptEnd::Answered(echo(&attempt_call.work)) } else { AttemptEnd::Lost };
+        let end = if completed {
+            AttemptEnd::Answered(echo(&attempt_call.work))
+        } else {
+            AttemptEnd::Lost
+        };
         self.end_attempt(&attempt_call, end);
     }
 
+    /// Ends a call whose deadline has passed.
     pub(super) fn expire_attempt(&mut self, attempt_call: AttemptCall) {
         self.end_attempt(&attempt_call, AttemptEnd::Lost);
     }
 
+    /// Ends a call that its host aborts.
     pub(super) fn abort_attempt(&mut self, host: &Name, incarnation: u64, attempt: AttemptId) {
         self.open_attempts.remove(&(host.clone(), incarnation, attempt.0));
         self.deliver_in(
@@ -147,6 +159,7 @@
         );
     }
 
+    /// Reports the end of a call to its host, once.
     fn end_attempt(&mut self, attempt_call: &AttemptCall, end: AttemptEnd) {
         if !self.open_attempts.remove(&attempt_call.key()) {
             return;
@@ -158,12 +171,13 @@
 }
 
 impl AttemptCall {
+    /// Returns the key in `open_attempts`.
     fn key(&self) -> (Name, u64, u64) {
         (self.host.clone(), self.incarnation, self.attempt.0)
     }
 }
 
-/// Returns what a back end answers to a piece of work.
+/// Returns the result of a task.
 pub(super) fn echo(work: &[u8]) -> Bytes {
     let mut answer = b"done ".to_vec();
     answer.extend_from_slice(work);
--- a/endivestile_testkit/src/world/call.rs
+++ b/endivestile_testkit/src/world/call.rs
@@ -1,4 +1,4 @@
-//! Callers and what they were answered.
+//! Simulated callers, their calls and the answers.
 
 use std::sync::Arc;
 
@@ -10,52 +10,52 @@
 
 use super::World;
 
-/// What a caller submits.
+/// Submission of a caller.
 #[derive(Debug, Clone)]
 pub struct SubmitCall {
-    /// Host that takes the call.
+    /// Host that the call goes to.
     pub host: Name,
-    /// Id; none for an idempotent request.
+    /// Submission id; `None` for an idempotent request.
     pub id: Option<SubmissionId>,
-    /// Word that makes the work of this submission its own.
+    /// Name that distinguishes the work of this submission from others'.
     pub work_name: String,
     /// Team.
     pub team: Name,
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: usize,
-    /// Milliseconds until the deadline.
+    /// Time until the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Run time that every task declares, in milliseconds, 0 for none.
+    /// Declared run time of every task, in milliseconds; 0 for none.
     pub declared_ms: u32,
-    /// Need of every task; none for a task of the service.
+    /// Resources that every task needs; `None` for tasks of a service.
     pub need: Option<Need>,
 }
 
-/// One call and its answer.
+/// A call and its answer.
 #[derive(Debug)]
 pub struct CallLog {
-    /// Host that took the call.
+    /// Host that the call went to.
     pub host: Name,
-    /// Id.
+    /// Submission id; `None` for an idempotent request.
     pub id: Option<SubmissionId>,
-    /// Word of the work.
+    /// Name of the work.
     pub work_name: String,
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: usize,
-    /// When it was made, in microseconds.
+    /// Virtual time of the call, in microseconds.
     pub made_at: u64,
-    /// When it was answered.
+    /// Virtual time of the answer, in microseconds.
     pub ended: Option<u64>,
-    /// The answer.
+    /// Answer; `None` while the call is open or broken.
     pub answer: Option<Answer>,
-    /// Whether the host died first.
+    /// Whether the host ended before it answered.
     pub broken: bool,
-    /// Starts of the work seen when the answer came.
+    /// Number of task starts of the work up to the answer.
     pub starts: usize,
 }
 
 impl CallLog {
-    /// Returns the answer as stories show it, with its cause.
+    /// Returns the answer with its cause, as stories print it.
     pub fn label(&self) -> String {
         match &self.answer {
             Some(Answer::Refused(refusal)) => {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the status of the answer, or why there is none.
+    /// Returns the status of the answer, or `broken` or `open` if there is none.
     pub fn status(&self) -> &'static str {
         match &self.answer {
             Some(answer) => answer.label(),
@@ -79,7 +79,7 @@
 }
 
 impl World {
-    /// Makes a call; returns its number.
+    /// Submits work to a host; returns the number of the call.
     pub fn submit(&mut self, submit: SubmitCall) -> u64 {
         let call = self.log_call(&submit);
         let Some(sim_host) = self.sim_hosts.get(&submit.host) else { return call };
@@ -97,7 +97,7 @@
         call
     }
 
-    /// Asks a host for the answer to an id, or cancels it; returns the call's number.
+    /// Fetches the answer to an id from a host, or cancels it; returns the number of the call.
     pub fn ask(&mut self, host: &str, id: &SubmissionId, ask: Ask) -> u64 {
         let submit = SubmitCall {
             host: Name::from(host),
@@ -117,7 +117,7 @@
         call
     }
 
-    /// Has a host mint an id, if it runs.
+    /// Mints an id at a host, if the host runs.
     pub fn mint(&mut self, host: &str) -> Option<SubmissionId> {
         let now = self.now;
         let sim_host = self.sim_hosts.get_mut(host)?;
@@ -125,6 +125,7 @@
         sim_host.kernel.as_mut()?.mint(clock, 1).pop()
     }
 
+    /// Adds an open call to the log, or a broken one if the host does not run.
     fn log_call(&mut self, submit: &SubmitCall) -> u64 {
         let call = self.calls.len() as u64 + 1;
         let sim_host = self.sim_hosts.get(&submit.host);
@@ -144,6 +145,7 @@
         call
     }
 
+    /// Records and checks the answer to a call.
     pub(super) fn handle_answer(&mut self, call: CallId, answer: &Answer) {
         let Some(log) = self.calls.get(&call.0) else { return };
         let starts = self.count_starts(&log.work_name);
@@ -158,9 +160,10 @@
         self.check_answer(call.0);
     }
 
-    pub(super) fn count_starts(&self, word: &str) -> usize {
-        let mine = |work: &str| work.rsplit_once('/').is_some_and(|(its, _)| its == word);
-        self.starts.iter().filter(|start| mine(&start.work)).count()
+    /// Returns the number of task starts of the work of this name.
+    pub(super) fn count_starts(&self, name: &str) -> usize {
+        let matches = |work: &str| work.rsplit_once('/').is_some_and(|(prefix, _)| prefix == name);
+        self.starts.iter().filter(|start| matches(&start.work)).count()
     }
 }
 
@@ -176,12 +179,12 @@
     }
 }
 
-/// Returns the work of a task.
+/// Returns the work of a task, `<name>/<index>`.
 pub(super) fn work_text(word: &str, index: usize) -> String {
     format!("{word}/{index}")
 }
 
-/// Returns an instant for comparisons in stories.
+/// Converts microseconds to milliseconds.
 pub(super) fn millis(micros: u64) -> u64 {
     Time::from_micros(micros).as_micros() / 1_000
 }
--- a/endivestile_testkit/src/world/check.rs
+++ b/endivestile_testkit/src/world/check.rs
@@ -1,4 +1,4 @@
-//! The promises, checked against what back ends and callers saw.
+//! Guarantees, checked against what backend servers, workers and callers observe.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 use super::backend::echo;
 use super::call::work_text;
 
-/// Time after which a leaving back end gets no new work, in microseconds.
+/// Time after which a leaving backend server or worker gets no new work, in microseconds.
 const LEAVING_US: u64 = 5_000_000;
-/// Time within which an accepted configuration is in force, in microseconds.
+/// Time within which every host adopts an accepted configuration, in microseconds.
 const ADOPT_US: u64 = 14_000_000;
 
 impl World {
-    /// Returns every breach of a promise so far.
+    /// Returns all breaches of guarantees so far.
     pub fn check(&mut self) -> Vec<String> {
         let mut breaches = self.breaches.clone();
         breaches.extend(self.double_starts());
@@ -24,36 +24,38 @@
         breaches
     }
 
-    /// Checks an answer at the moment it is given.
+    /// Checks an answer when it is given.
     pub(super) fn check_answer(&mut self, call: u64) {
         let Some(log) = self.calls.get(&call) else { return };
         let Some(answer) = &log.answer else { return };
         let breach = match answer {
             Answer::Complete(results) if log.tasks > 0 => {
-                let whole =
+                let expected =
                     (0..log.tasks).map(|index| echo(work_text(&log.work_name, index).as_bytes()));
                 if results.len() != log.tasks {
-                    Some(format!("promise 2: call {call} got a part of its answer"))
-                } else if !whole.eq(results.iter().cloned()) {
-                    Some(format!("promise 3: call {call} got another's answer"))
+                    Some(format!("promise 2: call {call} got a partial answer"))
+                } else if !expected.eq(results.iter().cloned()) {
+                    Some(format!("promise 3: call {call} got the answer to another call"))
                 } else {
                     None
                 }
             }
-            Answer::Refused(_) if answer.is_not_run() && log.starts > 0 => {
-                Some(format!("promise 4: call {call} was told not run, {} started", log.work_name))
-            }
+            Answer::Refused(_) if answer.is_not_run() && log.starts > 0 => Some(format!(
+                "promise 4: call {call} was refused as not run, but {} started",
+                log.work_name
+            )),
             _ => None,
         };
         self.breaches.extend(breach);
     }
 
+    /// Work under an id must start at most once.
     fn double_starts(&self) -> Vec<String> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for start in &self.starts {
             *counts.entry(&start.work).or_default() += 1;
         }
-        // An idempotent request without an id may be tried again.
+        // An idempotent request without an id may be retried.
         let once = |word: &str| {
             let mut calls = self.calls.values();
             calls.any(|call| call.id.is_some() && call.work_name == word)
@@ -65,7 +67,7 @@
         doubled.map(|(work, count)| format!("promise 1: {work} started {count} times")).collect()
     }
 
-    /// A word whose every call was refused as not run must never have started.
+    /// Work whose every call was refused as not run must never have started.
     fn false_refusals(&self) -> Vec<String> {
         let mut refused: BTreeMap<&str, bool> = BTreeMap::new();
         for call in self.calls.values().filter(|call| call.tasks > 0) {
@@ -74,20 +76,24 @@
         }
         let words = refused.into_iter().filter(|(_, refused)| *refused);
         let started = words.filter(|(word, _)| self.count_starts(word) > 0);
-        started.map(|(word, _)| format!("promise 4: {word} was refused and started")).collect()
+        started
+            .map(|(word, _)| format!("promise 4: {word} was refused as not run, but started"))
+            .collect()
     }
 
+    /// A backend server or worker that has been leaving for a while must get no new work.
     fn starts_on_leaving(&self) -> Vec<String> {
         let late = self.starts.iter().filter(|start| {
             let leaving = self.backends.get(&start.server).and_then(|backend| backend.leaving);
             leaving.is_some_and(|since| start.at > since + LEAVING_US)
         });
-        late.map(|start| format!("promise 6: {} started on leaving {}", start.work, start.server))
-            .collect()
+        late.map(|start| {
+            format!("promise 6: {} started on {}, which is leaving", start.work, start.server)
+        })
+        .collect()
     }
 
-    /// Hosts that reach the store, or a peer that does, have the newest
-    /// configuration in time.
+    /// Without faults, every running host must adopt the newest configuration in time.
     fn late_configs(&self) -> Vec<String> {
         let Some(accepted) = self.platform.accepted else { return Vec::new() };
         if accepted + ADOPT_US > self.now || self.faulty {
--- a/endivestile_testkit/src/world/effect.rs
+++ b/endivestile_testkit/src/world/effect.rs
@@ -1,4 +1,4 @@
-//! Carrying out what a kernel wants.
+//! Carries out the effects that kernels request.
 
 use bytes::Bytes;
 use endivestile_config::model::Name;
@@ -7,12 +7,13 @@
 use super::net::STORE;
 use super::{ScheduledEvent, World, host};
 
-/// Time after which a sender notices a cut, in microseconds.
+/// Time after which a sender detects a cut, in microseconds.
 const CUT_DETECTION_US: u64 = 500_000;
-/// Time after which a call to a silent store is given up, in microseconds.
+/// Timeout of a call to an unreachable store, in microseconds.
 const STORE_TIMEOUT_US: u64 = 300_000;
 
 impl World {
+    /// Carries out an effect of a host's kernel.
     pub(super) fn apply_effect(&mut self, name: &Name, incarnation: u64, effect: Effect) {
         if host::is_drained(&effect) {
             self.handle_drained(name);
@@ -32,6 +33,7 @@
         }
     }
 
+    /// Sends a frame; the sender learns of a cut or a dead receiver, but not of a lost frame.
     fn send(&mut self, name: &Name, incarnation: u64, frame: Frame) {
         let to = frame.to.clone();
         if !self.net.reaches(name, &to.host) {
@@ -54,6 +56,7 @@
         self.deliver_in(delay, &to.host, alive, Event::Frame(frame));
     }
 
+    /// Sends a call to the store.
     fn call_store(&mut self, name: &Name, incarnation: u64, op_id: u64, op: StoreOp) {
         self.platform.calls += 1;
         if self.platform.down || !self.net.reaches(name, STORE) {
@@ -65,6 +68,7 @@
         self.schedule_at(at, ScheduledEvent::Store { host: name.clone(), incarnation, op_id, op });
     }
 
+    /// Delivers a configuration that a peer offered, if its revision exists.
     fn offer_config(&mut self, name: &Name, incarnation: u64, text: &Bytes) {
         let revision = std::str::from_utf8(text).ok().and_then(|text| text.parse().ok());
         let Some(config) = revision.and_then(|revision: u64| self.configs.get(&revision)) else {
--- a/endivestile_testkit/src/world/host.rs
+++ b/endivestile_testkit/src/world/host.rs
@@ -1,4 +1,4 @@
-//! Hosts: kernels that live, pause and die.
+//! Simulated hosts: kernels that start, pause and end.
 
 use std::collections::VecDeque;
 
@@ -7,30 +7,36 @@
 
 use super::{ScheduledEvent, WALL_S, World};
 
-/// Time in which a host's loop takes in events before it sends frames, in microseconds.
+/// Time for which a host collects events before it sends frames, in microseconds.
 const FLUSH_DELAY_US: u64 = 100;
 
-/// One entry host.
+/// A simulated entry host.
 #[derive(Debug)]
 pub(super) struct SimHost {
     pub(super) incarnation: u64,
+    /// State machine under test; `None` while the process is dead.
     pub(super) kernel: Option<Kernel>,
     pub(super) paused: bool,
+    /// Whether the host watches the store.
     pub(super) connected: bool,
+    /// Virtual time at which the host's clock read zero, in microseconds.
     clock_zero: u64,
+    /// Events that arrived during a pause.
     queued: VecDeque<Event>,
+    /// Virtual time of the scheduled timer.
     wake_at: Option<u64>,
+    /// Revision of the adopted configuration.
     revision: u64,
     flush_scheduled: bool,
 }
 
 impl SimHost {
-    /// Returns the host's own clock.
+    /// Returns the time on the host's own clock.
     pub(super) fn clock(&self, now: u64) -> Time {
         Time::from_micros(now - self.clock_zero)
     }
 
-    /// Returns whether the kernel says that it is leaving.
+    /// Returns whether the kernel reports that it is leaving.
     pub(super) fn leaving(&self, now: u64) -> bool {
         self.kernel.as_ref().is_some_and(|kernel| kernel.status(self.clock(now)).leaving)
     }
@@ -74,7 +80,7 @@
         self.deliver(&name, self.incarnations, Event::Tick);
     }
 
-    /// Ends a host's process at once; its callers see a broken connection.
+    /// Kills a host's process; its callers see a broken connection.
     pub fn kill(&mut self, name: &str) {
         let Some(sim_host) = self.sim_hosts.get_mut(name) else { return };
         sim_host.kernel = None;
@@ -85,28 +91,28 @@
         }
     }
 
-    /// Stops a host's process where it stands.
+    /// Pauses a host's process.
     pub fn pause(&mut self, name: &str) {
         if let Some(sim_host) = self.sim_hosts.get_mut(name) {
             sim_host.paused = true;
         }
     }
 
-    /// Lets a paused process go on: everything that came meanwhile is waiting.
+    /// Resumes a paused process, which then handles the events of the pause.
     pub fn resume(&mut self, name: &str) {
         let Some(sim_host) = self.sim_hosts.get_mut(name) else { return };
         sim_host.paused = false;
-        let held = std::mem::take(&mut sim_host.queued);
+        let queued = std::mem::take(&mut sim_host.queued);
         let incarnation = sim_host.incarnation;
         let name = Name::from(name);
-        // A woken process finds its timers overdue before it reads its sockets.
+        // A resumed process handles overdue timers before it reads its sockets.
         self.deliver(&name, incarnation, Event::Tick);
-        for event in held {
+        for event in queued {
             self.deliver(&name, incarnation, event);
         }
     }
 
-    /// Tells a host's process to shut down gracefully.
+    /// Requests a graceful shutdown of a host.
     pub fn shutdown(&mut self, name: &str) {
         if let Some(sim_host) = self.sim_hosts.get(name) {
             let incarnation = sim_host.incarnation;
@@ -114,6 +120,7 @@
         }
     }
 
+    /// Passes an event to a host's kernel and applies its effects, or queues it during a pause.
     pub(super) fn deliver(&mut self, name: &Name, incarnation: u64, event: Event) {
         let now = self.now;
         let Some(sim_host) = self.sim_hosts.get_mut(name) else { return };
@@ -130,12 +137,12 @@
         let Some(kernel) = &mut sim_host.kernel else { return };
         let mut effects = Vec::new();
         kernel.handle(clock, event, &mut effects);
-        let due = !std::mem::replace(&mut sim_host.flush_scheduled, true);
+        let needs_flush = !std::mem::replace(&mut sim_host.flush_scheduled, true);
         for effect in effects {
             self.apply_effect(name, incarnation, effect);
         }
         self.check_revision(name);
-        if due {
+        if needs_flush {
             self.schedule_at(
                 now + FLUSH_DELAY_US,
                 ScheduledEvent::Flush { host: name.clone(), incarnation },
@@ -143,7 +150,7 @@
         }
     }
 
-    /// Ends a turn of the host's loop: frames carry what its events caused.
+    /// Flushes a host's kernel: sends frames with what the events since the last flush caused.
     pub(super) fn flush(&mut self, name: &Name, incarnation: u64) {
         let now = self.now;
         let Some(sim_host) = self.sim_hosts.get_mut(name) else { return };
@@ -164,6 +171,7 @@
         self.schedule_wake(name, incarnation);
     }
 
+    /// Handles a timer of a host.
     pub(super) fn wake(&mut self, name: &Name, incarnation: u64) {
         if let Some(sim_host) = self.sim_hosts.get_mut(name) {
             sim_host.wake_at = None;
@@ -171,6 +179,7 @@
         self.deliver(name, incarnation, Event::Tick);
     }
 
+    /// Schedules the kernel's next timer, unless an earlier one is scheduled.
     fn schedule_wake(&mut self, name: &Name, incarnation: u64) {
         let now = self.now;
         let Some(sim_host) = self.sim_hosts.get_mut(name) else { return };
@@ -184,26 +193,28 @@
         self.schedule_at(at, ScheduledEvent::Wake { host: name.clone(), incarnation });
     }
 
+    /// Checks that a host never returns to an older configuration.
     fn check_revision(&mut self, name: &Name) {
         let Some(sim_host) = self.sim_hosts.get_mut(name) else { return };
         let Some(kernel) = &sim_host.kernel else { return };
         let revision = kernel.revision();
         if revision < sim_host.revision {
-            let breach = format!("promise 8: {name} went back to revision {revision}");
+            let breach = format!("promise 8: {name} returned to revision {revision}");
             self.breaches.push(breach);
         }
         sim_host.revision = revision;
     }
 
+    /// Returns the revision of a host's adopted configuration.
     pub(super) fn revision(&self, name: &str) -> u64 {
         self.sim_hosts.get(name).map_or(0, |sim_host| sim_host.revision)
     }
 
-    /// Ends a host that has drained.
+    /// Ends a host that has drained; it must have no open call.
     pub(super) fn handle_drained(&mut self, name: &Name) {
         let open = self.calls.values().any(|call| call.host == *name && call.status() == "open");
         if open {
-            self.breaches.push(format!("promise 7: {name} stopped with a call open"));
+            self.breaches.push(format!("promise 7: {name} stopped with an open call"));
         }
         self.kill(name);
         self.platform.registered.remove(name);
@@ -211,13 +222,13 @@
     }
 }
 
-/// Returns every host as one to ask.
+/// Returns every host of the configuration as a seed host.
 fn all_seed_hosts(config: &Config) -> Vec<SeedHost> {
     let hosts = config.hosts.iter();
     hosts.map(|(name, it)| SeedHost { host: name.clone(), address: it.address.clone() }).collect()
 }
 
-/// Returns whether an effect needs its process to stay alive.
+/// Returns whether an effect ends the host's process.
 pub(super) fn is_drained(effect: &Effect) -> bool {
     matches!(effect, Effect::Drained)
 }
--- a/endivestile_testkit/src/world/net.rs
+++ b/endivestile_testkit/src/world/net.rs
@@ -1,4 +1,4 @@
-//! The network: delays, cuts and losses.
+//! Simulated network: delays, cuts and frame loss.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,23 +8,26 @@
 
 /// One-way delay inside a zone, in microseconds.
 const SAME_ZONE_US: u64 = 150;
-/// Name under which the platform's store is cut off.
+/// Name of the platform's store in cuts.
 pub(crate) const STORE: &str = "store";
 
-/// Who reaches whom, and how fast.
+/// Reachability and delays between hosts, backend servers, workers and the store.
 #[derive(Debug)]
 pub(crate) struct Network {
+    /// Zone of each host, backend server and worker.
     zones: BTreeMap<Name, Name>,
+    /// Additional one-way delay between zones, in microseconds.
     cross_zone_us: u64,
+    /// Blocked directions between hosts, backend servers, workers, zones and the store.
     cuts: BTreeSet<(Name, Name)>,
-    /// Frames lost, in percent.
+    /// Share of frames lost, in percent.
     pub(crate) loss_percent: u32,
-    /// Frames delayed by up to this much more, in microseconds.
+    /// Maximum additional delay, in microseconds.
     pub(crate) jitter_us: u64,
 }
 
 impl Network {
-    /// Connects everything in the configuration.
+    /// Creates the network of a configuration, without faults.
     pub(crate) fn new(config: &Config) -> Self {
         let hosts = config.hosts.iter().map(|(name, host)| (name.clone(), host.zone.clone()));
         let servers = config.servers.iter().map(|(name, it)| (name.clone(), it.zone.clone()));
@@ -32,28 +35,29 @@
         Self::from_zones(hosts.chain(servers).chain(workers).collect(), config.rules.distance_us)
     }
 
-    /// Connects things by their zones.
+    /// Creates a network from the zone of each host, backend server and worker.
     pub(crate) fn from_zones(zones: BTreeMap<Name, Name>, cross_zone_us: u64) -> Self {
         Self { zones, cross_zone_us, cuts: BTreeSet::new(), loss_percent: 0, jitter_us: 0 }
     }
 
-    /// Cuts two from each other: hosts, back ends, zones or the store.
+    /// Blocks both directions between two ends, each a host, a backend server, a worker, a zone
+    /// or the store.
     pub(crate) fn cut(&mut self, a: &str, b: &str) {
         self.cuts.insert((Name::from(a), Name::from(b)));
         self.cuts.insert((Name::from(b), Name::from(a)));
     }
 
-    /// Lets nothing pass from one to the other; the other way stays open.
+    /// Blocks one direction; the other stays open.
     pub(crate) fn block(&mut self, from: &str, to: &str) {
         self.cuts.insert((Name::from(from), Name::from(to)));
     }
 
-    /// Mends every cut.
+    /// Ends all cuts.
     pub(crate) fn heal(&mut self) {
         self.cuts.clear();
     }
 
-    /// Returns whether one reaches the other.
+    /// Returns whether messages from `a` reach `b`.
     pub(crate) fn reaches(&self, a: &str, b: &str) -> bool {
         let names = |name: &str| {
             let zone = self.zones.get(name).cloned();
@@ -66,14 +70,14 @@
         !pairs.into_iter().any(|pair| self.cuts.contains(&pair))
     }
 
-    /// Returns the one-way delay in microseconds.
+    /// Draws the one-way delay from `a` to `b`, in microseconds.
     pub(crate) fn delay_us(&self, a: &str, b: &str, rng: &mut SmallRng) -> u64 {
         let near = self.zones.get(a) == self.zones.get(b);
         let base = if near { SAME_ZONE_US } else { self.cross_zone_us + SAME_ZONE_US };
         base + if self.jitter_us == 0 { 0 } else { rng.random_range(0..self.jitter_us) }
     }
 
-    /// Returns whether a frame gets lost.
+    /// Draws whether a frame is lost.
     pub(crate) fn drops_frame(&self, rng: &mut SmallRng) -> bool {
         self.loss_percent > 0 && rng.random_range(0..100) < self.loss_percent
     }
--- a/endivestile_testkit/src/world/platform.rs
+++ b/endivestile_testkit/src/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: its store, its leases and its list of hosts.
+//! Fake of the platform: its store, its leases and its list of hosts.
 
 use std::collections::BTreeMap;
 
@@ -9,38 +9,44 @@
 use super::net::STORE;
 use super::{ScheduledEvent, World};
 
-/// Time between two looks at the leases, in microseconds.
+/// Interval between checks of the leases, in microseconds.
 const LEASE_CHECK_US: u64 = 500_000;
-/// Time that the check of a configuration takes, in microseconds.
+/// Duration of the check of a configuration, in microseconds.
 const CONFIG_CHECK_US: u64 = 50_000;
-/// Time after which a lease that is not renewed ends, in microseconds.
+/// Time after which a lease expires without renewal, in microseconds.
 const LEASE_TTL_US: u64 = 5_000_000;
 
-/// A host's registration and when its lease was last renewed.
+/// Registration of a host and the virtual time at which its lease was last renewed.
 #[derive(Debug)]
 pub(super) struct Lease {
     registration: Registration,
     renewed: u64,
 }
 
-/// The platform's services.
+/// State and faults of the platform's services.
 #[derive(Debug)]
 pub(super) struct Platform {
     pub(super) down: bool,
     pub(super) delay_us: u64,
+    /// Number of coming answers that are lost after their change took effect.
     pub(super) answers_to_lose: u32,
+    /// Number of store calls so far.
     pub(super) calls: u64,
+    /// Revision of the newest configuration.
     pub(super) revision: u64,
+    /// Virtual time at which the newest configuration was accepted; `None` for the first.
     pub(super) accepted: Option<u64>,
     pub(super) registered: BTreeMap<Name, Lease>,
     pub(super) listed_states: BTreeMap<Name, PlatformState>,
     pub(super) planned_stops: BTreeMap<Name, bool>,
+    /// Revision of the last change of a value.
     last_revision: u64,
+    /// Values with the revision of their last change.
     values: BTreeMap<Name, (u64, Bytes)>,
 }
 
 impl Platform {
-    /// Starts with a configuration and nothing else.
+    /// Creates a platform that holds a configuration of this revision and nothing else.
     pub(super) fn new(revision: u64) -> Self {
         Self {
             down: false,
@@ -57,12 +63,13 @@
         }
     }
 
-    /// Returns the host of the home in a shard's record.
+    /// Returns the home in a shard's record.
     pub(super) fn shard_home(&self, shard: u32) -> Option<Name> {
         let (_, value) = self.values.get(&ShardRecord::key(shard))?;
         Some(ShardRecord::decode(value)?.home.host)
     }
 
+    /// Executes a store operation; returns the key if it changed.
     fn apply(&mut self, op: &StoreOp) -> (StoreResult, Option<Name>) {
         match op {
             StoreOp::Get { key } => {
@@ -83,6 +90,7 @@
 }
 
 impl World {
+    /// Executes a store call of a host and broadcasts the change.
     pub(super) fn store(&mut self, host: Name, incarnation: u64, op_id: u64, op: StoreOp) {
         if self.platform.down {
             self.deliver_in(
@@ -105,13 +113,14 @@
         }
     }
 
+    /// Returns the event for the record of a shard.
     fn record_event(&self, key: &Name) -> Option<Event> {
         let shard = key.rsplit('/').next()?.parse().ok()?;
         let (revision, value) = self.platform.values.get(key)?.clone();
         Some(Event::ShardRecordChange { shard, revision, value })
     }
 
-    /// Tells every host that watches the store.
+    /// Delivers an event to every host that watches the store.
     pub(super) fn broadcast(&mut self, event: Event) {
         let watching = self.sim_hosts.iter().filter(|(_, sim_host)| sim_host.connected);
         let watching: Vec<(Name, u64)> =
@@ -122,7 +131,7 @@
         }
     }
 
-    /// Connects a host's watch, if the store can be reached.
+    /// Connects or disconnects a host's watch, depending on whether it can reach the store.
     pub(super) fn connect(&mut self, name: &Name) {
         let reachable = !self.platform.down && self.net.reaches(name, STORE);
         let Some(sim_host) = self.sim_hosts.get_mut(name) else { return };
@@ -136,14 +145,14 @@
             for event in self.snapshot_events() {
                 self.deliver_in(self.platform.delay_us, name, incarnation, event);
             }
-            // The daemon checks a configuration on a thread of its own, so that it
-            // comes after what was read with it.
+            // The daemon checks a configuration on a separate thread, so it arrives after
+            // everything else that was read with it.
             let config = self.config_event(self.platform.revision);
             self.deliver_in(self.platform.delay_us + CONFIG_CHECK_US, name, incarnation, config);
         }
     }
 
-    /// Connects or disconnects every watch as the faults have it.
+    /// Connects or disconnects every watch after a change of faults.
     pub(super) fn reconnect(&mut self) {
         let names: Vec<Name> = self.sim_hosts.keys().cloned().collect();
         for name in names {
@@ -151,6 +160,7 @@
         }
     }
 
+    /// Returns the state of the platform as events, without the configuration.
     fn snapshot_events(&self) -> Vec<Event> {
         let platform = &self.platform;
         let records = platform.values.keys().filter_map(|key| self.record_event(key));
@@ -169,11 +179,13 @@
         events
     }
 
+    /// Returns the event that delivers a configuration.
     pub(super) fn config_event(&self, revision: u64) -> Event {
         let config = self.configs[&revision].clone();
         Event::Config { config, text: Bytes::from(revision.to_string()) }
     }
 
+    /// Renews or expires all leases and schedules the next check.
     pub(super) fn check_leases(&mut self) {
         let names: Vec<Name> = self.sim_hosts.keys().cloned().collect();
         for name in names {
@@ -182,6 +194,7 @@
         self.schedule_at(self.now + LEASE_CHECK_US, ScheduledEvent::CheckLeases);
     }
 
+    /// Renews a host's lease, registers the host again or expires the lease.
     fn renew(&mut self, name: &Name) {
         let now = self.now;
         let Some(sim_host) = self.sim_hosts.get(name) else { return };
@@ -204,6 +217,7 @@
         }
     }
 
+    /// Writes a host's registration, if the host is connected.
     pub(super) fn register(&mut self, name: &Name, leaving: bool) {
         let config = self.config();
         let (Some(sim_host), Some(host)) = (self.sim_hosts.get(name), config.hosts.get(name))
--- a/endivestile_testkit/src/world/story.rs
+++ b/endivestile_testkit/src/world/story.rs
@@ -1,7 +1,7 @@
-//! Stories: scripted scenarios, one step a line.
+//! Stories: scripted scenarios, one step per line.
 //!
-//! `docs/SCENARIOS.md` lists the steps. A story prints what `answers`,
-//! `starts`, `hosts` and `check` ask for, and nothing else.
+//! `docs/SCENARIOS.md` lists the steps. The output of a story is that of its steps such as
+//! `answers`, `starts`, `hosts` and `check`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,29 +13,32 @@
 use super::{BackendMode, SubmitCall, WALL_S, World};
 use crate::step::{Step, span_ms};
 
-/// Milliseconds until a submission's deadline, unless the story says otherwise.
+/// Default time until a submission's deadline, in milliseconds.
 const DEADLINE_MS: u64 = 30_000;
-/// Milliseconds in which the hosts of a new world find each other.
+/// Time for the hosts of a new world to find each other, in milliseconds.
 const SETTLE_MS: u64 = 3_000;
 
-/// A story being told.
+/// A story in progress.
 struct Story {
     world: World,
-    names: BTreeMap<String, u64>,
+    /// Numbers of the calls by their names in the story.
+    call_numbers: BTreeMap<String, u64>,
+    /// Submission ids by their keys in the story.
     ids: BTreeMap<String, SubmissionId>,
-    out: String,
-    counted: u64,
+    output: String,
+    /// Number of store calls when the story last printed it.
+    printed_calls: u64,
 }
 
-/// Tells a story and returns what it printed.
+/// Runs a story and returns its output.
 ///
 /// # Errors
-/// Names the first line that is no step.
+/// Returns the first line that is not a valid step, with the reason.
 pub fn run_story(text: &str) -> Result<String, String> {
     let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     let first = Step::read(lines.next().unwrap_or_default());
     if first.words.first() != Some(&"world") {
-        return Err(format!("a story starts with `world`: {}", first.line));
+        return Err(format!("first line is not a `world` step: {}", first.line));
     }
     let mut world =
         World::new(first.config()?, first.number("seed", 1)?, first.number("seeds", 1)? == 1);
@@ -45,19 +48,20 @@
     world.run(SETTLE_MS);
     let mut story = Story {
         world,
-        names: BTreeMap::new(),
+        call_numbers: BTreeMap::new(),
         ids: BTreeMap::new(),
-        out: String::new(),
-        counted: 0,
+        output: String::new(),
+        printed_calls: 0,
     };
     for line in lines {
         let step = Step::read(line);
         story.step(&step).map_err(|error| format!("{line}: {error}"))?;
     }
-    Ok(story.out)
+    Ok(story.output)
 }
 
 impl Story {
+    /// Executes one step.
     fn step(&mut self, step: &Step<'_>) -> Result<(), String> {
         match step.words[0] {
             "run" => self.world.run(span_ms(step.word(1)?)?),
@@ -78,6 +82,7 @@
         Ok(())
     }
 
+    /// Executes a step that changes the world.
     fn fault(&mut self, step: &Step<'_>) -> Result<(), String> {
         match step.words[0] {
             "kill" => {
@@ -108,7 +113,7 @@
             "unstop" => self.world.set_planned_stop(step.word(1)?, false),
             "accept" => self.accept(step)?,
             "offer-old" => self.world.offer_oldest_config(step.word(1)?),
-            verb => return Err(format!("no step `{verb}`")),
+            verb => return Err(format!("unknown step `{verb}`")),
         }
         Ok(())
     }
@@ -124,13 +129,13 @@
         Ok(())
     }
 
-    /// Reads a host's name, or `home ID` for the home of an id.
+    /// Returns the host named at a word, or the home of an id for `home ID`.
     fn host(&self, step: &Step<'_>, at: usize) -> Result<String, String> {
         let word = step.word(at)?;
         if word != "home" {
             return Ok(word.to_owned());
         }
-        let id = self.ids.get(step.word(at + 1)?).ok_or("no such id")?;
+        let id = self.ids.get(step.word(at + 1)?).ok_or("unknown id")?;
         let home = self.world.home_of(id).ok_or("the shard has no record")?;
         Ok(home.to_string())
     }
@@ -153,12 +158,13 @@
                 need: step.need()?,
             };
             let call = self.world.submit(submit);
-            self.names.insert(format!("{name}{suffix}"), call);
+            self.call_numbers.insert(format!("{name}{suffix}"), call);
             self.world.run(every);
         }
         Ok(())
     }
 
+    /// Returns the submission id for a key of the story, created at its first use.
     fn id(&mut self, key: &str) -> Result<SubmissionId, String> {
         if let Some(id) = self.ids.get(key) {
             return Ok(id.clone());
@@ -184,28 +190,29 @@
         for suffix in step.suffixes()? {
             let id = self.id(&format!("{key}{suffix}"))?;
             let call = self.world.ask(host, &id, ask);
-            self.names.insert(format!("{name}{suffix}"), call);
+            self.call_numbers.insert(format!("{name}{suffix}"), call);
         }
         Ok(())
     }
 
+    /// Prints the answer of each call; calls of one `times=` step are counted by answer.
     fn answers(&mut self) {
         let mut groups: BTreeMap<(&str, String), usize> = BTreeMap::new();
-        for (name, call) in &self.names {
+        for (name, call) in &self.call_numbers {
             let label = self.world.calls()[call].label();
             match name.split_once('-') {
                 Some((group, _)) => *groups.entry((group, label)).or_default() += 1,
                 None => {
-                    let _ = writeln!(self.out, "{name} {label}");
+                    let _ = writeln!(self.output, "{name} {label}");
                 }
             }
         }
         for ((group, label), count) in groups {
-            let _ = writeln!(self.out, "{group}: {count} {label}");
+            let _ = writeln!(self.output, "{group}: {count} {label}");
         }
     }
 
-    /// Prints the starts of each submission, those of `times=` together.
+    /// Prints the number of task starts by work; work of one `times=` step is counted together.
     fn starts(&mut self) {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for start in self.world.starts() {
@@ -214,65 +221,67 @@
             *counts.entry(word).or_default() += 1;
         }
         for (word, count) in counts {
-            let _ = writeln!(self.out, "{word} started {count}");
+            let _ = writeln!(self.output, "{word} started {count}");
         }
     }
 
-    /// Prints the starts of each back end.
+    /// Prints the number of task starts by backend server or worker.
     fn servers(&mut self) {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for start in self.world.starts() {
             *counts.entry(&start.server).or_default() += 1;
         }
         for (server, count) in counts {
-            let _ = writeln!(self.out, "{server} ran {count}");
+            let _ = writeln!(self.output, "{server} ran {count}");
         }
     }
 
+    /// Prints the breaches of guarantees.
     fn check(&mut self) {
         let breaches = self.world.check();
         if breaches.is_empty() {
-            self.out.push_str("every promise kept\n");
+            self.output.push_str("every promise kept\n");
         }
         for breach in breaches {
-            let _ = writeln!(self.out, "{breach}");
+            let _ = writeln!(self.output, "{breach}");
         }
     }
 
     /// Prints how many calls took longer than a span.
     fn slower(&mut self, step: &Step<'_>) -> Result<(), String> {
         let span = span_ms(step.word(1)?)?;
-        let took = self.names.values().filter_map(|call| self.world.duration_ms(*call));
+        let took = self.call_numbers.values().filter_map(|call| self.world.duration_ms(*call));
         let count = took.filter(|took| *took > span).count();
-        let _ = writeln!(self.out, "{count} calls took longer than {span} ms");
+        let _ = writeln!(self.output, "{count} calls took longer than {span} ms");
         Ok(())
     }
 
-    /// Prints the calls that nobody has answered, on hosts that run.
+    /// Prints the open calls.
     fn settled(&mut self) {
         let mut open = 0;
-        for (name, call) in &self.names {
+        for (name, call) in &self.call_numbers {
             if self.world.calls()[call].status() == "open" {
-                let _ = writeln!(self.out, "{name} has no answer");
+                let _ = writeln!(self.output, "{name} has no answer");
                 open += 1;
             }
         }
         if open == 0 {
-            self.out.push_str("every call answered\n");
+            self.output.push_str("every call answered\n");
         }
     }
 
+    /// Prints the state and the configuration revision of each host.
     fn hosts(&mut self) {
         for (name, revision, state) in self.world.host_states() {
-            let _ = writeln!(self.out, "{name} {state} revision {revision}");
+            let _ = writeln!(self.output, "{name} {state} revision {revision}");
         }
     }
 
-    /// Prints the calls that the hosts made to the store since the last time.
+    /// Prints the number of store calls since this step last ran.
     fn store_calls(&mut self) {
         let calls = self.world.store_calls();
-        let _ = writeln!(self.out, "{} calls to the store", calls - self.counted);
-        self.counted = calls;
+        let _ = writeln!(self.output, "{} calls to the store", calls - self.printed_calls);
+        self.printed_calls = calls;
     }
 
     fn store(&mut self, step: &Step<'_>) -> Result<(), String> {
@@ -281,7 +290,7 @@
             "up" => self.world.set_store_down(false),
             "slow" => self.world.set_store_delay(span_ms(step.word(2)?)?),
             "loses" => self.world.lose_store_answers(step.parse(2)?),
-            word => return Err(format!("store down, up, slow or loses, not `{word}`")),
+            word => return Err(format!("expected store down, up, slow or loses, found `{word}`")),
         }
         Ok(())
     }
@@ -296,7 +305,7 @@
             "hangs" => self.world.set_mode(name, BackendMode::Hang),
             "leaves" => self.world.set_mode(name, BackendMode::Leaving),
             "takes" => self.world.set_task_duration(name, span_ms(step.word(3)?)?),
-            word => return Err(format!("no behaviour `{word}`")),
+            word => return Err(format!("unknown server behaviour `{word}`")),
         }
         Ok(())
     }
@@ -319,7 +328,7 @@
 }
 
 impl Step<'_> {
-    /// Returns what `times=` adds to each name: nothing for a single call.
+    /// Returns the suffixes that `times=` adds to a name: an empty one for a single call.
     fn suffixes(&self) -> Result<Vec<String>, String> {
         let times = self.number("times", 1)?;
         if times == 1 {
@@ -328,6 +337,7 @@
         Ok((0..times).map(|turn| format!("-{turn}")).collect())
     }
 
+    /// Returns the resources that a task needs; `None` for a task of the service.
     fn need(&self) -> Result<Option<Need>, String> {
         if !self.pairs.contains_key("cpu") {
             return Ok(None);
@@ -338,8 +348,8 @@
         Ok(Some(Need { cpu_milli, memory_mb, accelerators }))
     }
 
-    /// Makes the configuration of `world zones=a,b hosts=N servers=N …`: hosts
-    /// `a1`, `a2`…, backend servers `a-s1`…, workers `a-w1`… in every zone.
+    /// Creates the configuration of `world zones=a,b hosts=N servers=N …`: hosts `a1`, `a2`…,
+    /// backend servers `a-s1`… and workers `a-w1`… in every zone.
     fn config(&self) -> Result<Config, String> {
         let mut config = Config { revision: 1, ..Config::default() };
         let zones = self.pairs.get("zones").copied().unwrap_or("a");
@@ -392,7 +402,7 @@
         "live" => Ok(PlatformState::Live),
         "leaving" => Ok(PlatformState::Leaving),
         "gone" => Ok(PlatformState::Gone),
-        _ => Err(format!("live, leaving or gone, not `{word}`")),
+        _ => Err(format!("expected live, leaving or gone, found `{word}`")),
     }
 }
 
--- a/endivestile_testkit/tests/machine.rs
+++ b/endivestile_testkit/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The stand-ins for backend servers and workers, called over HTTP.
+//! Tests of the stand-ins for backend servers and workers over HTTP.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -26,10 +26,10 @@
     Ok((answer.status().as_u16(), reason, answer.body_mut().read_to_string()?))
 }
 
-fn wait(what: impl Fn() -> bool) {
-    let end = Instant::now() + Duration::from_secs(10);
-    while !what() {
-        assert!(Instant::now() < end, "not in time");
+fn wait_until(condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(10);
+    while !condition() {
+        assert!(Instant::now() < deadline, "condition not met within 10 s");
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -64,26 +64,26 @@
 #[test_case(Fault::Leaving, Some((503, "leaving")), 0; "leaving")]
 #[test_case(Fault::Straggle(100), Some((200, "")), 1; "straggle")]
 fn post_fault(fault: Fault, expected: Option<(u16, &str)>, starts: usize) {
-    // A backend server fails in one of its ways. Its caller sees an answer, an error status or a
-    // broken connection, and the count of starts says whether the task ran.
+    // For each fault the caller sees an answer, an error status or a broken connection, and the
+    // number of starts shows whether the task ran.
     let servers = server();
     servers.set_fault("s1", fault);
     let url = format!("http://{}/order", servers.address("s1"));
     if fault == Fault::Refuse {
         let address = servers.address("s1");
-        wait(|| std::net::TcpStream::connect(address).is_err());
+        wait_until(|| std::net::TcpStream::connect(address).is_err());
     }
     let answer = post(&agent(), &url, WORK).ok();
-    let seen = answer.as_ref().map(|(status, reason, _)| (*status, reason.as_str()));
-    assert_eq!(seen, expected);
+    let observed = answer.as_ref().map(|(status, reason, _)| (*status, reason.as_str()));
+    assert_eq!(observed, expected);
     assert_eq!(servers.count("k1"), starts);
     servers.set_fault("s1", Fault::None);
-    wait(|| post(&agent(), &url, WORK).is_ok_and(|(status, ..)| status == 200));
+    wait_until(|| post(&agent(), &url, WORK).is_ok_and(|(status, ..)| status == 200));
 }
 
 #[test]
 fn post_all_slots_taken() {
-    // More tasks arrive than the server has slots. It says so and does not start the next one.
+    // With all slots taken, the server answers busy and does not start another task.
     let servers = server();
     let url = format!("http://{}/", servers.address("s1"));
     thread::scope(|scope| {
@@ -91,7 +91,7 @@
             let url = &url;
             scope.spawn(move || post(&agent(), url, &format!(r#"{{"key":"long{n}","ms":1000}}"#)));
         }
-        wait(|| servers.running() == 2);
+        wait_until(|| servers.running() == 2);
         let (status, reason, _) = post(&agent(), &url, WORK).expect("answer");
         assert_eq!((status, reason.as_str()), (503, "busy"));
     });
@@ -99,23 +99,23 @@
 }
 
 #[test]
-fn post_connection_cut() {
-    // The connection breaks while the task runs. The caller gets no answer, and the task runs on.
+fn post_connection_broken() {
+    // The connection breaks while a task runs. The caller gets no answer, and the task continues.
     let servers = server();
     let url = format!("http://{}/", servers.address("s1"));
     thread::scope(|scope| {
         let call = scope.spawn(|| post(&agent(), &url, r#"{"key":"k2","ms":200}"#));
-        wait(|| servers.running() == 1);
+        wait_until(|| servers.running() == 1);
         servers.cut("s1");
         assert!(call.join().expect("thread").is_err());
     });
     assert_eq!((servers.running(), servers.count("k2")), (1, 1));
-    wait(|| servers.running() == 0);
+    wait_until(|| servers.running() == 0);
 }
 
 #[test]
-fn run_lease_ends() {
-    // The holder of a lease does not renew it. The worker stops the task and says so.
+fn run_lease_expires() {
+    // A lease expires without renewal. The worker stops the task and answers 410.
     let workers = WorkerStandIn::start(vec![Spec::new("w1")]).expect("start");
     let url = format!("http://{}/v1/run", workers.address("w1"));
     let call = agent().post(url).header("Task-Key", "t1").header("Lease-Ms", "50");
@@ -132,14 +132,14 @@
         let call = scope.spawn(|| {
             post(&agent(), &format!("{base}/run"), r#"{"key":"k","ms":60000}"#).expect("answer").0
         });
-        wait(|| workers.running() == 1);
+        wait_until(|| workers.running() == 1);
         let usage = || {
             let mut answer = agent().get(format!("{base}/usage")).call().expect("usage");
             answer.body_mut().read_to_string().expect("body")
         };
-        // The report lags, so the task shows only later.
+        // The usage report lags, so it shows the task only later.
         assert!(usage().contains(r#""running":0"#));
-        wait(|| usage().contains(r#""running":1"#));
+        wait_until(|| usage().contains(r#""running":1"#));
         let task = format!("{base}/tasks/t1");
         assert_eq!(post(&agent(), &format!("{task}/throttle"), "50").expect("answer").0, 200);
         let (_, _, body) = post(&agent(), &format!("{task}/checkpoint"), "").expect("answer");
--- a/endivestile_testkit/tests/mutations.rs
+++ b/endivestile_testkit/tests/mutations.rs
@@ -1,44 +1,48 @@
-//! Every mutation under `mutations/` still applies to the code.
+//! Checks that every mutation under `mutations/` still applies to the code.
 //!
-//! `mutations/run.sh` tries them; that takes minutes and is not part of CI.
+//! `mutations/run.sh` tests whether each mutation is caught; that takes minutes and is not part
+//! of CI.
 
 use std::fs;
 use std::path::Path;
 
-/// One hunk of a patch: the lines that it expects.
+/// A hunk of a patch.
 #[derive(Debug, Default)]
 struct Hunk {
+    /// Source file that the hunk applies to.
     file: String,
+    /// Lines that the source file must contain.
     old: String,
+    /// Whether the hunk adds or removes lines.
     changes: bool,
 }
 
-// Code moves on, and a patch that does not apply any more is noticed only when
-// somebody runs the script. Whoever relies on the list of caught mutations
-// would be relying on nothing.
+/// Guards against patches that no longer apply after a change of the code, which would otherwise
+/// go unnoticed until the next run of the script.
 #[test]
 fn mutations_apply() {
-    let here = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/mutations");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/mutations");
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut patches = 0;
-    for entry in fs::read_dir(here).expect("a directory") {
-        let path = entry.expect("an entry").path();
+    for entry in fs::read_dir(folder).expect("directory of mutations") {
+        let path = entry.expect("directory entry").path();
         if path.extension().is_none_or(|extension| extension != "patch") {
             continue;
         }
         patches += 1;
-        let found = hunks(&fs::read_to_string(&path).expect("a patch"));
-        assert!(!found.is_empty(), "{} has no hunk", path.display());
-        for hunk in found {
-            let code = fs::read_to_string(root.join(&hunk.file)).expect("a source file");
+        let patch_hunks = parse_hunks(&fs::read_to_string(&path).expect("patch file"));
+        assert!(!patch_hunks.is_empty(), "{} has no hunks", path.display());
+        for hunk in patch_hunks {
+            let code = fs::read_to_string(root.join(&hunk.file)).expect("source file");
             assert!(hunk.changes, "{} changes nothing", path.display());
             assert!(code.contains(&hunk.old), "{} does not apply", path.display());
         }
     }
-    assert!(patches >= 8, "{patches} mutations");
+    assert!(patches >= 8, "only {patches} mutations found");
 }
 
-fn hunks(patch: &str) -> Vec<Hunk> {
+/// Parses the hunks of a patch.
+fn parse_hunks(patch: &str) -> Vec<Hunk> {
     let mut hunks: Vec<Hunk> = Vec::new();
     let mut file = "";
     for line in patch.lines() {
--- a/endivestile_testkit/tests/random.rs
+++ b/endivestile_testkit/tests/random.rs
@@ -1,8 +1,8 @@
-//! Random sequences of the stories' steps: calls, resubmissions, faults and
-//! heals in virtual time, with every promise checked after each step.
+//! Random scenarios for a deployment: calls, resubmissions, faults and repairs in virtual time,
+//! with every guarantee checked after each step.
 //!
-//! A failing case is shrunk and printed as a story; it is kept unchanged as a
-//! file under `stories/`. `RANDOM_CASES` sets how many are drawn.
+//! A failing case is shrunk and printed as a story; add that unchanged as a file under
+//! `stories/`. `RANDOM_CASES` sets the number of cases.
 
 use std::env;
 
@@ -10,26 +10,26 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Cases that CI draws.
+/// Number of cases unless `RANDOM_CASES` is set, as in CI.
 const CASES: u32 = 400;
-/// Most steps of one case.
-const STEPS: usize = 25;
-/// Steps that mend everything and wait until all must have been answered.
-const ENDING: &str = "resume all\nheal\nstore up\nstore slow 2ms\nrun 60s\ncheck\nsettled\n";
+/// Exclusive limit on the steps of one case.
+const STEP_LIMIT: usize = 25;
+/// Last steps of every case: repair all faults, then wait until every call must be answered.
+const FINAL_STEPS: &str = "resume all\nheal\nstore up\nstore slow 2ms\nrun 60s\ncheck\nsettled\n";
 
 #[test]
-fn promises_random() {
+fn guarantees_random() {
     let cases = env::var("RANDOM_CASES").ok().and_then(|text| text.parse().ok());
     let config =
         Config { cases: cases.unwrap_or(CASES), failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let stories = (world(), prop::collection::vec(step(), 1..STEPS));
+    let stories = (world(), prop::collection::vec(step(), 1..STEP_LIMIT));
     let result = runner.run(&stories, |(world, steps)| {
-        let story = format!("{world}{}{ENDING}", steps.concat());
-        let told = run_story(&story).map_err(TestCaseError::fail)?;
-        let kept = |line: &str| line == "every promise kept" || line == "every call answered";
-        let breach = told.lines().find(|line| !kept(line));
+        let story = format!("{world}{}{FINAL_STEPS}", steps.concat());
+        let output = run_story(&story).map_err(TestCaseError::fail)?;
+        let passed = |line: &str| line == "every promise kept" || line == "every call answered";
+        let breach = output.lines().find(|line| !passed(line));
         prop_assert!(breach.is_none(), "{}\nin story\n{story}", breach.unwrap_or_default());
         Ok(())
     });
@@ -77,7 +77,7 @@
     let deadline = prop::sample::select(vec!["300ms", "2s", "20s"]);
     let submit = (0..1_000_000u32, host(), 0..4u32, 1..6u32, deadline).prop_map(
         |(call, host, id, tasks, deadline)| {
-            // The same id always stands for the same work.
+            // Every submission of an id must have the same work.
             let tasks = if id == 0 { tasks } else { id * 2 };
             format!(
                 "submit c{call} at={host} id=k{id} tasks={} deadline={deadline}\n",
--- a/endivestile_testkit/tests/store.rs
+++ b/endivestile_testkit/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store's stand-in, called over its own protocol.
+//! Tests of the stand-in for the store over the store's own protocol.
 
 use std::time::Duration;
 
@@ -16,7 +16,8 @@
 use tokio::time::timeout;
 use tonic::transport::Channel;
 
-const LONG_MS: u64 = 10_000;
+/// Time limit of each test, in milliseconds.
+const TIMEOUT_MS: u64 = 10_000;
 
 fn run<F: Future<Output = ()>>(test: impl FnOnce(StoreStandIn, Channel) -> F) {
     let store = StoreStandIn::start().expect("store");
@@ -24,7 +25,7 @@
     let runtime = Builder::new_current_thread().enable_all().build().expect("runtime");
     runtime.block_on(async {
         let channel = Channel::from_shared(address).expect("address").connect_lazy();
-        timeout(Duration::from_millis(LONG_MS), test(store, channel)).await.expect("in time");
+        timeout(Duration::from_millis(TIMEOUT_MS), test(store, channel)).await.expect("in time");
     });
 }
 
@@ -56,18 +57,18 @@
         let mut kv = KvClient::new(channel);
         let first = kv.txn(swap("a", 0, "1")).await.expect("swap").into_inner();
         assert!(first.succeeded);
-        let raced = kv.txn(swap("a", 0, "2")).await.expect("swap").into_inner();
-        assert!(!raced.succeeded);
+        let conflict = kv.txn(swap("a", 0, "2")).await.expect("swap").into_inner();
+        assert!(!conflict.succeeded);
         assert_eq!(store.get("a"), Some(b"1".to_vec()));
-        assert_eq!(raced.header.expect("header").revision, 1);
+        assert_eq!(conflict.header.expect("header").revision, 1);
         assert_eq!(store.counts().txn, 2);
     });
 }
 
 #[test]
 fn txn_answer_lost() {
-    // The store carries the write out and the connection breaks before the answer is back. The
-    // writer sees an error although the value is in force.
+    // The connection breaks after the store has executed a write but before its answer. The
+    // writer sees an error although the value has changed.
     run(|store, channel| async move {
         let mut kv = KvClient::new(channel);
         store.lose_answers(1);
@@ -86,22 +87,22 @@
         let requests = tokio_stream::StreamExt::chain(requests, tokio_stream::pending());
         let answer = WatchClient::new(channel).watch(requests).await.expect("watch");
         let mut events = answer.into_inner();
-        let mut seen = vec![];
+        let mut received = vec![];
         let mut created = 0;
-        while seen.len() < 3 {
+        while received.len() < 3 {
             let response = events.message().await.expect("stream").expect("open");
             created += usize::from(response.created);
             for event in response.events {
-                seen.push((response.watch_id, event.kv.expect("kv").key));
+                received.push((response.watch_id, event.kv.expect("kv").key));
             }
-            if created == 2 && seen.len() == 1 {
+            if created == 2 && received.len() == 1 {
                 store.put("b/1", "new");
                 store.delete("a/1");
             }
         }
-        assert_eq!(seen, [(0, b"a/2".to_vec()), (1, b"b/1".to_vec()), (0, b"a/1".to_vec())]);
+        assert_eq!(received, [(0, b"a/2".to_vec()), (1, b"b/1".to_vec()), (0, b"a/1".to_vec())]);
         assert_eq!(store.counts().waiting, 2);
-        // The store goes down: the open watch breaks, so that the watcher notices.
+        // When the store goes down, open watches break so that clients detect the outage.
         store.down();
         assert!(events.message().await.is_err());
         assert_eq!(store.counts().waiting, 0);
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn lease_lapses() {
+fn lease_expires() {
     run(|store, channel| async move {
         let mut leases = LeaseClient::new(channel.clone());
         let grant = LeaseGrantRequest { ttl: 1, id: 0 };
@@ -120,15 +121,15 @@
         while store.get("host").is_some() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        // Its holder learns from the next write that the lease is gone.
+        // The next write under the expired lease fails.
         assert!(kv.put(PutRequest { lease: id, ..put("host", "e1") }).await.is_err());
     });
 }
 
 #[test]
-fn put_refused_then_up() {
-    // The platform's service is down for a while. A writer gets an error at once, nothing is
-    // written, and after the outage the same write works.
+fn put_store_down_then_up() {
+    // While the store is down, a write fails at once and changes nothing; after the outage it
+    // succeeds. A write to a hanging store is executed after the outage.
     run(|store, channel| async move {
         let mut kv = KvClient::new(channel);
         store.down();
@@ -143,8 +144,8 @@
         assert!(!hung.is_finished());
         assert_eq!(store.get("a"), Some(b"1".to_vec()));
         store.up();
-        // It is carried out once the service is back. A later write must wait for
-        // it: of two under way at a time either may come last.
+        // The hung write is executed once the store is up. The next write waits for it, since
+        // concurrent writes may be executed in either order.
         hung.await.expect("no panic").expect("put");
         kv.put(put("a", "3")).await.expect("put");
         assert_eq!(store.get("a"), Some(b"3".to_vec()));
--- a/endivestile_testkit/tests/stories.rs
+++ b/endivestile_testkit/tests/stories.rs
@@ -1,4 +1,4 @@
-//! Tells every story under `stories/`.
+//! Runs every story under `stories/`.
 
 use endivestile_testkit::run_story;
 
