--- a/endivestile_testkit/tests/stories/answer_conflict.story
+++ b/endivestile_testkit/tests/stories/answer_conflict.story
@@ -1,5 +1,5 @@
-# Two programs use the same id for different work. The second is told so and
-# nothing of it runs; the first gets its own answer.
+# Two callers submit different work under the same id. The second is refused
+# with a conflict and none of its tasks runs; the first gets its own answer.
 story
 world zones=a,b hosts=2 servers=2
 submit c1 at=a1 id=k1 work=first tasks=2
--- a/endivestile_testkit/tests/stories/answer_lossy_links.story
+++ b/endivestile_testkit/tests/stories/answer_lossy_links.story
@@ -1,5 +1,5 @@
-# A third of the frames between hosts is lost and the rest comes late and out
-# of order. Callers get their whole answers somewhat later.
+# A third of the frames between hosts is lost and the rest arrives late and out
+# of order. Callers get complete answers, only later.
 story
 world zones=a,b hosts=2 servers=2
 lose 30
--- a/endivestile_testkit/tests/stories/answer_shard_moves.story
+++ b/endivestile_testkit/tests/stories/answer_shard_moves.story
@@ -1,6 +1,6 @@
-# Links are slow and shards move to hosts that joined while callers' own ids
-# stream in, so that a shard changes hands with ids half recorded. Nothing has
-# failed, and callers must not be told that their jobs did.
+# Links are slow and shards move to hosts that have just joined while calls
+# under callers' own ids arrive, so a shard changes hands with some ids half
+# recorded. Nothing has failed, and no caller may be told that its job failed.
 story
 world zones=a,b hosts=2 servers=4 slots=8 ms=20
 submit w at=a1 times=20
--- a/endivestile_testkit/tests/stories/answer_zone_cut_handed_over.story
+++ b/endivestile_testkit/tests/stories/answer_zone_cut_handed_over.story
@@ -1,6 +1,6 @@
-# Zone a is busy and hands requests over to zone b when the two are cut apart.
-# A request that may be repeated is asked again in its own zone as soon as the
-# other falls silent, and its caller does not wait for the deadline.
+# A busy zone a forwards requests to zone b when the network between them is
+# cut. An idempotent request is retried in zone a as soon as zone b is
+# unreachable, so its caller does not wait until the deadline.
 story
 world zones=a,b hosts=2 servers=1 slots=2 ms=400
 submit w at=a1 times=4
--- a/endivestile_testkit/tests/stories/cancel_lossy.story
+++ b/endivestile_testkit/tests/stories/cancel_lossy.story
@@ -1,7 +1,7 @@
 # Cancellations and resubmissions of the same ids cross on links that lose a
-# third of their frames, and shards change hands. Nobody gets a part of a result, and
-# nothing starts twice. A job that was cancelled before it started is forgotten
-# with its home, so that a later resubmission may run it.
+# third of the frames, while shards change hands. No caller gets a partial
+# result and no task starts twice. A job that was cancelled before it started is
+# forgotten when its home is lost, so a later resubmission may run it.
 story
 world zones=a,b hosts=2 servers=2 ms=150
 lose 33
--- a/endivestile_testkit/tests/stories/cancel_wave.story
+++ b/endivestile_testkit/tests/stories/cancel_wave.story
@@ -1,6 +1,6 @@
-# Ten thousand callers give up in one moment, as when a market closes early. The
-# few tasks that run are stopped, the others must never start, and the next
-# caller must find its way free instead of waiting behind the dead.
+# Ten thousand callers cancel at the same time. The few running tasks are
+# stopped, the queued ones must never start, and the next caller must not wait
+# behind the cancelled ones.
 story
 world zones=a hosts=2 servers=2 slots=4 ms=1000 limit=20000
 submit c at=a1 id=w times=10000 deadline=3000s
--- a/endivestile_testkit/tests/stories/config_after_hosts.story
+++ b/endivestile_testkit/tests/stories/config_after_hosts.story
@@ -1,6 +1,6 @@
 # A starting host reads the registrations of its peers before its configuration
-# is checked. It must not forget them: otherwise it takes every peer for silent,
-# and callers' own ids are refused until the peers restart.
+# has been checked. It must keep them; otherwise it treats every peer as
+# unreachable and refuses callers' own ids until the peers restart.
 story
 world zones=a,b hosts=2 servers=1 seeds=0
 submit c1 at=a1 id=k1 tasks=4
--- a/endivestile_testkit/tests/stories/config_cut_host.story
+++ b/endivestile_testkit/tests/stories/config_cut_host.story
@@ -1,5 +1,5 @@
-# One host is cut off from the store but not from its peers while operators
-# accept two configurations. It is in force there too within seconds.
+# One host is cut off from the store, but not from its peers, while operators
+# accept two configurations. It adopts the newest one within seconds.
 story
 world zones=a,b hosts=2 servers=1
 cut a1 store
--- a/endivestile_testkit/tests/stories/config_outage.story
+++ b/endivestile_testkit/tests/stories/config_outage.story
@@ -1,6 +1,6 @@
 # Operators accept a configuration, the store goes down, and one host restarts
-# during the outage: it gets the configuration from a peer. An older one that a
-# slow peer offers is not taken.
+# during the outage. It gets the configuration from a peer. An older one that a
+# slow peer offers is not adopted.
 story
 world zones=a,b hosts=2 servers=1
 accept limit=50
--- a/endivestile_testkit/tests/stories/declared_cold.story
+++ b/endivestile_testkit/tests/stories/declared_cold.story
@@ -1,6 +1,6 @@
-# Nothing has been learnt yet, and the first requests declare a minute though they
-# take a hundred milliseconds. Judged by the declaration alone they could not end in
-# time, and callers would be refused by a service whose servers are idle.
+# Before any run time is known, the first requests declare a minute although
+# they take a hundred milliseconds. Judged by the declaration alone they would
+# miss their deadline, and an idle service would refuse its callers.
 story
 world zones=a hosts=2 servers=4 slots=2 ms=100
 submit first at=a1 times=12 declared=60s deadline=2s
--- a/endivestile_testkit/tests/stories/declared_far_off.story
+++ b/endivestile_testkit/tests/stories/declared_far_off.story
@@ -1,6 +1,7 @@
-# Tasks declare ten milliseconds and take three seconds, and others declare a
-# minute and take a hundred milliseconds. The declaration is a hint: what fits
-# its deadline is answered, what does not is told so and not counted twice.
+# Tasks that declare ten milliseconds take three seconds, and tasks that declare
+# a minute take a hundred milliseconds. The declaration is only a hint: jobs
+# that fit their deadline are answered, the others are refused, and no task is
+# counted twice.
 story
 world zones=a hosts=2 servers=4 slots=2 ms=100
 submit warm at=a1 times=4
--- a/endivestile_testkit/tests/stories/fails_at_once.story
+++ b/endivestile_testkit/tests/stories/fails_at_once.story
@@ -1,6 +1,6 @@
-# A backend server fails every task at once and so always looks free. It is
-# taken out after a few failures instead of swallowing the work; most callers
-# get their answer.
+# A backend server fails every task at once and therefore always looks free. It
+# is ejected after a few failures instead of attracting all the work, and most
+# callers get their answer.
 story
 world zones=a hosts=1 servers=4 slots=2 ms=100
 server a-s1 fails
--- a/endivestile_testkit/tests/stories/leaving_server.story
+++ b/endivestile_testkit/tests/stories/leaving_server.story
@@ -1,6 +1,5 @@
-# A backend server leaves: by the platform's list, by an operator's stop, or by
-# its own answer. A few seconds later it gets no new work, and callers notice
-# nothing.
+# A backend server leaves: by the platform's list, by a planned stop, or by its
+# own answer. After a few seconds it gets no new work, and no call fails.
 story
 world zones=a hosts=2 servers=4 slots=2 ms=100
 submit c at=a1 times=10
--- a/endivestile_testkit/tests/stories/limit_shared.story
+++ b/endivestile_testkit/tests/stories/limit_shared.story
@@ -1,6 +1,7 @@
-# A team may hold eighty tasks in the whole deployment, and all its calls come
-# in by one host. That host's part of the limit is a quarter; the rest must be
-# had from the other hosts' parts, not be refused while the team holds less.
+# A team may have eighty tasks in the whole deployment, and all its calls arrive
+# at one host, whose share of the limit is a quarter. The host must obtain the
+# rest from the other hosts' shares rather than refuse calls while the team is
+# below its limit.
 story
 world zones=a,b hosts=2 servers=4 slots=8 ms=400 limit=80
 submit w at=a1 times=20 every=20ms
--- a/endivestile_testkit/tests/stories/list_flapping.story
+++ b/endivestile_testkit/tests/stories/list_flapping.story
@@ -1,6 +1,6 @@
-# The platform's list flaps: it calls a healthy host and a server leaving, live
-# and leaving again within seconds, and once calls a host gone that serves.
-# Calls go on meanwhile; nothing starts twice.
+# The platform's list flaps: within seconds it reports a healthy host and a
+# server as leaving, live and leaving again, and once reports a running host as
+# gone. Calls continue meanwhile, and no task starts twice.
 story
 world zones=a,b hosts=2 servers=2 slots=2 ms=200
 submit c1 at=a1 id=k1 tasks=8
--- a/endivestile_testkit/tests/stories/list_stale.story
+++ b/endivestile_testkit/tests/stories/list_stale.story
@@ -1,6 +1,6 @@
-# The platform's list is stale: it calls a dead host live, and knows nothing of
-# the server that says itself that it is leaving. What is seen on the links
-# goes before the list.
+# The platform's list is stale: it reports a dead host as live and misses a
+# server that itself reports that it is leaving. Observations on the links take
+# precedence over the list.
 story
 world zones=a hosts=3 servers=3 slots=2 ms=200
 list a3 live
--- a/endivestile_testkit/tests/stories/never_runs.story
+++ b/endivestile_testkit/tests/stories/never_runs.story
@@ -1,6 +1,6 @@
-# Jobs that can never run: more memory than any worker has, more accelerators,
-# a need that only a service has. They are refused at once instead of
-# waiting for their deadlines, and one of them in a job refuses the job.
+# Jobs that can never run, since they need more memory, accelerators or
+# processor time than any worker has. They are refused at once instead of
+# waiting until their deadlines, and one such task refuses its whole job.
 story
 world zones=a,b hosts=1 servers=1 workers=2
 submit c1 at=a1 id=k1 cpu=1000 memory=9000
--- a/endivestile_testkit/tests/stories/once_server_closes.story
+++ b/endivestile_testkit/tests/stories/once_server_closes.story
@@ -1,6 +1,6 @@
-# Backend servers take a payment and close the connection without an answer.
-# Nobody can tell whether it was made, so the trader is told that it failed and
-# it is not sent again; a plain question without an id is asked elsewhere.
+# Backend servers start a payment and close the connection without an answer.
+# Whether it was made is unknown, so the caller is told that it failed and it is
+# not sent again; an idempotent request without an id is retried elsewhere.
 story
 world zones=a hosts=1 servers=2
 server a-s1 closes
--- a/endivestile_testkit/tests/stories/once_server_refuses.story
+++ b/endivestile_testkit/tests/stories/once_server_refuses.story
@@ -1,5 +1,5 @@
-# A backend server refuses connections. Nothing was sent, so even a payment
-# may go to another server, and the trader notices nothing.
+# A backend server refuses connections. No task was sent, so even a payment may
+# be sent to another server, and the caller notices nothing.
 story
 world zones=a hosts=1 servers=2
 server a-s1 refuses
--- a/endivestile_testkit/tests/stories/partial_cancel.story
+++ b/endivestile_testkit/tests/stories/partial_cancel.story
@@ -1,5 +1,5 @@
-# A caller cancels a job while its tasks finish. It is told that the job is
-# cancelled, or gets the whole answer if that came first, never a part.
+# A caller cancels a job while its tasks finish. The answer is either cancelled
+# or, if it was complete first, the whole result, never a part of it.
 story
 world zones=a,b hosts=2 servers=2 slots=1 ms=200
 submit c1 at=a1 id=k1 tasks=10
--- a/endivestile_testkit/tests/stories/partial_worker_dies.story
+++ b/endivestile_testkit/tests/stories/partial_worker_dies.story
@@ -1,5 +1,5 @@
-# A backend server dies in the middle of a job and takes two tasks with it.
-# The job fails as a whole; the caller gets no part of it.
+# A backend server dies during a job and two tasks are lost with it. The job
+# fails as a whole; the caller gets no partial answer.
 story
 world zones=a hosts=1 servers=2 slots=2 ms=500
 submit c1 at=a1 id=k1 tasks=8
--- a/endivestile_testkit/tests/stories/plain.story
+++ b/endivestile_testkit/tests/stories/plain.story
@@ -1,5 +1,5 @@
-# Nothing goes wrong: a request without an id, a job under the caller's own id
-# and a minted request are answered whole, and each task starts once.
+# No faults: a request without an id, a job under the caller's own id and a
+# request under a minted id are answered completely, and each task starts once.
 story
 world zones=a,b hosts=2 servers=2
 submit c1 at=a1
--- a/endivestile_testkit/tests/stories/plain_idle.story
+++ b/endivestile_testkit/tests/stories/plain_idle.story
@@ -1,5 +1,6 @@
-# Nothing happens for two minutes. Once the shards are spread over the hosts no
-# more calls go to the store; the platform would feel them at two hundred hosts.
+# Two minutes without load. Once the shards are spread over the hosts, no more
+# calls go to the store; at two hundred hosts idle calls would burden the
+# platform.
 story
 world zones=a,b hosts=2 servers=2 shards=64
 run 60s
--- a/endivestile_testkit/tests/stories/plain_steady.story
+++ b/endivestile_testkit/tests/stories/plain_steady.story
@@ -1,6 +1,7 @@
-# A steady stream of calls under their own ids keeps the links between hosts busy:
-# each message must leave at once although earlier ones are not acknowledged yet.
-# Callers would otherwise wait half a second for a task of twenty milliseconds.
+# A steady stream of calls under callers' own ids keeps the links between hosts
+# busy. Each message must be sent at once although earlier ones are not
+# acknowledged yet; otherwise callers wait half a second for a task of twenty
+# milliseconds.
 story
 world zones=a,b hosts=2 servers=4 slots=8 ms=20
 submit w at=a1 times=20
--- a/endivestile_testkit/tests/stories/plain_timing.story
+++ b/endivestile_testkit/tests/stories/plain_timing.story
@@ -1,4 +1,4 @@
-# Nothing goes wrong, and refusals of every kind come at once.
+# No faults; refusals of every kind are answered at once.
 story
 world zones=a hosts=2 servers=1 slots=1 ms=1000
 submit c1 at=a1
--- a/endivestile_testkit/tests/stories/plain_untried.story
+++ b/endivestile_testkit/tests/stories/plain_untried.story
@@ -1,6 +1,6 @@
-# The hosts of one zone have learnt that their servers are fast before the other
-# zone got its first call. Calls that come in there must be run there, or the
-# servers of that zone would never be tried.
+# The hosts of one zone have measured their servers as fast before the other
+# zone gets its first call. Calls that arrive in the other zone must run there,
+# or its servers would never be tried.
 story
 world zones=a,b hosts=1 servers=2 slots=4 ms=20
 submit w at=a1 times=40 every=20ms
--- a/endivestile_testkit/tests/stories/refusal_ends.story
+++ b/endivestile_testkit/tests/stories/refusal_ends.story
@@ -1,6 +1,6 @@
 # Backend servers were slow for a while, and requests with a short deadline are
-# refused since none would end in time. When the servers are fast again the
-# refusals must end by themselves, or callers would be turned away for ever.
+# refused since none would finish in time. When the servers are fast again the
+# refusals must end by themselves; otherwise callers would be refused for ever.
 story
 world zones=a hosts=2 servers=2 slots=4 ms=3000
 submit w at=a1 times=40 every=200ms
--- a/endivestile_testkit/tests/stories/refusal_job_too_long.story
+++ b/endivestile_testkit/tests/stories/refusal_job_too_long.story
@@ -1,6 +1,6 @@
-# A job of two hundred tasks cannot end by its deadline on the slots there are,
-# although each task alone could. It is refused at once as not run, rather than
-# failed after half of it has run; a smaller job is run.
+# A job of two hundred tasks cannot finish by its deadline on the available
+# slots, although each task alone could. It is refused at once as not run rather
+# than failed after half of it has run; a smaller job runs.
 story
 world zones=a hosts=2 servers=1 slots=2 ms=200
 submit w1 at=a1
--- a/endivestile_testkit/tests/stories/refusal_no_servers.story
+++ b/endivestile_testkit/tests/stories/refusal_no_servers.story
@@ -1,5 +1,5 @@
-# Every backend server refuses connections. Callers are told "not run" at once
-# and when to come back, and indeed nothing ran.
+# Every backend server refuses connections. Callers are refused at once as not
+# run, with the time to retry after, and no task starts.
 story
 world zones=a,b hosts=2 servers=1
 server a-s1 refuses
--- a/endivestile_testkit/tests/stories/refusal_overload.story
+++ b/endivestile_testkit/tests/stories/refusal_overload.story
@@ -1,5 +1,5 @@
-# Five hundred requests arrive at once, of which the slots can run a few
-# within the deadline. The rest is refused at once as not run, truthfully.
+# Five hundred requests arrive at once, more than the slots can run within the
+# deadline. The rest is refused at once as not run, and none of it starts.
 story
 world zones=a hosts=2 servers=1 slots=2 ms=200
 submit c at=a1 times=500 deadline=2s
--- a/endivestile_testkit/tests/stories/refusal_paused_home.story
+++ b/endivestile_testkit/tests/stories/refusal_paused_home.story
@@ -1,6 +1,6 @@
 # A home pauses, its shard is taken over and the submission runs at the new
-# home. The old home wakes up full of work and must not tell a caller that
-# comes back to it "not run": the task did run.
+# home. The old home resumes with its queued work and must not refuse the
+# returning caller as not run, since the task did run.
 story
 world zones=a,b hosts=2 servers=1 slots=1 ms=3000 shards=1
 submit c0 at=a1 id=k0
--- a/endivestile_testkit/tests/stories/restart_storm.story
+++ b/endivestile_testkit/tests/stories/restart_storm.story
@@ -1,6 +1,6 @@
-# A bad image makes every host of a zone restart again and again, each for a few
-# seconds. The other zone serves; ids that were known to the dead are told
-# failed or unknown, and nothing starts twice.
+# A bad image makes every host of a zone restart again and again, each after a
+# few seconds. The other zone serves; ids that only the dead hosts held are
+# answered failed or unknown, and nothing starts twice.
 story
 world zones=a,b hosts=2 servers=2 shards=4 ms=200
 submit c at=a1 id=k times=12 tasks=2
--- a/endivestile_testkit/tests/stories/start_both_lost.story
+++ b/endivestile_testkit/tests/stories/start_both_lost.story
@@ -1,6 +1,6 @@
-# Home and witness of a shard die together, and nothing in reach knows what
-# they had started. Their ids are answered unknown, never not run; when both
-# hosts come back as new incarnations the shard serves new ids again.
+# Home and witness of a shard die together, and no reachable host has a record
+# of what they started. Their ids are answered unknown, never not run; when both
+# hosts return as new incarnations the shard serves new ids again.
 story
 world zones=a hosts=2 servers=2 shards=1
 submit c1 at=a1 id=k1
--- a/endivestile_testkit/tests/stories/start_double_fault.story
+++ b/endivestile_testkit/tests/stories/start_double_fault.story
@@ -1,6 +1,6 @@
-# Two faults at once: the store goes down in the moment in which the home
-# stands still, and a zone is cut off before either is mended. The mends come in
-# another order than the faults, and callers resubmit all the while.
+# The store goes down while the home is paused, and a zone is cut off before
+# either is repaired. The repairs come in another order than the faults, and
+# callers resubmit throughout.
 story
 world zones=a,b,c hosts=2 servers=2 ms=300
 submit c1 at=a1 id=k1 tasks=4
--- a/endivestile_testkit/tests/stories/start_expired.story
+++ b/endivestile_testkit/tests/stories/start_expired.story
@@ -1,6 +1,6 @@
-# A caller sends a payment again long after it was forgotten, by another host,
-# and once more by a host that was restarted meanwhile. Forgetting must not
-# mean starting again: it is told that nothing is known of so old an id.
+# A caller submits a payment again long after its record was dropped: at another
+# host, and at a host that has restarted meanwhile. A dropped record must not
+# lead to a second start: the answer for an id that old is unknown.
 story
 world zones=a,b hosts=1 servers=2 shards=1 window=60s
 submit c1 at=a1 id=k1
--- a/endivestile_testkit/tests/stories/start_fence_slow_store.story
+++ b/endivestile_testkit/tests/stories/start_fence_slow_store.story
@@ -1,7 +1,8 @@
-# The home is cut off from its witness, which takes the shard over by a store
-# so slow that the swap lasts for seconds. The cut heals in the middle of it,
-# and the home, still named by the record, sends what callers submitted.
-# The witness must refuse it by its fence, or both would start the same ids.
+# The home is cut off from its witness, which takes the shard over through a
+# store so slow that the swap takes seconds. The cut heals during the swap, and
+# the home, which the record still names, sends the witness what callers
+# submitted. The witness must refuse it by its fence, or both would start the
+# same ids.
 story
 world zones=a,b hosts=1 servers=2 shards=1 ms=300
 submit c0 at=a1 id=k0
--- a/endivestile_testkit/tests/stories/start_front_killed.story
+++ b/endivestile_testkit/tests/stories/start_front_killed.story
@@ -1,5 +1,6 @@
-# The host that took the call dies while another runs the job. The caller comes
-# back through a third host, joins the running job and gets its whole answer.
+# The front of a call dies while another host runs the job. The caller submits
+# it again at a third host, attaches to the running job and gets its complete
+# answer.
 story
 world zones=a,b hosts=3 servers=2
 submit c1 at=a1 id=k1 tasks=20
--- a/endivestile_testkit/tests/stories/start_home_killed.story
+++ b/endivestile_testkit/tests/stories/start_home_killed.story
@@ -1,6 +1,6 @@
-# The host that runs a job dies in the middle of it. The caller's connection
-# breaks, it sends the same id to other hosts, and is told that the job failed:
-# some tasks had run, and starting them again would ready a second chamber.
+# The host that runs a job dies during it. The caller's connection breaks, it
+# submits the same id at other hosts, and the answer is that the job failed:
+# some tasks have run, and starting them again would execute them twice.
 story
 world zones=a,b,c hosts=2 servers=2 slots=1 ms=500
 submit c1 at=a1 id=k1 tasks=20
--- a/endivestile_testkit/tests/stories/start_home_paused.story
+++ b/endivestile_testkit/tests/stories/start_home_paused.story
@@ -1,6 +1,6 @@
-# The home stands still for ten seconds, long enough for its witness to take
-# the shard over, and wakes up unaware. Callers resubmit meanwhile and after.
-# Whatever each is told, nothing starts twice.
+# The home is paused for ten seconds, long enough for its witness to take the
+# shard over, and resumes unaware of that. Callers resubmit meanwhile and
+# afterwards. Whatever the answers, nothing starts twice.
 story
 world zones=a,b,c hosts=2 servers=2 ms=300
 submit c0 at=a1 id=k0
--- a/endivestile_testkit/tests/stories/start_lost_store_answer.story
+++ b/endivestile_testkit/tests/stories/start_lost_store_answer.story
@@ -1,6 +1,6 @@
-# A home dies, and the store's answers to the take-over are lost although the
-# writes took effect. The new home reads back before it acts, so callers see
-# one owner and no second start.
+# A home dies, and the store's answers to the takeover are lost although the
+# writes took effect. The new home reads the record back before it acts, so
+# callers see one owner and no second start.
 story
 world zones=a,b hosts=2 servers=2
 submit c1 at=a1 id=k1
--- a/endivestile_testkit/tests/stories/start_platform_wrong.story
+++ b/endivestile_testkit/tests/stories/start_platform_wrong.story
@@ -1,6 +1,6 @@
-# Zone a is cut off, and the platform lists its hosts as gone though they serve
-# on. Outside, nobody may take over a shard whose home and witness are both
-# inside; a caller there is told unknown, and nothing starts twice.
+# Zone a is cut off, and the platform lists its hosts as gone although they
+# still serve. Outside, no host may take over a shard whose home and witness are
+# both in zone a; callers there are answered unknown, and nothing starts twice.
 story
 world zones=a,b hosts=2 servers=2 shards=4
 submit c0 at=a1 id=k0
--- a/endivestile_testkit/tests/stories/start_rack_lost.story
+++ b/endivestile_testkit/tests/stories/start_rack_lost.story
@@ -1,6 +1,7 @@
-# A rack is lost for good, and with it home and witness of some shards. Their ids
-# are answered unknown until operators take the dead hosts out of the inventory;
-# then the shards serve ids dated after that, and old ids stay unknown.
+# A rack is lost permanently, and with it home and witness of some shards. Their
+# ids are answered unknown until operators remove the dead hosts from the
+# inventory; then the shards serve ids dated after that, and old ids stay
+# unknown.
 story
 world zones=a hosts=4 servers=2 shards=16
 submit c1 at=a1 id=k1
--- a/endivestile_testkit/tests/stories/start_stale_home.story
+++ b/endivestile_testkit/tests/stories/start_stale_home.story
@@ -1,7 +1,7 @@
-# The home stands still for five seconds and can't reach the store when it wakes
-# up, so that it does not learn that its witness took the shard over. It asks
-# that witness for leave to start what a caller submits again just then. The
-# witness refuses by its fence; without that word both would start the id.
+# The home is paused for five seconds and cannot reach the store when it
+# resumes, so it does not learn that its witness took the shard over. It asks
+# that witness for permission to start what a caller submits again at that
+# moment. The witness refuses by its fence; otherwise both would start the id.
 story
 world zones=a,b,c hosts=1 servers=2 shards=1 ms=300
 submit c0 at=a1 id=k0
--- a/endivestile_testkit/tests/stories/start_store_down.story
+++ b/endivestile_testkit/tests/stories/start_store_down.story
@@ -1,6 +1,6 @@
-# The platform's store is away for a minute, and a home dies during it. Shards
-# whose hosts all live go on; the dead home's shard cannot change hands, which
-# callers are told at once as unknown, not after their deadline.
+# The platform's store is down for a minute, and a home dies meanwhile. Shards
+# whose hosts all live continue; the dead home's shard cannot change hands, and
+# callers get the answer unknown at once rather than at their deadline.
 story
 world zones=a,b hosts=2 servers=2
 store down
--- a/endivestile_testkit/tests/stories/start_twice_in_a_row.story
+++ b/endivestile_testkit/tests/stories/start_twice_in_a_row.story
@@ -1,5 +1,5 @@
 # The home dies, and its successor dies as soon as it has taken the shard over.
-# Callers resubmit after each death by whatever host still answers.
+# Callers resubmit after each death at any host that still answers.
 story
 world zones=a,b,c hosts=2 servers=2 shards=1 ms=400
 submit c1 at=a1 id=k1 tasks=6
--- a/endivestile_testkit/tests/stories/start_zone_cut.story
+++ b/endivestile_testkit/tests/stories/start_zone_cut.story
@@ -1,5 +1,5 @@
-# Zone c is cut off from the other zones and from the store. Inside it,
-# requests without an id and minted ids go on; ids whose home is outside are
+# Zone c is cut off from the other zones and from the store. Inside it, requests
+# without an id and with minted ids continue; ids whose home is outside are
 # answered unknown at once. After the cut nothing has started twice.
 story
 world zones=a,b,c hosts=2 servers=2
--- a/endivestile_testkit/tests/stories/stop_callers_go_on.story
+++ b/endivestile_testkit/tests/stories/stop_callers_go_on.story
@@ -1,6 +1,6 @@
-# Callers go on calling a host that was told to stop, as a balancer that does not
-# look at readiness would. The host must end all the same: what it took before is
-# answered, later calls are refused, and nothing is cut off.
+# Callers keep calling a stopping host, as a load balancer that ignores
+# readiness does. The host must still end: calls that it accepted before are
+# answered, later ones are refused, and no connection breaks.
 story
 world zones=a hosts=1 servers=2 slots=4 ms=100
 submit c at=a1 times=20 every=50ms
--- a/endivestile_testkit/tests/stories/stop_paused.story
+++ b/endivestile_testkit/tests/stories/stop_paused.story
@@ -1,6 +1,6 @@
-# A host that is told to end stands still past the time for which it lingers, and
-# a caller's request reaches its socket meanwhile. When it wakes up its timer is
-# due first; ending at once would cut that caller off.
+# A stopping host is paused beyond its linger time, and a caller's request
+# reaches its socket meanwhile. When it resumes its timer is due first; ending
+# at once would break that caller's connection.
 story
 world zones=a,b,c hosts=1 servers=1 slots=1 shards=1 ms=200 seed=0
 shutdown a1
--- a/endivestile_testkit/tests/stories/stop_paused_briefly.story
+++ b/endivestile_testkit/tests/stories/stop_paused_briefly.story
@@ -1,5 +1,6 @@
 # A host is paused for half a second just before its drain ends. A call that the
-# balancer sent it meanwhile waits unread when it goes on; it must be answered.
+# load balancer sent meanwhile is still unread when the host resumes, and must
+# be answered.
 story
 world zones=a,b hosts=1 servers=1 slots=1 shards=1 ms=200 seed=0
 submit c0 at=a1 id=k0 tasks=1 deadline=300ms
--- a/endivestile_testkit/tests/stories/stop_peer_mid_forward.story
+++ b/endivestile_testkit/tests/stories/stop_peer_mid_forward.story
@@ -1,6 +1,6 @@
-# A host is stopped while it has passed calls on, and while others pass calls on
-# to it, over links that lose frames. It ends only when all of them have their
-# answers.
+# A host is stopped while it has forwarded calls, and while others have
+# forwarded calls to it, over links that lose frames. It ends only when all of
+# them have their answers.
 story
 world zones=a,b hosts=2 servers=2 slots=2 ms=300
 lose 20
--- a/endivestile_testkit/tests/stories/stop_rolling.story
+++ b/endivestile_testkit/tests/stories/stop_rolling.story
@@ -1,6 +1,6 @@
-# A new version is rolled out under load: each host is told to stop, ends when
-# drained, and comes back before the next one is told. Callers of the host that
-# stops turn to others once it is not ready; nobody is cut off.
+# A rolling update under load: each host is stopped, ends when drained, and
+# restarts before the next one is stopped. Callers use other hosts once a host
+# is not ready, and no connection breaks.
 story
 world zones=a,b hosts=2 servers=2 slots=4 ms=300
 submit c at=a1 id=a times=20 tasks=2
--- a/endivestile_testkit/tests/stories/stop_second.story
+++ b/endivestile_testkit/tests/stories/stop_second.story
@@ -1,5 +1,5 @@
 # A second host is stopped while the first still drains. Both end, and no
-# caller sees a cut-off request.
+# caller's connection breaks.
 story
 world zones=a,b hosts=2 servers=2 slots=2 ms=1000
 submit c at=a1 times=20
--- a/endivestile_testkit/tests/stories/stop_store_down.story
+++ b/endivestile_testkit/tests/stories/stop_store_down.story
@@ -1,5 +1,5 @@
-# The store is down while a host shuts down. Its shards cannot change hands,
-# but every call it took is answered and the process ends.
+# The store is down while a host shuts down. Its shards cannot change hands, but
+# every call that it accepted is answered and the process ends.
 story
 world zones=a,b hosts=2 servers=2 slots=2 ms=300
 submit c1 at=a1 id=k1 tasks=10
--- a/endivestile_testkit/tests/stories/stop_under_load.story
+++ b/endivestile_testkit/tests/stories/stop_under_load.story
@@ -1,5 +1,5 @@
-# An operator stops a host under load: it finishes every call it took, hands its
-# shards over, and ends. No caller sees a cut-off request.
+# An operator stops a host under load. It finishes every call that it accepted,
+# hands its shards over and ends. No caller's connection breaks.
 story
 world zones=a,b hosts=2 servers=2 slots=2 ms=300
 submit c at=a1 times=40
--- a/endivestile_testkit/tests/stories/worker_accelerators.story
+++ b/endivestile_testkit/tests/stories/worker_accelerators.story
@@ -1,6 +1,6 @@
-# One worker of each zone has an accelerator. Plain tasks come first and
-# could fill it; those that need the accelerator must still get it, and wait
-# for it while it is taken.
+# One worker of each zone has an accelerator. Plain tasks arrive first and could
+# fill it; tasks that need the accelerator must still get it, and wait while it
+# is taken.
 story
 world zones=a hosts=2 servers=1 workers=3 ms=500
 submit p at=a1 times=9 cpu=1000 memory=64
--- a/endivestile_testkit/tests/stories/worker_lost_lease.story
+++ b/endivestile_testkit/tests/stories/worker_lost_lease.story
@@ -1,6 +1,6 @@
-# A worker vanishes in the middle of a job under its lease, and another one
-# takes tasks and never answers. The job fails at the latest at its deadline,
-# whole; a payment that hung is not sent to another worker.
+# One worker vanishes during a job under its lease, and another one starts tasks
+# and never answers. The job fails as a whole, at the latest at its deadline; a
+# payment that hung is not sent to another worker.
 story
 world zones=a hosts=2 servers=1 workers=3 ms=400
 submit c1 at=a1 id=k1 tasks=9 cpu=1000 memory=64
