--- a/endivestile_testkit/src/fleet/calls.rs
+++ b/endivestile_testkit/src/fleet/calls.rs
@@ -4,7 +4,7 @@
 use endivestile_kernel::CallId;
 use endivestile_kernel::fleet::{FleetEvent, Job, JobEnd, Step};
 
-use super::worker::no_need;
+use super::worker::zero_need;
 use super::world::{FleetWorld, ScheduledEvent, Work};
 
 /// Time after which a caller without an answer submits its job again, in microseconds.
@@ -44,7 +44,7 @@
         let Some(host) = self.hosts.get(front).filter(|host| host.fleet.is_some()) else { return };
         let (incarnation, time) = (host.incarnation, host.time(self.now));
         let number = self.calls.len() as u64;
-        let need = job.steps.first().map_or_else(no_need, |step: &Step| step.need);
+        let need = job.steps.first().map_or_else(zero_need, |step: &Step| step.need);
         let near = job.steps.first().and_then(|step| step.near_label.clone());
         self.job_work.insert(job.id.clone(), Work { us: (work_ms * 1_000) as f64, need, near });
         let log = CallLog {
--- a/endivestile_testkit/src/fleet/check.rs
+++ b/endivestile_testkit/src/fleet/check.rs
@@ -16,34 +16,36 @@
     pub(crate) starts: BTreeMap<Name, u64>,
     /// Lease renewals sent since the story last printed the count.
     pub(crate) renewals: u64,
-    /// Breaches of guarantees, in the order in which they were detected.
+    /// Breaches of guarantees, in the request in which they were detected.
     pub(crate) breaches: Vec<String>,
 }
 
 impl Observed {
     /// Records the start of a task.
-    pub(crate) fn record_start(&mut self, order: &StartRequest) {
-        let id = order.task.split('.').next().unwrap_or_default();
+    pub(crate) fn record_start(&mut self, request: &StartRequest) {
+        let id = request.task.split('.').next().unwrap_or_default();
         self.started_ids.insert(Name::from(id));
-        *self.starts.entry(order.worker.clone()).or_default() += 1;
+        *self.starts.entry(request.worker.clone()).or_default() += 1;
     }
 }
 
-/// Grace period for orders that a host sent before it learned of an evacuation, in microseconds.
-const ORDER_GRACE_US: u64 = 250_000;
+/// Grace period for start requests that a host sent before it learned of an evacuation, in
+/// microseconds.
+const START_GRACE_US: u64 = 250_000;
 
 impl FleetWorld {
     /// Checks that a host which has learned of a zone's evacuation starts no task there.
-    pub(crate) fn check_evacuated(&mut self, host: &Name, order: &StartRequest) {
-        let Some(worker) = self.workers.get(&order.worker) else { return };
+    pub(crate) fn check_evacuated(&mut self, host: &Name, request: &StartRequest) {
+        let Some(worker) = self.workers.get(&request.worker) else { return };
         let zone = &worker.entry.zone;
         let Some(&(revision, true)) = self.store.evacuations.get(zone) else { return };
         let learned = self.hosts.get(host).and_then(|host| host.evacuations.get(zone));
         let late = learned
-            .is_some_and(|learned| learned.0 == revision && learned.1 + ORDER_GRACE_US < self.now);
+            .is_some_and(|learned| learned.0 == revision && learned.1 + START_GRACE_US < self.now);
         if late {
             let now = self.now / 1_000;
-            let breach = format!("{now} ms: {host} starts {} in evacuated zone {zone}", order.task);
+            let breach =
+                format!("{now} ms: {host} starts {} in evacuated zone {zone}", request.task);
             self.observed.breaches.push(breach);
         }
     }
--- a/endivestile_testkit/src/fleet/host.rs
+++ b/endivestile_testkit/src/fleet/host.rs
@@ -38,7 +38,7 @@
     pub(crate) paused: Option<Vec<FleetEvent>>,
     /// Whether a flush is scheduled.
     pub(crate) flush_scheduled: bool,
-    /// Virtual time of the next wake-up.
+    /// Virtual time of the next scheduled timer.
     pub(crate) wake_at: u64,
     /// Processor time that each event takes, in microseconds; 0 for none.
     pub(crate) event_cost_us: u64,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Flushes a host's fleet, applies its effects and schedules its next wake-up.
+    /// Flushes a host's fleet, applies its effects and schedules its next timer.
     pub(crate) fn flush(&mut self, name: &Name, incarnation: u64) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(name).filter(|host| host.incarnation == incarnation)
@@ -261,10 +261,10 @@
                 }
             }
             FleetEffect::WorkerCall(call) => self.call_worker(name, incarnation, call),
-            FleetEffect::StoreCall { op_id: token, op } => {
+            FleetEffect::StoreCall { op_id, op } => {
                 self.schedule_at(
                     self.now + self.store.delay_us / 2,
-                    ScheduledEvent::Swap { host: name.clone(), incarnation, token, op },
+                    ScheduledEvent::Swap { host: name.clone(), incarnation, op_id, op },
                 );
             }
             FleetEffect::RegisterLeaving => {
@@ -299,11 +299,11 @@
     /// Sends a call to a worker.
     fn call_worker(&mut self, name: &Name, incarnation: u64, call: WorkerCall) {
         let worker = match &call {
-            WorkerCall::Start(order) => order.worker.clone(),
-            WorkerCall::Stop(order) => order.worker.clone(),
-            WorkerCall::Renew(_, order) => {
+            WorkerCall::Start(request) => request.worker.clone(),
+            WorkerCall::Stop(request) => request.worker.clone(),
+            WorkerCall::Renew(_, request) => {
                 self.observed.renewals += 1;
-                order.worker.clone()
+                request.worker.clone()
             }
         };
         let due = worker_call_deadline(&call, Time::from_micros(self.now)).as_micros();
--- a/endivestile_testkit/src/fleet/story.rs
+++ b/endivestile_testkit/src/fleet/story.rs
@@ -84,13 +84,13 @@
             "check" => self.check(),
             "settled" => self.settled(),
             "trace" => self.output.push_str(&self.world.trace.join("\n")),
-            _ => self.fault(step)?,
+            _ => self.change_world(step)?,
         }
         Ok(())
     }
 
     /// Executes a step that changes the world.
-    fn fault(&mut self, step: &Step<'_>) -> Result<(), String> {
+    fn change_world(&mut self, step: &Step<'_>) -> Result<(), String> {
         let name = |at: usize| step.word(at).map(Name::from);
         match step.words[0] {
             "kill" => self.world.kill(&name(1)?),
@@ -174,7 +174,7 @@
 
     fn submit_one(&mut self, step: &Step<'_>, suffix: &str) -> Result<(), String> {
         let name = format!("{}{suffix}", step.word(1)?);
-        let at = Name::from(step.pairs.get("at").copied().ok_or("at=HOST is missing")?);
+        let front = Name::from(step.pairs.get("at").copied().ok_or("at=HOST is missing")?);
         let id = step.pairs.get("id").map_or_else(|| name.clone(), |id| format!("{id}{suffix}"));
         let work = step.number("ms", 100)?;
         let estimate = step.number("told", work)? as u32;
@@ -190,7 +190,7 @@
             after: (0..number as u16).collect(),
             required_label: step.pairs.get("label").map(|label| Name::from(*label)),
             near_label: step.pairs.get("near").map(|near| Name::from(*near)),
-            max_per_worker: step.pairs.get("spread").map_or(0, |most| most.parse().unwrap_or(0)),
+            max_per_worker: step.pairs.get("spread").map_or(0, |limit| limit.parse().unwrap_or(0)),
         });
         let job = Job {
             id: Name::from(id),
@@ -208,7 +208,7 @@
             run_base: 0,
             forwarded: false,
         };
-        self.world.submit(&name, &at, job, work, step.number("again", 1)? == 1);
+        self.world.submit(&name, &front, job, work, step.number("again", 1)? == 1);
         Ok(())
     }
 
--- a/endivestile_testkit/src/fleet/worker.rs
+++ b/endivestile_testkit/src/fleet/worker.rs
@@ -14,7 +14,7 @@
 const MAX_LEASE_MS: u64 = 1_000;
 
 /// Time from a stop request to the end of the run, in microseconds.
-const STOP_US: u64 = 50_000;
+const STOP_DELAY_US: u64 = 50_000;
 
 /// How a worker behaves.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -37,10 +37,10 @@
     /// Resources that the run uses.
     pub(crate) need: Need,
     /// Remaining work, in microseconds at speed 1.
-    left_us: f64,
+    remaining_us: f64,
     /// Total work, in microseconds at speed 1.
     total_us: f64,
-    /// Virtual time at which `left_us` was last updated.
+    /// Virtual time at which `remaining_us` was last updated.
     updated_at: u64,
     /// Virtual time at which the run fails, if it does.
     fails_at: Option<u64>,
@@ -111,7 +111,7 @@
     fn rate(&self) -> f64 {
         match self.behaviour {
             Behaviour::Hangs => 0.0,
-            Behaviour::Slow(times) => self.speed / times,
+            Behaviour::Slow(factor) => self.speed / factor,
             _ => self.speed,
         }
     }
@@ -120,7 +120,8 @@
     pub(crate) fn next_change(&self) -> Option<u64> {
         let rate = self.rate();
         let ends = self.runs.values().flat_map(|run| {
-            let done = (rate > 0.0).then(|| run.updated_at + (run.left_us / rate).ceil() as u64);
+            let done =
+                (rate > 0.0).then(|| run.updated_at + (run.remaining_us / rate).ceil() as u64);
             done.into_iter().chain(run.fails_at).chain(run.stops_at)
         });
         let expiry = (!self.runs.is_empty()).then(|| self.clock_zero + self.lease_until_ms * 1_000);
@@ -133,9 +134,9 @@
         let expired = self.clock_zero + self.lease_until_ms * 1_000 <= now;
         let mut finished = Vec::new();
         for ((task, number), run) in &mut self.runs {
-            run.left_us -= (now - run.updated_at) as f64 * rate;
+            run.remaining_us -= (now - run.updated_at) as f64 * rate;
             run.updated_at = now;
-            if run.left_us < 1.0 {
+            if run.remaining_us < 1.0 {
                 finished.push((task.clone(), *number, RunEnd::Done));
             } else if run.stops_at.is_some_and(|at| at <= now) {
                 finished.push((task.clone(), *number, RunEnd::Stopped));
@@ -182,28 +183,32 @@
     pub(crate) fn start(
         &mut self,
         now: u64,
-        order: &StartRequest,
+        request: &StartRequest,
         need: Need,
         work_us: f64,
     ) -> StartResult {
-        let id = (order.task.clone(), order.run);
-        if self.check_fence(order.token) {
+        let id = (request.task.clone(), request.run);
+        if self.check_fence(request.token) {
             return StartResult::Failed(CallError::Fenced);
         }
         if self.runs.contains_key(&id) {
             return StartResult::Started(self.clock_ms(now));
         }
-        if self.highest_run.get(&order.task).is_some_and(|highest_run| *highest_run >= order.run) {
+        if self
+            .highest_run
+            .get(&request.task)
+            .is_some_and(|highest_run| *highest_run >= request.run)
+        {
             return StartResult::Superseded;
         }
-        if order.lease_until <= self.clock_ms(now) {
+        if request.lease_until <= self.clock_ms(now) {
             return StartResult::Expired;
         }
-        self.extend_lease(now, order.lease_until);
+        self.extend_lease(now, request.lease_until);
         let fails_at = (self.behaviour == Behaviour::Errors).then_some(now + 5_000);
         let run = Run {
             need,
-            left_us: work_us,
+            remaining_us: work_us,
             total_us: work_us,
             updated_at: now,
             fails_at,
@@ -214,27 +219,27 @@
     }
 
     /// Executes a request to stop a run; returns the worker's clock in milliseconds.
-    pub(crate) fn stop(&mut self, now: u64, order: &StopRequest) -> Result<u64, CallError> {
-        if self.check_fence(order.token) {
+    pub(crate) fn stop(&mut self, now: u64, request: &StopRequest) -> Result<u64, CallError> {
+        if self.check_fence(request.token) {
             return Err(CallError::Fenced);
         }
-        if let Some(run) = self.runs.get_mut(&(order.task.clone(), order.run)) {
-            run.stops_at.get_or_insert(now + STOP_US);
+        if let Some(run) = self.runs.get_mut(&(request.task.clone(), request.run)) {
+            run.stops_at.get_or_insert(now + STOP_DELAY_US);
         }
-        self.raise_run(&order.task.clone(), order.run);
+        self.raise_run(&request.task.clone(), request.run);
         Ok(self.clock_ms(now))
     }
 
     /// Handles a lease renewal; returns whether it is to be answered at once.
-    pub(crate) fn renew(&mut self, now: u64, order: &RenewRequest) -> Result<bool, CallError> {
-        if self.check_fence(order.token) {
+    pub(crate) fn renew(&mut self, now: u64, request: &RenewRequest) -> Result<bool, CallError> {
+        if self.check_fence(request.token) {
             return Err(CallError::Fenced);
         }
-        if let Some(until) = order.lease_until {
+        if let Some(until) = request.lease_until {
             self.extend_lease(now, until);
         }
-        self.ends.retain(|end| end.number > order.observed);
-        Ok(!self.ends.is_empty() || order.wait_ms == 0)
+        self.ends.retain(|end| end.number > request.observed);
+        Ok(!self.ends.is_empty() || request.wait_ms == 0)
     }
 
     /// Returns the answer to a lease renewal.
@@ -242,7 +247,7 @@
         let running = self.runs.iter().map(|((task, run), state)| RunStatus {
             task: task.clone(),
             run: *run,
-            percent: (100.0 * (1.0 - state.left_us / state.total_us)) as u8,
+            percent: (100.0 * (1.0 - state.remaining_us / state.total_us)) as u8,
         });
         RenewReply {
             clock: self.clock_ms(now),
@@ -259,7 +264,7 @@
 }
 
 /// Returns a need of no resources.
-pub(crate) fn no_need() -> Need {
+pub(crate) fn zero_need() -> Need {
     Need { cpu_milli: 0, memory_mb: 0, accelerators: 0 }
 }
 
--- a/endivestile_testkit/src/fleet/worker_calls.rs
+++ b/endivestile_testkit/src/fleet/worker_calls.rs
@@ -3,15 +3,15 @@
 use endivestile_config::model::Name;
 use endivestile_kernel::fleet::{CallError, FleetEvent, StartResult, WorkerCall};
 
-use super::worker::{Behaviour, Worker, no_need};
+use super::worker::{Behaviour, Worker, zero_need};
 use super::world::{FleetWorld, ScheduledEvent, Work};
 
 impl FleetWorld {
     /// Handles a call that reaches a worker. Renewals without ended runs are held open.
     pub(crate) fn handle_worker_call(&mut self, call_id: u64, worker: &Name) {
         let Some((host, _, call)) = self.open_worker_calls.get(&call_id).cloned() else { return };
-        if let WorkerCall::Start(order) = &call {
-            self.check_evacuated(&host, order);
+        if let WorkerCall::Start(request) = &call {
+            self.check_evacuated(&host, request);
         }
         let Some(state) = self.workers.get_mut(worker) else { return };
         if state.unresponsive {
@@ -27,11 +27,11 @@
             );
             return;
         }
-        if let WorkerCall::Renew(_, order) = &call {
+        if let WorkerCall::Renew(_, request) = &call {
             self.advance_worker(worker);
             let Some(state) = self.workers.get_mut(worker) else { return };
-            if let Ok(false) = state.renew(self.now, order) {
-                let wait = u64::from(order.wait_ms) * 1_000;
+            if let Ok(false) = state.renew(self.now, request) {
+                let wait = u64::from(request.wait_ms) * 1_000;
                 self.open_renewals.insert(call_id, worker.clone());
                 self.schedule_at(
                     self.now + wait,
@@ -50,44 +50,44 @@
     pub(crate) fn execute_call(&mut self, call: &WorkerCall) -> Option<FleetEvent> {
         let now = self.now;
         let worker = match call {
-            WorkerCall::Start(order) => &order.worker,
-            WorkerCall::Stop(order) => &order.worker,
-            WorkerCall::Renew(_, order) => &order.worker,
+            WorkerCall::Start(request) => &request.worker,
+            WorkerCall::Stop(request) => &request.worker,
+            WorkerCall::Renew(_, request) => &request.worker,
         };
         self.advance_worker(worker);
         let state = self.workers.get_mut(worker)?;
         let event = match call {
-            WorkerCall::Start(order) => {
-                let id = order.task.split('.').next().unwrap_or_default();
+            WorkerCall::Start(request) => {
+                let id = request.task.split('.').next().unwrap_or_default();
                 let work = self.job_work.get(id).cloned();
-                let work = work.unwrap_or(Work { us: 1.0, need: no_need(), near: None });
+                let work = work.unwrap_or(Work { us: 1.0, need: zero_need(), near: None });
                 let remote = work.near.is_some_and(|near| !state.entry.labels.contains(&near));
                 let factor = if remote { f64::from(self.remote_milli) / 1_000.0 } else { 1.0 };
                 let (work_us, need) = (work.us * factor, work.need);
-                let new = !state.runs.contains_key(&(order.task.clone(), order.run));
-                let end = state.start(now, order, need, work_us);
+                let new = !state.runs.contains_key(&(request.task.clone(), request.run));
+                let end = state.start(now, request, need, work_us);
                 if new && matches!(end, StartResult::Started(_)) {
-                    self.observed.record_start(order);
+                    self.observed.record_start(request);
                 }
                 FleetEvent::StartEnded {
-                    worker: order.worker.clone(),
-                    task: order.task.clone(),
-                    run: order.run,
+                    worker: request.worker.clone(),
+                    task: request.task.clone(),
+                    run: request.run,
                     end,
                 }
             }
-            WorkerCall::Stop(order) => FleetEvent::StopEnded {
-                worker: order.worker.clone(),
-                task: order.task.clone(),
-                run: order.run,
-                end: state.stop(now, order),
+            WorkerCall::Stop(request) => FleetEvent::StopEnded {
+                worker: request.worker.clone(),
+                task: request.task.clone(),
+                run: request.run,
+                end: state.stop(now, request),
             },
-            WorkerCall::Renew(number, order) => {
-                let end = match state.renew(now, order) {
+            WorkerCall::Renew(number, request) => {
+                let end = match state.renew(now, request) {
                     Ok(_) => Ok(state.renew_reply(now)),
-                    Err(fault) => Err(fault),
+                    Err(error) => Err(error),
                 };
-                FleetEvent::RenewalEnded { worker: order.worker.clone(), number: *number, end }
+                FleetEvent::RenewalEnded { worker: request.worker.clone(), number: *number, end }
             }
         };
         let worker = worker.clone();
@@ -153,21 +153,23 @@
         };
         self.open_renewals.remove(&call_id);
         let event = match call {
-            WorkerCall::Start(order) => FleetEvent::StartEnded {
-                worker: order.worker,
-                task: order.task,
-                run: order.run,
+            WorkerCall::Start(request) => FleetEvent::StartEnded {
+                worker: request.worker,
+                task: request.task,
+                run: request.run,
                 end: StartResult::Failed(CallError::Lost),
             },
-            WorkerCall::Stop(order) => FleetEvent::StopEnded {
-                worker: order.worker,
-                task: order.task,
-                run: order.run,
+            WorkerCall::Stop(request) => FleetEvent::StopEnded {
+                worker: request.worker,
+                task: request.task,
+                run: request.run,
+                end: Err(CallError::Lost),
+            },
+            WorkerCall::Renew(number, request) => FleetEvent::RenewalEnded {
+                worker: request.worker,
+                number,
                 end: Err(CallError::Lost),
             },
-            WorkerCall::Renew(number, order) => {
-                FleetEvent::RenewalEnded { worker: order.worker, number, end: Err(CallError::Lost) }
-            }
         };
         self.deliver(&host, host_incarnation, event);
     }
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -50,7 +50,7 @@
     /// A worker executes a call that it left unanswered, unless it has restarted since.
     LateCall { call: WorkerCall, worker: Name, worker_incarnation: u64 },
     /// A compare-and-swap reaches the store.
-    Swap { host: Name, incarnation: u64, token: u64, op: StoreOp },
+    Swap { host: Name, incarnation: u64, op_id: u64, op: StoreOp },
     /// A host registers.
     Register { entry: HostEntry },
     /// A host reads the whole store.
@@ -85,6 +85,7 @@
     pub(crate) workers: BTreeMap<Name, Worker>,
     pub(crate) store: Store,
     pub(crate) net: Network,
+    /// Routes that hosts read from the store.
     pub(crate) table: Arc<RouteTable>,
     pub(crate) calls: BTreeMap<u64, CallLog>,
     /// Work by job id.
@@ -101,6 +102,7 @@
     pub(crate) observed: Observed,
     /// Whether log lines of the hosts are collected in `trace`.
     pub(crate) trace_enabled: bool,
+    /// Collected log lines.
     pub(crate) trace: Vec<String>,
     pub(crate) rng: SmallRng,
     /// Workers of the renewals that are held open, by call id.
@@ -246,8 +248,8 @@
             ScheduledEvent::LateCall { call, worker, worker_incarnation } => {
                 self.execute_late_call(&call, &worker, worker_incarnation)
             }
-            ScheduledEvent::Swap { host, incarnation, token, op } => {
-                self.swap(host, incarnation, token, &op)
+            ScheduledEvent::Swap { host, incarnation, op_id, op } => {
+                self.swap(host, incarnation, op_id, &op)
             }
             ScheduledEvent::Register { entry } => self.register(&entry),
             ScheduledEvent::ReadStore { host, incarnation } => self.read_store(&host, incarnation),
@@ -265,7 +267,7 @@
     }
 
     /// Executes a compare-and-swap of a host; a lost one times out after 700 ms.
-    fn swap(&mut self, host: Name, incarnation: u64, token: u64, op: &StoreOp) {
+    fn swap(&mut self, host: Name, incarnation: u64, op_id: u64, op: &StoreOp) {
         let at = self.now + self.store.delay_us / 2;
         let mut answer = StoreResult::Lost;
         if !self.store.down && self.net.reaches(&host, STORE) {
@@ -285,7 +287,7 @@
             ScheduledEvent::Event {
                 host,
                 incarnation,
-                event: FleetEvent::StoreCallEnded { op_id: token, result: answer },
+                event: FleetEvent::StoreCallEnded { op_id, result: answer },
             },
         );
     }
--- a/endivestile_testkit/src/world/check.rs
+++ b/endivestile_testkit/src/world/check.rs
@@ -9,9 +9,9 @@
 use super::call::work_text;
 
 /// Time after which a leaving backend server or worker gets no new work, in microseconds.
-const LEAVING_US: u64 = 5_000_000;
+const LEAVING_GRACE_US: u64 = 5_000_000;
 /// Time within which every host adopts an accepted configuration, in microseconds.
-const ADOPT_US: u64 = 14_000_000;
+const ADOPTION_LIMIT_US: u64 = 14_000_000;
 
 impl World {
     /// Returns all breaches of guarantees so far.
@@ -56,13 +56,13 @@
             *counts.entry(&start.work).or_default() += 1;
         }
         // An idempotent request without an id may be retried.
-        let once = |word: &str| {
+        let has_id = |name: &str| {
             let mut calls = self.calls.values();
-            calls.any(|call| call.id.is_some() && call.work_name == word)
+            calls.any(|call| call.id.is_some() && call.work_name == name)
         };
         let doubled = counts.into_iter().filter(|(work, count)| {
-            let word = work.rsplit_once('/').map_or(*work, |(word, _)| word);
-            *count > 1 && once(word)
+            let name = work.rsplit_once('/').map_or(*work, |(name, _)| name);
+            *count > 1 && has_id(name)
         });
         doubled.map(|(work, count)| format!("promise 1: {work} started {count} times")).collect()
     }
@@ -74,10 +74,10 @@
             let not_run = call.answer.as_ref().is_some_and(Answer::is_not_run);
             *refused.entry(&call.work_name).or_insert(true) &= not_run;
         }
-        let words = refused.into_iter().filter(|(_, refused)| *refused);
-        let started = words.filter(|(word, _)| self.count_starts(word) > 0);
+        let names = refused.into_iter().filter(|(_, refused)| *refused);
+        let started = names.filter(|(name, _)| self.count_starts(name) > 0);
         started
-            .map(|(word, _)| format!("promise 4: {word} was refused as not run, but started"))
+            .map(|(name, _)| format!("promise 4: {name} was refused as not run, but started"))
             .collect()
     }
 
@@ -85,7 +85,7 @@
     fn starts_on_leaving(&self) -> Vec<String> {
         let late = self.starts.iter().filter(|start| {
             let leaving = self.backends.get(&start.server).and_then(|backend| backend.leaving);
-            leaving.is_some_and(|since| start.at > since + LEAVING_US)
+            leaving.is_some_and(|since| start.at > since + LEAVING_GRACE_US)
         });
         late.map(|start| {
             format!("promise 6: {} started on {}, which is leaving", start.work, start.server)
@@ -96,12 +96,12 @@
     /// Without faults, every running host must adopt the newest configuration in time.
     fn late_configs(&self) -> Vec<String> {
         let Some(accepted) = self.platform.accepted else { return Vec::new() };
-        if accepted + ADOPT_US > self.now || self.faulty {
+        if accepted + ADOPTION_LIMIT_US > self.now || self.faulty {
             return Vec::new();
         }
         let newest = self.platform.revision;
         let running = self.sim_hosts.iter().filter(|(_, sim_host)| sim_host.is_running());
-        let late = running.filter(|(name, _)| self.revision(name) < newest);
-        late.map(|(name, _)| format!("promise 8: {name} has an old configuration")).collect()
+        let late = running.filter(|(host, _)| self.revision(host) < newest);
+        late.map(|(host, _)| format!("promise 8: {host} has an old configuration")).collect()
     }
 }
--- a/endivestile_testkit/src/world/faults.rs
+++ b/endivestile_testkit/src/world/faults.rs
@@ -44,7 +44,7 @@
         self.reconnect();
     }
 
-    /// Sets the duration of store calls, in milliseconds.
+    /// Sets the delay of store calls in each direction, in milliseconds.
     pub fn set_store_delay(&mut self, millis: u64) {
         self.platform.delay_us = millis * 1_000;
     }
--- a/endivestile_testkit/src/world/platform.rs
+++ b/endivestile_testkit/src/world/platform.rs
@@ -20,13 +20,14 @@
 #[derive(Debug)]
 pub(super) struct Lease {
     registration: Registration,
-    renewed: u64,
+    renewed_at: u64,
 }
 
 /// State and faults of the platform's services.
 #[derive(Debug)]
 pub(super) struct Platform {
     pub(super) down: bool,
+    /// Duration of a store call in each direction, in microseconds.
     pub(super) delay_us: u64,
     /// Number of coming answers that are lost after their change took effect.
     pub(super) answers_to_lose: u32,
@@ -200,16 +201,16 @@
         let Some(sim_host) = self.sim_hosts.get(name) else { return };
         let incarnation = sim_host.incarnation;
         let renews = sim_host.is_running() && sim_host.connected;
-        let held = self.platform.registered.get_mut(name);
-        match held {
+        let existing = self.platform.registered.get_mut(name);
+        match existing {
             Some(lease) if renews && lease.registration.peer.birth == incarnation => {
-                lease.renewed = now
+                lease.renewed_at = now
             }
             _ if renews => {
                 let leaving = sim_host.leaving(now);
                 self.register(name, leaving);
             }
-            Some(lease) if lease.renewed + LEASE_TTL_US < now && !self.platform.down => {
+            Some(lease) if lease.renewed_at + LEASE_TTL_US < now && !self.platform.down => {
                 self.platform.registered.remove(name);
                 self.broadcast(Event::HostRegistration { host: name.clone(), registration: None });
             }
@@ -233,7 +234,7 @@
             address: host.address.clone(),
             leaving,
         };
-        let lease = Lease { registration: registration.clone(), renewed: self.now };
+        let lease = Lease { registration: registration.clone(), renewed_at: self.now };
         self.platform.registered.insert(name.clone(), lease);
         self.broadcast(Event::HostRegistration {
             host: name.clone(),
--- a/endivestile_testkit/src/world/story.rs
+++ b/endivestile_testkit/src/world/story.rs
@@ -77,13 +77,13 @@
             "slower" => self.slower(step)?,
             "hosts" => self.hosts(),
             "calls" => self.store_calls(),
-            _ => self.fault(step)?,
+            _ => self.change_world(step)?,
         }
         Ok(())
     }
 
     /// Executes a step that changes the world.
-    fn fault(&mut self, step: &Step<'_>) -> Result<(), String> {
+    fn change_world(&mut self, step: &Step<'_>) -> Result<(), String> {
         match step.words[0] {
             "kill" => {
                 let host = self.host(step, 1)?;
--- a/endivestile_testkit/tests/stories/cancel_lossy.story
+++ b/endivestile_testkit/tests/stories/cancel_lossy.story
@@ -1,7 +1,7 @@
 # Cancellations and resubmissions of the same ids cross on links that lose a
 # third of the frames, while shards change hands. No caller gets a partial
-# result and no task starts twice. A job that was cancelled before it started is
-# forgotten when its home is lost, so a later resubmission may run it.
+# result and no task starts twice. A job cancelled before it started is recorded
+# only at its home; once its shard has another home, a resubmission may run it.
 story
 world zones=a,b hosts=2 servers=2 ms=150
 lose 33
--- a/endivestile_testkit/tests/stories/start_store_slow.story
+++ b/endivestile_testkit/tests/stories/start_store_slow.story
@@ -1,6 +1,6 @@
-# The store is slow: every call takes two seconds. The home dies during a job,
-# and its witness needs several calls to take over. Callers are answered unknown
-# at once, or wait, and the job never starts again.
+# The store is slow: every call takes two seconds in each direction. The home
+# dies during a job, and its witness needs several calls to take over. Callers
+# are answered unknown at once, or wait, and the job never starts again.
 story
 world zones=a,b hosts=2 servers=2 shards=2 ms=300
 submit c1 at=a1 id=k1 tasks=6
