--- a/endivestile/examples/edges.rs
+++ b/endivestile/examples/edges.rs
@@ -1,9 +1,9 @@
-//! The HTTP libraries on one load: `tiny_http` and `hyper` as servers, `ureq`
-//! and `hyper` as clients. Prints a table; not a test, it asserts nothing.
+//! Compares HTTP libraries under the same load: `tiny_http` and `hyper` as servers,
+//! `ureq` and `hyper` as clients. Prints a table and asserts nothing.
 //!
-//! Each server is a process of its own, so that its processor time can be told
-//! apart: the example starts itself again. Answers are two bytes, so that what is
-//! measured is the library and its threads.
+//! Servers and clients under test run in separate processes, so that their processor
+//! time can be measured: the example starts itself again. Responses have two bytes, so
+//! that the measured cost is that of the library and its threads.
 
 use std::convert::Infallible;
 use std::env;
@@ -27,29 +27,29 @@
 use tokio::runtime::Builder;
 use ureq::Agent;
 
-/// Callers of each round.
+/// Numbers of concurrent callers, one round each.
 const CALLERS: [usize; 3] = [1, 16, 64];
 /// Length of a round.
 const ROUND: Duration = Duration::from_secs(2);
-/// Threads of the server that blocks, as the daemon's default.
-const THREADS: usize = 8;
-/// Milliseconds of a clock tick in `/proc`.
+/// Threads of the blocking server, the daemon's default.
+const SERVER_THREADS: usize = 8;
+/// Length of a clock tick in `/proc`, in milliseconds.
 const TICK_MS: u64 = 10;
-/// Body of each answer.
+/// Body of each response.
 const BODY: &[u8] = b"ok";
 
-/// Result of a step; an error ends the example with a failure.
-type Step<T = ()> = Result<T, Box<dyn Error>>;
+/// Result of a step; an error makes the example exit with failure.
+type StepResult<T = ()> = Result<T, Box<dyn Error>>;
 
 fn main() -> ExitCode {
     let args: Vec<String> = env::args().skip(1).collect();
-    let done = match args.iter().map(String::as_str).collect::<Vec<_>>().as_slice() {
+    let result = match args.iter().map(String::as_str).collect::<Vec<_>>().as_slice() {
         ["serve", "tiny_http"] => serve_tiny(),
         ["serve", "hyper"] => serve_hyper(),
-        ["call", name, address, callers] => call_as(name, address, callers),
-        _ => measure(),
+        ["call", name, address, callers] => measure_client(name, address, callers),
+        _ => measure_all(),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("edges failed: {err}");
@@ -58,24 +58,25 @@
     }
 }
 
-fn measure() -> Step {
+/// Prints one row for each library and number of callers.
+fn measure_all() -> StepResult {
     println!("| library | callers | calls/s | p50 us | p99 us | core us/call | threads |");
     println!("|---|---|---|---|---|---|---|");
     for name in ["tiny_http", "hyper"] {
         for callers in CALLERS {
-            let (mut child, address) = start(name)?;
-            let before = cpu_ms(child.id())?;
-            let took = load(address, callers)?;
-            let cpu = cpu_ms(child.id())? - before;
+            let (mut child, address) = start_server(name)?;
+            let before_ms = cpu_ms(child.id())?;
+            let times_us = run_callers(address, callers)?;
+            let used_ms = cpu_ms(child.id())? - before_ms;
             let threads = fs::read_dir(format!("/proc/{}/task", child.id()))?.count();
-            row(&format!("server {name}"), callers, took, cpu, threads);
+            print_row(&format!("server {name}"), callers, times_us, used_ms, threads);
             child.kill()?;
             child.wait()?;
         }
     }
     for name in ["ureq", "hyper"] {
         for callers in CALLERS {
-            let (mut child, address) = start("hyper")?;
+            let (mut child, address) = start_server("hyper")?;
             let program = env::current_exe()?;
             let (address, callers_text) = (address.to_string(), callers.to_string());
             let output =
@@ -88,55 +89,58 @@
     Ok(())
 }
 
-fn row(name: &str, callers: usize, mut took: Vec<u64>, cpu_ms: u64, threads: usize) {
-    took.sort_unstable();
-    let calls = took.len().max(1);
-    let at = |percent: usize| took.get(calls * percent / 100).copied().unwrap_or(0);
+fn print_row(name: &str, callers: usize, mut times_us: Vec<u64>, cpu_ms: u64, threads: usize) {
+    times_us.sort_unstable();
+    let calls = times_us.len().max(1);
+    let percentile_us = |percent: usize| times_us.get(calls * percent / 100).copied().unwrap_or(0);
     let rate = calls as f64 / ROUND.as_secs_f64();
     let core_us = cpu_ms as f64 * 1_000.0 / calls as f64;
     println!(
         "| {name} | {callers} | {rate:.0} | {} | {} | {core_us:.0} | {threads} |",
-        at(50),
-        at(99)
+        percentile_us(50),
+        percentile_us(99)
     );
 }
 
-/// Starts a server; it prints its address as its first line.
-fn start(name: &str) -> Step<(Child, SocketAddr)> {
+/// Starts a server process and reads its address from its first line of output.
+fn start_server(name: &str) -> StepResult<(Child, SocketAddr)> {
     let program = env::current_exe()?;
     let mut child = Command::new(program).args(["serve", name]).stdout(Stdio::piped()).spawn()?;
     let mut line = String::new();
-    let output = child.stdout.take().ok_or("no output")?;
+    let output = child.stdout.take().ok_or("the server has no output pipe")?;
     BufReader::new(output).read_line(&mut line)?;
     Ok((child, line.trim().parse()?))
 }
 
-/// Returns the processor time of a process, in milliseconds.
-fn cpu_ms(pid: u32) -> Step<u64> {
+/// Returns the processor time that a process has used, in milliseconds.
+fn cpu_ms(pid: u32) -> StepResult<u64> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let rest = stat.rsplit_once(") ").ok_or("no stat")?.1;
-    let field = |at: usize| rest.split(' ').nth(at).and_then(|word| word.parse::<u64>().ok());
-    Ok((field(11).unwrap_or(0) + field(12).unwrap_or(0)) * TICK_MS)
+    let fields = stat.rsplit_once(") ").ok_or("unexpected format of the stat file")?.1;
+    let ticks = |at: usize| fields.split(' ').nth(at).and_then(|text| text.parse::<u64>().ok());
+    Ok((ticks(11).unwrap_or(0) + ticks(12).unwrap_or(0)) * TICK_MS)
 }
 
-/// Calls in closed loops from so many threads; returns how long each call took.
-fn load(address: SocketAddr, callers: usize) -> Step<Vec<u64>> {
+/// Runs that many callers, a thread each, in closed loops; returns the time of each call in
+/// microseconds.
+fn run_callers(address: SocketAddr, callers: usize) -> StepResult<Vec<u64>> {
     let end = Instant::now() + ROUND;
-    let threads: Vec<_> = (0..callers).map(|_| thread::spawn(move || call(address, end))).collect();
-    let mut took = Vec::new();
+    let threads: Vec<_> =
+        (0..callers).map(|_| thread::spawn(move || call_in_loop(address, end))).collect();
+    let mut times_us = Vec::new();
     for thread in threads {
-        took.extend(thread.join().map_err(|_| "a caller failed")??);
+        times_us.extend(thread.join().map_err(|_| "a caller panicked")??);
     }
-    Ok(took)
+    Ok(times_us)
 }
 
-fn call(address: SocketAddr, end: Instant) -> std::io::Result<Vec<u64>> {
+/// Sends requests on one connection until `end`, without a client library.
+fn call_in_loop(address: SocketAddr, end: Instant) -> std::io::Result<Vec<u64>> {
     let stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream);
-    let mut took = Vec::new();
+    let mut times_us = Vec::new();
     while Instant::now() < end {
-        let begun = Instant::now();
+        let started = Instant::now();
         reader.get_mut().write_all(b"GET / HTTP/1.1\r\nHost: e1\r\n\r\n")?;
         let mut line = String::new();
         while line != "\r\n" {
@@ -147,21 +151,21 @@
         }
         let mut body = [0; BODY.len()];
         reader.read_exact(&mut body)?;
-        took.push(begun.elapsed().as_micros() as u64);
+        times_us.push(started.elapsed().as_micros() as u64);
     }
-    Ok(took)
+    Ok(times_us)
 }
 
-fn serve_tiny() -> Step {
+fn serve_tiny() -> StepResult {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     println!("{}", listener.local_addr()?);
     let server = tiny_http::Server::from_listener(listener, None);
     let server = Arc::new(server.map_err(|e| e.to_string())?);
-    let threads = (0..THREADS).map(|_| {
+    let threads = (0..SERVER_THREADS).map(|_| {
         let server = Arc::clone(&server);
         thread::spawn(move || {
             while let Ok(request) = server.recv() {
-                // A caller that has gone needs no answer.
+                // Fails only when the caller has disconnected.
                 let _ = request.respond(tiny_http::Response::from_data(BODY));
             }
         })
@@ -170,7 +174,7 @@
     Ok(())
 }
 
-fn serve_hyper() -> Step {
+fn serve_hyper() -> StepResult {
     Builder::new_current_thread().enable_all().build()?.block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         println!("{}", listener.local_addr()?);
@@ -186,20 +190,21 @@
     })
 }
 
-/// Calls a server through a client library, and prints a row.
-fn call_as(name: &str, address: &str, callers: &str) -> Step {
+/// Calls a server through a client library and prints a row.
+fn measure_client(name: &str, address: &str, callers: &str) -> StepResult {
     let callers = callers.parse()?;
-    let before = cpu_ms(std::process::id())?;
-    let (took, threads) = match name {
+    let before_ms = cpu_ms(std::process::id())?;
+    let (times_us, threads) = match name {
         "ureq" => call_ureq(address, callers)?,
         _ => call_hyper(address, callers)?,
     };
-    let cpu = cpu_ms(std::process::id())? - before;
-    row(&format!("client {name}"), callers, took, cpu, threads);
+    let used_ms = cpu_ms(std::process::id())? - before_ms;
+    print_row(&format!("client {name}"), callers, times_us, used_ms, threads);
     Ok(())
 }
 
-fn call_ureq(address: &str, callers: usize) -> Step<(Vec<u64>, usize)> {
+/// Calls through `ureq`; returns the times in microseconds and the number of threads.
+fn call_ureq(address: &str, callers: usize) -> StepResult<(Vec<u64>, usize)> {
     let end = Instant::now() + ROUND;
     let url = format!("http://{address}/");
     let threads: Vec<_> = (0..callers)
@@ -207,37 +212,38 @@
             let url = url.clone();
             thread::spawn(move || -> Result<Vec<u64>, ureq::Error> {
                 let agent = Agent::new_with_defaults();
-                let mut took = Vec::new();
+                let mut times_us = Vec::new();
                 while Instant::now() < end {
-                    let begun = Instant::now();
+                    let started = Instant::now();
                     agent.get(&url).call()?.body_mut().read_to_vec()?;
-                    took.push(begun.elapsed().as_micros() as u64);
+                    times_us.push(started.elapsed().as_micros() as u64);
                 }
-                Ok(took)
+                Ok(times_us)
             })
         })
         .collect();
-    let mut took = Vec::new();
+    let mut times_us = Vec::new();
     for thread in threads {
-        took.extend(thread.join().map_err(|_| "a caller failed")??);
+        times_us.extend(thread.join().map_err(|_| "a caller panicked")??);
     }
-    Ok((took, callers))
+    Ok((times_us, callers))
 }
 
-fn call_hyper(address: &str, callers: usize) -> Step<(Vec<u64>, usize)> {
+/// Calls through `hyper`; returns the times in microseconds and the number of threads.
+fn call_hyper(address: &str, callers: usize) -> StepResult<(Vec<u64>, usize)> {
     let end = Instant::now() + ROUND;
     Builder::new_current_thread().enable_all().build()?.block_on(async {
         let tasks: Vec<_> =
-            (0..callers).map(|_| tokio::spawn(hyper_loop(address.to_owned(), end))).collect();
-        let mut took = Vec::new();
+            (0..callers).map(|_| tokio::spawn(hyper_call_loop(address.to_owned(), end))).collect();
+        let mut times_us = Vec::new();
         for task in tasks {
-            took.extend(task.await?.map_err(|e| e.to_string())?);
+            times_us.extend(task.await?.map_err(|e| e.to_string())?);
         }
-        Ok((took, 1))
+        Ok((times_us, 1))
     })
 }
 
-async fn hyper_loop(
+async fn hyper_call_loop(
     address: String,
     end: Instant,
 ) -> Result<Vec<u64>, Box<dyn Error + Send + Sync>> {
@@ -245,12 +251,12 @@
     stream.set_nodelay(true)?;
     let (mut sender, connection) = client::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
-    let mut took = Vec::new();
+    let mut times_us = Vec::new();
     while Instant::now() < end {
-        let begun = Instant::now();
+        let started = Instant::now();
         let request = Request::get("/").header("Host", "e1").body(Full::<Bytes>::default())?;
         sender.send_request(request).await?.into_body().collect().await?;
-        took.push(begun.elapsed().as_micros() as u64);
+        times_us.push(started.elapsed().as_micros() as u64);
     }
-    Ok(took)
+    Ok(times_us)
 }
--- a/endivestile/examples/quickstart.rs
+++ b/endivestile/examples/quickstart.rs
@@ -1,9 +1,9 @@
-//! A whole deployment on loopback: two availability zones with two entry hosts
-//! each, backend servers, workers and the platform's store as stand-ins.
+//! A complete deployment on loopback: two availability zones with two entry hosts each;
+//! backend servers, workers and the platform's store are stand-ins.
 //!
-//! Submits a job and requests, checks every answer, prints a short report, and
-//! ends with exit code 0 only if all was right. The entry hosts are processes:
-//! the example starts itself again with `daemon` as first argument.
+//! Submits a job and requests, checks every answer, prints a short report, and exits
+//! with code 0 only if all checks passed. The entry hosts are processes: the example
+//! starts itself again with `daemon` as first argument.
 
 use std::env;
 use std::error::Error;
@@ -16,28 +16,28 @@
 use endivestile_wire::call::{NeedBody, TaskBody};
 
 /// First argument of the processes that run as entry hosts.
-const DAEMON: &str = "daemon";
-/// Tasks of the job, of which each fourth goes to a worker.
+const DAEMON_ARG: &str = "daemon";
+/// Tasks of the job, every fourth of which runs on a worker.
 const JOB_TASKS: usize = 40;
 /// Requests of each kind.
 const REQUESTS: usize = 10;
-/// Times that a submission is repeated when the entry host asks for it.
-const TRIES: usize = 10;
-/// Seconds that a graceful shutdown may take here.
-const STOP_S: u64 = 20;
+/// Retries of a submission while the entry host asks for them.
+const RETRIES: usize = 10;
+/// Timeout of a graceful shutdown, in seconds.
+const STOP_TIMEOUT_S: u64 = 20;
 
-/// Result of a step; an error ends the example with a failure.
-type Step<T = ()> = Result<T, Box<dyn Error>>;
+/// Result of a step; an error makes the example exit with failure.
+type StepResult<T = ()> = Result<T, Box<dyn Error>>;
 
 fn main() -> ExitCode {
     let mut args: Vec<OsString> = env::args_os().collect();
-    if args.get(1).is_some_and(|arg| arg == DAEMON) {
+    if args.get(1).is_some_and(|arg| arg == DAEMON_ARG) {
         args.remove(1);
         return endivestile::run_from(args);
     }
-    match tour() {
+    match run() {
         Ok(()) => {
-            println!("all right");
+            println!("all checks passed");
             ExitCode::SUCCESS
         }
         Err(err) => {
@@ -47,20 +47,20 @@
     }
 }
 
-fn tour() -> Step {
-    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON.into()] };
+fn run() -> StepResult {
+    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON_ARG.into()] };
     println!("starting 2 availability zones with 2 entry hosts each");
     let mut deployment = Deployment::start(plan(), &daemon)?;
     let callers: Vec<Caller> =
         deployment.hosts.iter().map(|host| Caller::new(host.address(), "harbour")).collect();
     run_job(&callers)?;
     run_requests(&callers)?;
-    resubmit(&callers)?;
-    let doubled =
+    run_resubmission(&callers)?;
+    let duplicates =
         [deployment.servers.duplicate_starts(), deployment.workers.duplicate_starts()].concat();
-    ensure(doubled.is_empty(), || format!("started more than once: {doubled:?}"))?;
-    messages(&callers)?;
-    stop(&mut deployment)
+    ensure(duplicates.is_empty(), || format!("started more than once: {duplicates:?}"))?;
+    print_counters(&callers)?;
+    stop_hosts(&mut deployment)
 }
 
 fn plan() -> Plan {
@@ -79,16 +79,16 @@
     plan
 }
 
-fn run_job(callers: &[Caller]) -> Step {
+fn run_job(callers: &[Caller]) -> StepResult {
     let works: Vec<String> = (0..JOB_TASKS).map(|n| work("job", n, 50 + n)).collect();
     let tasks: Vec<TaskBody> = works.iter().enumerate().map(|(n, work)| task(n, work)).collect();
     let id = Caller::own_id("job");
-    let began = Instant::now();
-    let reply = persist(|| callers[0].submit_tasks(&id, tasks.clone()))?;
-    let took_ms = began.elapsed().as_millis();
+    let started = Instant::now();
+    let reply = submit_with_retry(|| callers[0].submit_tasks(&id, tasks.clone()))?;
+    let took_ms = started.elapsed().as_millis();
     let results = reply.answer().and_then(|answer| answer.results).unwrap_or_default();
     let expected: Vec<String> = works.iter().map(|work| echo(work)).collect();
-    ensure(reply.status == 200 && results == expected, || told("job", &reply))?;
+    ensure(reply.status == 200 && results == expected, || describe("job", &reply))?;
     println!("job: {JOB_TASKS} tasks on backend servers and workers, complete in {took_ms} ms");
     Ok(())
 }
@@ -104,18 +104,18 @@
     }
 }
 
-fn run_requests(callers: &[Caller]) -> Step {
+fn run_requests(callers: &[Caller]) -> StepResult {
     for (kind, idempotent) in [("idempotent", true), ("non-idempotent", false)] {
         let mut took_ms = Vec::new();
         for n in 0..REQUESTS {
             let caller = &callers[n % callers.len()];
             let work = work(kind, n, 60);
             let id = Caller::own_id(&format!("{kind}-{n}"));
-            let began = Instant::now();
+            let started = Instant::now();
             let id = (!idempotent).then_some(id.as_str());
-            let reply = persist(|| caller.request("orders", id, &work))?;
-            took_ms.push(began.elapsed().as_millis());
-            ensure(reply.status == 200 && reply.body == echo(&work), || told(kind, &reply))?;
+            let reply = submit_with_retry(|| caller.request("orders", id, &work))?;
+            took_ms.push(started.elapsed().as_millis());
+            ensure(reply.status == 200 && reply.body == echo(&work), || describe(kind, &reply))?;
         }
         took_ms.sort_unstable();
         let (median, worst) = (took_ms[REQUESTS / 2], took_ms[REQUESTS - 1]);
@@ -124,19 +124,20 @@
     Ok(())
 }
 
-/// A caller that believes its payment lost sends it again, by another entry host.
-fn resubmit(callers: &[Caller]) -> Step {
+/// Submits a payment under the same id to two entry hosts, as a caller does that got no answer
+/// to the first submission, and checks that both answers are the same.
+fn run_resubmission(callers: &[Caller]) -> StepResult {
     let id = Caller::own_id("payment");
     let work = work("payment", 0, 20);
-    let first = persist(|| callers[0].request("orders", Some(&id), &work))?;
-    let second = persist(|| callers[3].request("orders", Some(&id), &work))?;
-    ensure(first.status == 200 && first == second, || told("resubmission", &second))?;
+    let first = submit_with_retry(|| callers[0].request("orders", Some(&id), &work))?;
+    let second = submit_with_retry(|| callers[3].request("orders", Some(&id), &work))?;
+    ensure(first.status == 200 && first == second, || describe("resubmission", &second))?;
     println!("resubmission by another entry host: same answer, no second start");
     Ok(())
 }
 
-/// Prints what the entry hosts counted, as far as it concerns messages.
-fn messages(callers: &[Caller]) -> Step {
+/// Prints the message counters of all entry hosts together.
+fn print_counters(callers: &[Caller]) -> StepResult {
     const NAMES: [&str; 6] = ["starts", "forwards", "handoffs", "records", "frames", "store_calls"];
     let mut sums = [0; NAMES.len()];
     for caller in callers {
@@ -145,29 +146,29 @@
             *sum += status["counters"][name].as_u64().unwrap_or(0);
         }
     }
-    let words: Vec<String> =
+    let pairs: Vec<String> =
         NAMES.iter().zip(sums).map(|(name, sum)| format!("{name}={sum}")).collect();
-    println!("messages of all entry hosts: {}", words.join(" "));
+    println!("messages of all entry hosts: {}", pairs.join(" "));
     Ok(())
 }
 
-fn stop(deployment: &mut Deployment) -> Step {
+fn stop_hosts(deployment: &mut Deployment) -> StepResult {
     for host in &deployment.hosts {
         host.terminate();
     }
     for host in &mut deployment.hosts {
-        let status = host.wait_exit(STOP_S);
-        let clean = status.is_some_and(|status| status.success());
-        ensure(clean, || format!("{} ended with {status:?}", host.name()))?;
+        let status = host.wait_exit(STOP_TIMEOUT_S);
+        let succeeded = status.is_some_and(|status| status.success());
+        ensure(succeeded, || format!("{} ended with {status:?}", host.name()))?;
     }
     println!("graceful shutdown of 4 entry hosts");
     Ok(())
 }
 
-/// Submits again under the same id while the answer is "come back later", as a
-/// caller should: entry hosts that have just started still share out the ids.
-fn persist(mut submit: impl FnMut() -> Result<Reply, ureq::Error>) -> Step<Reply> {
-    for _ in 0..TRIES {
+/// Submits again under the same id while the reply asks for a retry, as a caller should: entry
+/// hosts that have just started have yet to assign the shards of ids.
+fn submit_with_retry(mut submit: impl FnMut() -> Result<Reply, ureq::Error>) -> StepResult<Reply> {
+    for _ in 0..RETRIES {
         let reply = submit()?;
         match reply.retry_s {
             Some(retry_s) => thread::sleep(Duration::from_secs(retry_s)),
@@ -177,14 +178,16 @@
     Ok(submit()?)
 }
 
+/// Makes the work of a task that runs for `ms` milliseconds.
 fn work(kind: &str, n: usize, ms: usize) -> String {
     format!(r#"{{"key":"{kind}-{n}","ms":{ms}}}"#)
 }
 
-fn told(step: &str, reply: &Reply) -> String {
+/// Describes an unexpected reply.
+fn describe(step: &str, reply: &Reply) -> String {
     format!("{step}: status {} with {}", reply.status, reply.body)
 }
 
-fn ensure(holds: bool, why: impl FnOnce() -> String) -> Step {
-    if holds { Ok(()) } else { Err(why().into()) }
+fn ensure(holds: bool, message: impl FnOnce() -> String) -> StepResult {
+    if holds { Ok(()) } else { Err(message().into()) }
 }
--- a/endivestile/examples/soak.rs
+++ b/endivestile/examples/soak.rs
@@ -1,8 +1,8 @@
-//! Long runs of the fault soak, seed after seed.
+//! Long runs of the soak test with random faults, one run per seed.
 //!
-//! The entry hosts are processes: the example starts itself again with `daemon`
-//! as first argument. It ends with exit code 1 if any promise was broken, and
-//! leaves what it saw of each such run in a file.
+//! The entry hosts are processes: the example starts itself again with `daemon` as first
+//! argument. It exits with code 1 if any run broke a guarantee, and writes the breaches
+//! and the trace of each such run to a file.
 
 use std::env;
 use std::ffi::OsString;
@@ -12,14 +12,14 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-// Registers itself as an adapter.
+// Links the platform adapter, which registers itself.
 use endivestile_platform as _;
 use endivestile_testkit::{DaemonCommand, Soak, SoakReport};
 
 /// First argument of the processes that run as entry hosts.
-const DAEMON: &str = "daemon";
+const DAEMON_ARG: &str = "daemon";
 
-/// Runs the fault soak.
+/// Runs the soak test with random faults.
 #[derive(Debug, Parser)]
 struct Args {
     /// First seed.
@@ -28,30 +28,30 @@
     /// Number of seeds, one run each.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
-    /// For how long faults come in each run, in seconds.
+    /// Duration of the faults in each run, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Hosts in each of two zones.
+    /// Entry hosts in each of the two zones.
     #[arg(long, default_value_t = 2)]
     hosts: usize,
     /// Workers in each zone.
     #[arg(long, default_value_t = 4)]
     workers: usize,
-    /// Callers.
+    /// Concurrent callers.
     #[arg(long, default_value_t = 6)]
     callers: usize,
-    /// Folder for what was seen of runs that failed.
+    /// Directory for the traces of failed runs.
     #[arg(long, default_value = "target/soak")]
     kept: PathBuf,
 }
 
 fn main() -> ExitCode {
     let mut args: Vec<OsString> = env::args_os().collect();
-    if args.get(1).is_some_and(|arg| arg == DAEMON) {
+    if args.get(1).is_some_and(|arg| arg == DAEMON_ARG) {
         args.remove(1);
         return endivestile::run_from(args);
     }
-    match soak(&Args::parse()) {
+    match run_seeds(&Args::parse()) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(e) => {
@@ -61,9 +61,9 @@
     }
 }
 
-/// Makes the runs; returns how many of them broke a promise.
-fn soak(args: &Args) -> io::Result<u64> {
-    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON.into()] };
+/// Runs all seeds; returns the number of failed runs.
+fn run_seeds(args: &Args) -> io::Result<u64> {
+    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON_ARG.into()] };
     let mut failed = 0;
     for seed in args.first..args.first + args.seeds {
         let soak = Soak {
@@ -86,14 +86,14 @@
         );
         if !report.breaches.is_empty() {
             failed += 1;
-            keep(args, seed, &report)?;
+            save_report(args, seed, &report)?;
         }
     }
     Ok(failed)
 }
 
-/// Writes down what was seen of a run that failed.
-fn keep(args: &Args, seed: u64, report: &SoakReport) -> io::Result<()> {
+/// Writes the breaches and the trace of a failed run to a file.
+fn save_report(args: &Args, seed: u64, report: &SoakReport) -> io::Result<()> {
     for breach in report.breaches.iter().take(5) {
         println!("  {breach}");
     }
--- a/endivestile/examples/steady.rs
+++ b/endivestile/examples/steady.rs
@@ -1,8 +1,8 @@
-//! Steady load on hosts of one availability zone, to see what a host costs and whether
-//! that grows with time: processor time and latency, a line every few seconds.
+//! Steady load on the hosts of one availability zone. Prints their processor time and the
+//! response times every few seconds, so that costs that grow with time are visible.
 //!
-//! Everything runs on loopback: the platform's store and workers as stand-ins, the hosts
-//! as processes. The example starts itself again with `daemon` as first argument.
+//! Everything runs on loopback: the platform's store and workers are stand-ins, the hosts
+//! are processes. The example starts itself again with `daemon` as first argument.
 
 use std::env;
 use std::error::Error;
@@ -16,20 +16,20 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-// Registers itself as an adapter.
+// Links the platform adapter, which registers itself.
 use endivestile_platform as _;
 use endivestile_testkit::{DaemonCommand, PlatformHost, PlatformStandIn, wait_for};
 use serde_json::json;
 use ureq::Agent;
 
 /// First argument of the processes that run as entry hosts.
-const DAEMON: &str = "daemon";
-/// Longest wait for the hosts to serve, in seconds.
-const LIMIT_S: u64 = 30;
-/// Time between two lines, in seconds.
-const LINE_S: u64 = 5;
-/// Ticks of a process's accounting in a second.
-const TICKS: f64 = 100.0;
+const DAEMON_ARG: &str = "daemon";
+/// Timeout of the hosts' start, in seconds.
+const START_TIMEOUT_S: u64 = 30;
+/// Time between two lines of the report, in seconds.
+const REPORT_INTERVAL_S: u64 = 5;
+/// Clock ticks of `/proc` per second.
+const TICKS_PER_S: f64 = 100.0;
 
 /// Steady load on hosts of one availability zone.
 #[derive(Debug, Parser)]
@@ -40,10 +40,10 @@
     /// Workers of the zone.
     #[arg(long, default_value_t = 24)]
     workers: usize,
-    /// Jobs a second.
+    /// Jobs per second.
     #[arg(long, default_value_t = 60.0)]
     rate: f64,
-    /// Tasks of a job.
+    /// Tasks per job.
     #[arg(long, default_value_t = 3)]
     tasks: u32,
     /// Run time of a task, in milliseconds.
@@ -54,21 +54,23 @@
     seconds: u64,
 }
 
-/// What the callers saw since the last line.
+/// Results of the callers since the last line of the report.
 #[derive(Debug, Default)]
-struct Seen {
-    took: Mutex<Vec<u64>>,
+struct CallerStats {
+    /// Response times of completed jobs, in milliseconds.
+    times_ms: Mutex<Vec<u64>>,
     failed: AtomicU64,
-    ended: AtomicBool,
+    /// Set when the callers have to stop.
+    stopped: AtomicBool,
 }
 
 fn main() -> ExitCode {
     let mut args: Vec<OsString> = env::args_os().collect();
-    if args.get(1).is_some_and(|arg| arg == DAEMON) {
+    if args.get(1).is_some_and(|arg| arg == DAEMON_ARG) {
         args.remove(1);
         return endivestile::run_from(args);
     }
-    match play(&Options::parse()) {
+    match run(&Options::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("steady failed: {err}");
@@ -77,107 +79,114 @@
     }
 }
 
-fn play(options: &Options) -> Result<(), Box<dyn Error>> {
-    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON.into()] };
+/// Starts the platform and the hosts, then prints a line per interval.
+fn run(options: &Options) -> Result<(), Box<dyn Error>> {
+    let daemon = DaemonCommand { program: env::current_exe()?, args: vec![DAEMON_ARG.into()] };
     let platform = PlatformStandIn::start(&["z"], options.workers);
     platform.configure(1);
     let mut hosts = Vec::new();
     for at in 0..options.hosts {
         let cores = if at == 0 { "0.5" } else { "0.09" };
-        let more = [format!("platform.cores={cores}")];
+        let overrides = [format!("platform.cores={cores}")];
         hosts.push(PlatformHost::start(
             &daemon,
             platform.store_address(),
             &format!("e{at}"),
             "z",
-            &more,
+            &overrides,
         )?);
     }
-    let serves = |host: &PlatformHost| {
-        host.http_address().is_some_and(|at| submit(&agent(), at, 0, options))
+    let completes_jobs = |host: &PlatformHost| {
+        host.http_address().is_some_and(|at| submit_probe_job(&agent(), at, 0, options))
     };
     for host in &hosts {
-        if !wait_for(LIMIT_S, || serves(host)) {
-            return Err("a host serves nothing".into());
+        if !wait_for(START_TIMEOUT_S, || completes_jobs(host)) {
+            return Err("a host does not complete jobs".into());
         }
     }
-    let seen = Arc::new(Seen::default());
-    let callers = callers(&hosts, options, &seen);
+    let stats = Arc::new(CallerStats::default());
+    let callers = start_callers(&hosts, options, &stats);
     let mut before: Vec<f64> = hosts.iter().map(cpu_s).collect();
     println!(
         "{:>4} {:>7} {:>6} {:>6} {:>6}  cpu s of each host in the span",
         "s", "jobs", "failed", "p50", "p95"
     );
-    for line in 1..=options.seconds / LINE_S {
-        thread::sleep(Duration::from_secs(LINE_S));
+    for line in 1..=options.seconds / REPORT_INTERVAL_S {
+        thread::sleep(Duration::from_secs(REPORT_INTERVAL_S));
         let now: Vec<f64> = hosts.iter().map(cpu_s).collect();
-        let spent: Vec<String> =
-            now.iter().zip(&before).map(|(now, then)| format!("{:.2}", now - then)).collect();
+        let used: Vec<String> =
+            now.iter().zip(&before).map(|(now, earlier)| format!("{:.2}", now - earlier)).collect();
         before = now;
-        let mut took =
-            std::mem::take(&mut *seen.took.lock().unwrap_or_else(PoisonError::into_inner));
-        took.sort_unstable();
-        let part = |percent: usize| took.get(took.len() * percent / 100).copied().unwrap_or(0);
-        let failed = seen.failed.swap(0, Ordering::Relaxed);
+        let mut times_ms =
+            std::mem::take(&mut *stats.times_ms.lock().unwrap_or_else(PoisonError::into_inner));
+        times_ms.sort_unstable();
+        let percentile_ms =
+            |percent: usize| times_ms.get(times_ms.len() * percent / 100).copied().unwrap_or(0);
+        let failed = stats.failed.swap(0, Ordering::Relaxed);
         println!(
             "{:>4} {:>7} {:>6} {:>6} {:>6}  {}",
-            line * LINE_S,
-            took.len(),
+            line * REPORT_INTERVAL_S,
+            times_ms.len(),
             failed,
-            part(50),
-            part(95),
-            spent.join(" ")
+            percentile_ms(50),
+            percentile_ms(95),
+            used.join(" ")
         );
     }
-    seen.ended.store(true, Ordering::Relaxed);
+    stats.stopped.store(true, Ordering::Relaxed);
     for caller in callers {
         let _ = caller.join();
     }
     Ok(())
 }
 
-/// Starts callers that together send at the asked rate, each to one host.
-fn callers(
+/// Starts callers that together submit jobs at the requested rate, each to one host.
+///
+/// Their number allows each job four times the run time of a task plus 200 ms before its caller
+/// is due to submit the next one.
+fn start_callers(
     hosts: &[PlatformHost],
     options: &Options,
-    seen: &Arc<Seen>,
+    stats: &Arc<CallerStats>,
 ) -> Vec<thread::JoinHandle<()>> {
-    let patience_s = f64::from(options.work_ms) / 1_000.0 * 4.0 + 0.2;
-    let count = ((options.rate * patience_s).ceil() as usize).max(hosts.len());
+    let job_budget_s = f64::from(options.work_ms) / 1_000.0 * 4.0 + 0.2;
+    let count = ((options.rate * job_budget_s).ceil() as usize).max(hosts.len());
     let gap = Duration::from_secs_f64(count as f64 / options.rate);
     let addresses: Vec<SocketAddr> = hosts.iter().filter_map(PlatformHost::http_address).collect();
     let caller = |at: usize| {
         let address = addresses[at % addresses.len()];
-        let (seen, options) = (Arc::clone(seen), (options.tasks, options.work_ms));
+        let (stats, options) = (Arc::clone(stats), (options.tasks, options.work_ms));
         thread::spawn(move || {
             thread::sleep(gap * at as u32 / count as u32);
             let agent = agent();
             let mut number = (at as u64 + 1) << 32;
-            while !seen.ended.load(Ordering::Relaxed) {
-                let begun = Instant::now();
+            while !stats.stopped.load(Ordering::Relaxed) {
+                let started = Instant::now();
                 number += 1;
                 if submit_job(&agent, address, number, options) {
-                    let took = begun.elapsed().as_millis() as u64;
-                    seen.took.lock().unwrap_or_else(PoisonError::into_inner).push(took);
+                    let time_ms = started.elapsed().as_millis() as u64;
+                    stats.times_ms.lock().unwrap_or_else(PoisonError::into_inner).push(time_ms);
                 } else {
-                    seen.failed.fetch_add(1, Ordering::Relaxed);
+                    stats.failed.fetch_add(1, Ordering::Relaxed);
                 }
-                thread::sleep(gap.saturating_sub(begun.elapsed()));
+                thread::sleep(gap.saturating_sub(started.elapsed()));
             }
         })
     };
     (0..count).map(caller).collect()
 }
 
+/// Makes an HTTP client that returns error statuses as responses.
 fn agent() -> Agent {
     Agent::config_builder().http_status_as_error(false).build().into()
 }
 
-fn submit(agent: &Agent, address: SocketAddr, number: u64, options: &Options) -> bool {
+/// Submits one job; returns whether it was completed.
+fn submit_probe_job(agent: &Agent, address: SocketAddr, number: u64, options: &Options) -> bool {
     submit_job(agent, address, number, (options.tasks, options.work_ms))
 }
 
-/// Sends a job; says whether it was completed.
+/// Submits a job of `tasks` tasks of `work_ms` milliseconds; returns whether it was completed.
 fn submit_job(agent: &Agent, at: SocketAddr, number: u64, (tasks, work_ms): (u32, u32)) -> bool {
     let step =
         json!({"Count": tasks, "Cpu": 14_000, "MemoryRequestMb": 64, "EstimatedMs": work_ms});
@@ -191,8 +200,9 @@
 /// Returns the processor time that a host's process has used, in seconds.
 fn cpu_s(host: &PlatformHost) -> f64 {
     let stat = fs::read_to_string(format!("/proc/{}/stat", host.pid())).unwrap_or_default();
-    // The name in parentheses may hold spaces; the times are the 12th and 13th field behind it.
+    // The program's name in parentheses may contain spaces; user and system time are the 12th and
+    // 13th field after it.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
-    (ticks(11) + ticks(12)) / TICKS
+    (ticks(11) + ticks(12)) / TICKS_PER_S
 }
--- a/endivestile_lab/examples/experiment/counters.rs
+++ b/endivestile_lab/examples/experiment/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the entry hosts and the stand-ins.
+//! Counters of the entry hosts and of the stand-ins.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +8,11 @@
 /// Counts by name.
 pub(crate) type Counts = BTreeMap<String, u64>;
 
-/// Sums the counters of all hosts that answer, and adds the stand-ins' own.
-pub(crate) fn read_counters(deployment: &Deployment, agent: &Caller) -> Counts {
+/// Sums the counters of all hosts that answer, and adds those of the stand-ins.
+pub(crate) fn read_counters(deployment: &Deployment, base_caller: &Caller) -> Counts {
     let mut sums = Counts::new();
     for host in &deployment.hosts {
-        let Ok(status) = agent.with_address(host.address()).status() else { continue };
+        let Ok(status) = base_caller.with_address(host.address()).status() else { continue };
         let Some(Value::Object(counters)) = status.get("counters") else { continue };
         for (name, count) in counters {
             *sums.entry(name.clone()).or_default() += count.as_u64().unwrap_or(0);
@@ -24,17 +24,17 @@
     sums
 }
 
-/// Returns what was counted between two looks; a host that restarted counts anew from 0.
+/// Returns the increase of each counter, 0 for one that decreased because a host restarted.
 pub(crate) fn difference(before: &Counts, after: &Counts) -> Counts {
-    let delta = |(name, count): (&String, &u64)| {
-        let was = before.get(name).copied().unwrap_or(0);
-        (name.clone(), count.saturating_sub(was))
+    let increase = |(name, count): (&String, &u64)| {
+        let earlier = before.get(name).copied().unwrap_or(0);
+        (name.clone(), count.saturating_sub(earlier))
     };
-    after.iter().map(delta).collect()
+    after.iter().map(increase).collect()
 }
 
-/// Returns the revision in force at a host, 0 when it does not answer.
-pub(crate) fn adopted_revision(agent: &Caller, address: std::net::SocketAddr) -> u64 {
-    let status = agent.with_address(address).status().unwrap_or_default();
+/// Returns the revision of the configuration that a host has adopted, 0 when it does not answer.
+pub(crate) fn adopted_revision(base_caller: &Caller, address: std::net::SocketAddr) -> u64 {
+    let status = base_caller.with_address(address).status().unwrap_or_default();
     status["revision"].as_u64().unwrap_or(0)
 }
--- a/endivestile_lab/examples/experiment/fault.rs
+++ b/endivestile_lab/examples/experiment/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong within a slice.
+//! Faults injected during a slice.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -8,36 +8,36 @@
 
 use crate::spec::{Spec, server};
 
-/// Factor by which the machines of a slow rack are slowed down.
-const SLOW: f64 = 0.25;
-/// Tasks in a hundred that straggle.
-const STRAGGLERS: u8 = 10;
+/// Factor of the speed of machines in a slow rack.
+const SLOW_FACTOR: f64 = 0.25;
+/// Percentage of tasks that straggle.
+const STRAGGLER_PERCENT: u8 = 10;
 
-/// What goes wrong.
+/// Kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub(crate) enum FaultKind {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Five times the load.
+    /// The arrival rate is five times as high.
     Burst,
-    /// Another team sends as much as all capacity, beside the load.
+    /// Another team submits work for the whole capacity, in addition to the load.
     Flood,
     /// The first rack runs at a quarter of its speed.
     SlowRack,
-    /// The first backend server fails every task at once.
+    /// The first backend server fails every task immediately.
     FailFast,
-    /// One task in ten takes ten times as long, everywhere.
+    /// One task in ten takes ten times as long, on every backend server.
     Stragglers,
     /// The first zone is cut off from the others.
     Cut,
     /// The first entry host is killed, and started again at the end.
     Kill,
-    /// Callers cancel everything that is open.
+    /// Callers cancel all open submissions.
     Cancel,
 }
 
 impl FaultKind {
-    /// Reads a kind.
+    /// Parses the name of a kind in an experiment's file.
     pub(crate) fn parse(text: &str) -> Result<Self, String> {
         Ok(match text {
             "none" => Self::None,
@@ -49,48 +49,52 @@
             "cut" => Self::Cut,
             "kill" => Self::Kill,
             "cancel" => Self::Cancel,
-            _ => return Err(format!("fault kind={text} is not known")),
+            _ => return Err(format!("fault kind={text} is unknown")),
         })
     }
 }
 
-/// Brings the fault about and mends it, at its times since `began`.
-pub(crate) fn inject(spec: &Spec, deployment: &mut Deployment, began: Instant) {
+/// Starts the experiment's fault and ends it, at its times since `started`.
+pub(crate) fn inject(spec: &Spec, deployment: &mut Deployment, started: Instant) {
     if matches!(
         spec.fault,
         FaultKind::None | FaultKind::Burst | FaultKind::Flood | FaultKind::Cancel
     ) {
         return;
     }
-    sleep_until(began, spec.from_ms);
-    set(spec, deployment);
-    sleep_until(began, spec.to_ms);
-    mend(spec, deployment);
+    sleep_until(started, spec.from_ms);
+    start_fault(spec, deployment);
+    sleep_until(started, spec.to_ms);
+    end_fault(spec, deployment);
 }
 
-/// Waits until a time of the slice.
-pub(crate) fn sleep_until(began: Instant, at_ms: u64) {
-    let at = began + Duration::from_millis(at_ms);
+/// Sleeps until `at_ms` milliseconds after `started`.
+pub(crate) fn sleep_until(started: Instant, at_ms: u64) {
+    let at = started + Duration::from_millis(at_ms);
     thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-fn set(spec: &Spec, deployment: &mut Deployment) {
+/// Starts the experiment's fault.
+fn start_fault(spec: &Spec, deployment: &mut Deployment) {
     let servers = &deployment.servers;
     match spec.fault {
-        FaultKind::SlowRack => slow_rack(spec, deployment, SLOW),
+        FaultKind::SlowRack => scale_rack_speed(spec, deployment, SLOW_FACTOR),
         FaultKind::FailFast => servers.set_fault(&server(0), MachineFault::Status(500)),
-        FaultKind::Stragglers => everywhere(spec, deployment, MachineFault::Straggle(STRAGGLERS)),
+        FaultKind::Stragglers => {
+            set_fault_everywhere(spec, deployment, MachineFault::Straggle(STRAGGLER_PERCENT))
+        }
         FaultKind::Cut => deployment.isolate_zone(spec.zone(0)),
         FaultKind::Kill => deployment.hosts[0].kill(),
         _ => {}
     }
 }
 
-fn mend(spec: &Spec, deployment: &mut Deployment) {
+/// Ends the experiment's fault.
+fn end_fault(spec: &Spec, deployment: &mut Deployment) {
     match spec.fault {
-        FaultKind::SlowRack => slow_rack(spec, deployment, 1.0),
+        FaultKind::SlowRack => scale_rack_speed(spec, deployment, 1.0),
         FaultKind::FailFast => deployment.servers.set_fault(&server(0), MachineFault::None),
-        FaultKind::Stragglers => everywhere(spec, deployment, MachineFault::None),
+        FaultKind::Stragglers => set_fault_everywhere(spec, deployment, MachineFault::None),
         FaultKind::Cut => deployment.heal(),
         FaultKind::Kill => {
             if let Err(err) = deployment.hosts[0].restart() {
@@ -101,14 +105,16 @@
     }
 }
 
-fn slow_rack(spec: &Spec, deployment: &Deployment, factor: f64) {
+/// Sets the machines of the first rack to their speed times `factor`.
+fn scale_rack_speed(spec: &Spec, deployment: &Deployment, factor: f64) {
     let rack = spec.first_rack();
     for n in (0..spec.servers).filter(|n| rack.contains(&server(*n))) {
         deployment.servers.set_speed(&server(n), spec.speed(n) * factor);
     }
 }
 
-fn everywhere(spec: &Spec, deployment: &Deployment, fault: MachineFault) {
+/// Sets the same fault on all backend servers.
+fn set_fault_everywhere(spec: &Spec, deployment: &Deployment, fault: MachineFault) {
     for n in 0..spec.servers {
         deployment.servers.set_fault(&server(n), fault);
     }
--- a/endivestile_lab/examples/experiment/main.rs
+++ b/endivestile_lab/examples/experiment/main.rs
@@ -1,5 +1,5 @@
-//! Runs one experiment: entry hosts as processes against stand-ins, a
-//! fixed-seed arrival trace, and policies that alternate within one run.
+//! Runs one experiment: entry hosts as processes with stand-ins for the backend servers and the
+//! store, reproducible arrival traces, and placement policies that alternate within one run.
 //!
 //! `cargo build --release -p endivestile` first, then
 //! `cargo run --release -p endivestile_lab --example experiment -- experiments/pitchfee.ini`.
@@ -24,40 +24,40 @@
 use run::run;
 use spec::Spec;
 
-/// Measures response against the ideal and wasted messages.
+/// Measures response times relative to an ideal schedule, and the overhead of messages.
 #[derive(Debug, Parser)]
 struct Args {
-    /// The experiment.
+    /// INI file of the experiment.
     file: PathBuf,
-    /// Daemon; the one built beside this example by default.
+    /// Daemon to start; by default the one built with this example.
     #[arg(long)]
     daemon: Option<PathBuf>,
-    /// Directory for JSON, table and plot.
+    /// Directory for the JSON file, the table and the plot.
     #[arg(long, default_value = "target/experiments")]
     out: PathBuf,
-    /// Rounds in place of those of the file.
+    /// Number of rounds; overrides the file.
     #[arg(long)]
     rounds: Option<usize>,
-    /// Loads in place of those of the file, in percent, separated by commas.
+    /// Loads in percent of capacity, separated by commas; overrides the file.
     #[arg(long, value_delimiter = ',')]
     loads: Option<Vec<u32>>,
-    /// Idempotent and non-idempotent requests in a hundred submissions, in
-    /// place of those of the file; the rest are jobs.
+    /// Idempotent and non-idempotent requests per hundred submissions, separated by a comma; the
+    /// rest are jobs. Overrides the file.
     #[arg(long, value_delimiter = ',')]
     mix: Option<Vec<u32>>,
-    /// Price of a message in place of that of the file, in microseconds.
+    /// Placement cost of a message, in microseconds; overrides the file.
     #[arg(long)]
     price_us: Option<u64>,
-    /// Name in place of that of the file.
+    /// Name of the experiment and its output files; overrides the file.
     #[arg(long)]
     name: Option<String>,
-    /// Policies in place of those of the file, separated by commas.
+    /// Policies, separated by commas; overrides the file.
     #[arg(long, value_delimiter = ',')]
     policies: Option<Vec<String>>,
 }
 
 fn main() -> ExitCode {
-    match start(Args::parse()) {
+    match run_experiment(Args::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("experiment failed: {err}");
@@ -66,7 +66,8 @@
     }
 }
 
-fn start(args: Args) -> Result<(), Box<dyn Error>> {
+/// Runs the experiment and writes its results.
+fn run_experiment(args: Args) -> Result<(), Box<dyn Error>> {
     let mut spec = Spec::read(&args.file)?;
     spec.rounds = args.rounds.unwrap_or(spec.rounds);
     spec.loads = args.loads.unwrap_or(spec.loads);
@@ -78,12 +79,12 @@
     }
     let daemon = match args.daemon {
         Some(path) => path,
-        None => beside()?,
+        None => built_daemon()?,
     };
     let slices = run(&spec, &daemon)?;
     let table = summary::summarise(&slices);
     fs::create_dir_all(&args.out)?;
-    let path = |kind: &str| args.out.join(format!("{}.{kind}", spec.name));
+    let path = |extension: &str| args.out.join(format!("{}.{extension}", spec.name));
     fs::write(path("json"), report::json(&spec, &slices, &table)?)?;
     let text = report::table(&spec, &table);
     fs::write(path("md"), &text)?;
@@ -92,13 +93,14 @@
     Ok(())
 }
 
-/// Returns the daemon in the directory above the examples.
-fn beside() -> Result<PathBuf, Box<dyn Error>> {
+/// Returns the daemon in the directory above that of the examples.
+fn built_daemon() -> Result<PathBuf, Box<dyn Error>> {
     let example = env::current_exe()?;
-    let dir = example.parent().and_then(Path::parent).ok_or("no directory of the daemon")?;
+    let dir =
+        example.parent().and_then(Path::parent).ok_or("the example is not in a build directory")?;
     let daemon = dir.join("endivestile");
     if daemon.exists() {
         return Ok(daemon);
     }
-    Err(format!("no daemon at {}, build it or name it by --daemon", daemon.display()).into())
+    Err(format!("no daemon at {}, build it or pass --daemon", daemon.display()).into())
 }
--- a/endivestile_lab/examples/experiment/plot.rs
+++ b/endivestile_lab/examples/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! A plot of response against load, one line for each policy.
+//! Plots of response times against load, with one line per policy.
 
 use std::error::Error;
 use std::path::Path;
@@ -8,21 +8,22 @@
 use crate::spec::Spec;
 use crate::summary::Row;
 
-/// Size of the picture, in pixels.
+/// Size of the image, in pixels.
 const SIZE: (u32, u32) = (900, 420);
 
-/// Draws medians and 99th percentiles beside each other.
+/// Draws medians and 99th percentiles side by side.
 pub(crate) fn draw(path: &Path, spec: &Spec, rows: &[Row]) -> Result<(), Box<dyn Error>> {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    let halves = root.split_evenly((1, 2));
-    panel(&halves[0], &format!("{}: p50 over ideal", spec.name), spec, rows, |row| row.all.p50)?;
-    panel(&halves[1], &format!("{}: p99 over ideal", spec.name), spec, rows, |row| row.all.p99)?;
+    let plots = root.split_evenly((1, 2));
+    draw_plot(&plots[0], &format!("{}: p50 over ideal", spec.name), spec, rows, |row| row.all.p50)?;
+    draw_plot(&plots[1], &format!("{}: p99 over ideal", spec.name), spec, rows, |row| row.all.p99)?;
     root.present()?;
     Ok(())
 }
 
-fn panel(
+/// Draws one plot of `value` against load.
+fn draw_plot(
     area: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     title: &str,
     spec: &Spec,
--- a/endivestile_lab/examples/experiment/replay.rs
+++ b/endivestile_lab/examples/experiment/replay.rs
@@ -1,4 +1,4 @@
-//! Replays a trace and notes what came back.
+//! Replays a trace and records the outcome of each submission.
 
 use std::sync::mpsc::{Sender, channel};
 use std::thread;
@@ -10,19 +10,19 @@
 use crate::fault::{FaultKind, sleep_until};
 use crate::spec::{IdKind, SERVICE, Spec, TEAMS};
 
-/// Stack of a caller's thread, in bytes.
-const STACK: usize = 256 << 10;
+/// Stack size of a caller's thread, in bytes.
+const STACK_BYTES: usize = 256 << 10;
 
 /// How one submission ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SubmissionEnd {
-    /// The whole and right answer.
+    /// The complete and correct answer.
     Complete,
-    /// An answer that is not the one to this submission.
+    /// An answer with other results than expected.
     Wrong,
     /// Refused as not run.
     NotRun,
-    /// Refused as unknown.
+    /// Refused, and unknown whether it ran.
     Unknown,
     /// Failed.
     Failed,
@@ -32,33 +32,34 @@
     Broken,
 }
 
-/// What came back for one submission.
+/// Outcome of one submission.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Outcome {
     /// Index in the trace.
     pub(crate) index: usize,
-    /// How it ended.
+    /// How the submission ended.
     pub(crate) end: SubmissionEnd,
-    /// Time from its scheduled arrival to its answer, in milliseconds.
+    /// Time from its scheduled arrival to the answer, in milliseconds.
     pub(crate) response_ms: f64,
 }
 
-/// Callers of all hosts, and ids that the hosts minted.
+/// Callers of all hosts, and the ids of a slice's submissions.
 #[derive(Debug)]
 pub(crate) struct Replayer {
     /// Callers by host, then by team.
     callers: Vec<Vec<Caller>>,
-    /// Prefix that makes works and ids of this slice its own.
+    /// Name of the slice, a prefix that keeps its works and ids unique.
     slice: String,
     /// Ids by index in the trace.
     ids: Vec<String>,
 }
 
 impl Replayer {
-    /// Prepares the replay of a slice by the hosts at these addresses.
+    /// Prepares the replay of a slice through the hosts at these addresses, with callers that have
+    /// the settings of `base_caller`.
     pub(crate) fn new(
         spec: &Spec,
-        agent: &Caller,
+        base_caller: &Caller,
         addresses: &[std::net::SocketAddr],
         slice: &str,
         arrivals: &[Arrival],
@@ -66,34 +67,40 @@
         let callers: Vec<Vec<Caller>> = addresses
             .iter()
             .map(|address| {
-                TEAMS.iter().map(|team| agent.with_address(address).team(team)).collect()
+                TEAMS.iter().map(|team| base_caller.with_address(address).team(team)).collect()
             })
             .collect();
-        let mut stocks = vec![Vec::new(); callers.len()];
+        let mut unused_by_host = vec![Vec::new(); callers.len()];
         let mut ids = Vec::new();
         for n in 0..arrivals.len() {
             let host = n % callers.len();
             ids.push(match spec.ids {
                 IdKind::Dated => Caller::own_id(&format!("{slice}-{n}")),
-                IdKind::Minted => mint(&callers[host][0], &mut stocks[host])?,
+                IdKind::Minted => next_id(&callers[host][0], &mut unused_by_host[host])?,
             });
         }
         Ok(Self { callers, slice: slice.to_owned(), ids })
     }
 
-    /// Submits all arrivals at their times and waits for all answers.
-    pub(crate) fn replay(&self, spec: &Spec, arrivals: &[Arrival], began: Instant) -> Vec<Outcome> {
+    /// Submits all arrivals at their scheduled times and waits for all answers.
+    pub(crate) fn replay(
+        &self,
+        spec: &Spec,
+        arrivals: &[Arrival],
+        started: Instant,
+    ) -> Vec<Outcome> {
         let (sender, outcomes) = channel();
         thread::scope(|scope| {
             if spec.fault == FaultKind::Cancel {
-                scope.spawn(|| self.cancel(spec, arrivals, began));
+                scope.spawn(|| self.cancel(spec, arrivals, started));
             }
             for (index, arrival) in arrivals.iter().enumerate() {
-                let at = began + Duration::from_micros(arrival.at_us);
+                let at = started + Duration::from_micros(arrival.at_us);
                 thread::sleep(at.saturating_duration_since(Instant::now()));
                 let sender = sender.clone();
                 let run = move || self.submit(index, arrival, at, &sender);
-                let thread = thread::Builder::new().stack_size(STACK).spawn_scoped(scope, run);
+                let thread =
+                    thread::Builder::new().stack_size(STACK_BYTES).spawn_scoped(scope, run);
                 if let Err(err) = thread {
                     eprintln!("event=caller_not_started error={err}");
                 }
@@ -103,6 +110,7 @@
         outcomes.into_iter().collect()
     }
 
+    /// Makes one submission and sends its outcome to the replay.
     fn submit(&self, index: usize, arrival: &Arrival, at: Instant, sender: &Sender<Outcome>) {
         let caller = &self.callers[index % self.callers.len()][arrival.team];
         let works = self.works(index, arrival);
@@ -113,46 +121,50 @@
             Kind::Job => caller.submit_job(SERVICE, id, &works),
         };
         let response_ms = at.elapsed().as_secs_f64() * 1_000.0;
-        let end = reply.map_or(SubmissionEnd::Broken, |reply| judge(&reply, arrival.kind, &works));
-        // The receiver lasts longer than the threads.
+        let end =
+            reply.map_or(SubmissionEnd::Broken, |reply| classify(&reply, arrival.kind, &works));
+        // The receiver outlives the threads.
         let _ = sender.send(Outcome { index, end, response_ms });
     }
 
+    /// Returns the works of a submission's tasks.
     fn works(&self, index: usize, arrival: &Arrival) -> Vec<String> {
         let work =
             |(n, ms): (usize, &f64)| format!(r#"{{"key":"{}-{index}-{n}","ms":{ms}}}"#, self.slice);
         arrival.tasks_ms.iter().enumerate().map(work).collect()
     }
 
-    /// Cancels every submission with an id that arrived before the fault's time.
-    fn cancel(&self, spec: &Spec, arrivals: &[Arrival], began: Instant) {
-        sleep_until(began, spec.from_ms);
+    /// Cancels every submission with an id that arrived before the start of the fault.
+    fn cancel(&self, spec: &Spec, arrivals: &[Arrival], started: Instant) {
+        sleep_until(started, spec.from_ms);
         for (index, arrival) in arrivals.iter().enumerate() {
             if arrival.kind != Kind::Idempotent && arrival.at_us < spec.from_ms * 1_000 {
                 let caller = &self.callers[index % self.callers.len()][arrival.team];
-                // Whether it was cancelled shows in the submission's own answer.
+                // The submission's own answer shows whether it was cancelled.
                 let _ = caller.cancel(&self.ids[index]);
             }
         }
     }
 }
 
-fn mint(caller: &Caller, stock: &mut Vec<String>) -> Result<String, ureq::Error> {
-    const BLOCK: usize = 1_000;
-    if stock.is_empty() {
-        *stock = caller.fetch_ids(BLOCK)?;
+/// Takes an id from `unused_ids`, which it refills from the host when it is empty.
+fn next_id(caller: &Caller, unused_ids: &mut Vec<String>) -> Result<String, ureq::Error> {
+    const BATCH: usize = 1_000;
+    if unused_ids.is_empty() {
+        *unused_ids = caller.fetch_ids(BATCH)?;
     }
-    stock.pop().ok_or(ureq::Error::BadUri("no ids were minted".into()))
+    unused_ids.pop().ok_or(ureq::Error::BadUri("the host issued no ids".into()))
 }
 
-fn judge(reply: &Reply, kind: Kind, works: &[String]) -> SubmissionEnd {
+/// Classifies a reply by its status and by the results expected for `works`.
+fn classify(reply: &Reply, kind: Kind, works: &[String]) -> SubmissionEnd {
     let expected: Vec<String> = works.iter().map(|work| echo(work)).collect();
-    let right = match kind {
+    let correct = match kind {
         Kind::Job => reply.answer().and_then(|answer| answer.results) == Some(expected),
         _ => reply.body == expected[0],
     };
     match (reply.status, reply.status_text().as_str()) {
-        (200, _) if right => SubmissionEnd::Complete,
+        (200, _) if correct => SubmissionEnd::Complete,
         (200, _) => SubmissionEnd::Wrong,
         (503, "not run") => SubmissionEnd::NotRun,
         (503, _) => SubmissionEnd::Unknown,
--- a/endivestile_lab/examples/experiment/report.rs
+++ b/endivestile_lab/examples/experiment/report.rs
@@ -1,4 +1,4 @@
-//! What an experiment writes.
+//! Output of an experiment.
 
 use std::fmt::Write;
 
@@ -8,13 +8,13 @@
 use crate::spec::Spec;
 use crate::summary::Row;
 
-/// Returns the experiment, the medians and the counts of each slice as JSON.
+/// Returns the experiment, the rows and the counters of each slice as JSON.
 pub(crate) fn json(
     spec: &Spec,
     slices: &[Slice],
     rows: &[Row],
 ) -> Result<String, serde_json::Error> {
-    let each: Vec<Value> = slices
+    let slices_json: Vec<Value> = slices
         .iter()
         .map(|slice| {
             json!({
@@ -26,10 +26,12 @@
             })
         })
         .collect();
-    serde_json::to_string_pretty(&json!({ "experiment": spec, "rows": rows, "slices": each }))
+    serde_json::to_string_pretty(
+        &json!({ "experiment": spec, "rows": rows, "slices": slices_json }),
+    )
 }
 
-/// Returns the medians as a table.
+/// Returns the rows as a Markdown table.
 pub(crate) fn table(spec: &Spec, rows: &[Row]) -> String {
     let mut text = format!(
         "`{}`: {} hosts, {} backend servers x {} slots, medians of {} rounds, fault {:?}\n\n",
@@ -41,12 +43,12 @@
          |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|\n",
     );
     for row in rows {
-        line(&mut text, row);
+        push_row(&mut text, row);
     }
     text
 }
 
-fn line(text: &mut String, row: &Row) {
+fn push_row(text: &mut String, row: &Row) {
     let cause = |name: &str| row.causes.get(name).copied().unwrap_or(0.0);
     let others: Vec<String> =
         row.others.iter().map(|(name, count)| format!("{name} {count}")).collect();
--- a/endivestile_lab/examples/experiment/run.rs
+++ b/endivestile_lab/examples/experiment/run.rs
@@ -1,4 +1,4 @@
-//! The course of an experiment.
+//! Sequence of an experiment: warm-up, then slices of all loads, rounds and policies.
 
 use std::error::Error;
 use std::path::Path;
@@ -13,54 +13,55 @@
 use crate::replay::{Outcome, Replayer};
 use crate::spec::{Spec, TEAMS, server};
 
-/// Seconds that all hosts have to adopt a configuration.
-const ADOPT_S: u64 = 20;
-/// Seconds that machines have to finish after the last answer.
-const DRAIN_S: u64 = 60;
-/// Factor of a burst.
-const BURST: f64 = 5.0;
-/// Team that floods.
-const FLOODER: usize = 2;
+/// Timeout for all hosts to adopt a configuration, in seconds.
+const ADOPT_TIMEOUT_S: u64 = 20;
+/// Timeout for running tasks to end after the last answer, in seconds.
+const DRAIN_TIMEOUT_S: u64 = 60;
+/// Factor of the arrival rate in a burst.
+const BURST_FACTOR: f64 = 5.0;
+/// Index of the team that submits the additional load of a flood.
+const FLOOD_TEAM: usize = 2;
 
-/// One policy at one load, once.
+/// One replay of a trace, with one policy at one load.
 #[derive(Debug, Clone)]
 pub(crate) struct Slice {
-    /// Policy.
+    /// Placement policy.
     pub(crate) policy: String,
     /// Load in percent of capacity.
     pub(crate) load: u32,
-    /// What arrived.
+    /// The trace.
     pub(crate) arrivals: Vec<Arrival>,
-    /// What the ideal gives, by index in `arrivals`.
+    /// Response times of the ideal schedule in milliseconds, by index in `arrivals`.
     pub(crate) ideal_ms: Vec<f64>,
-    /// What came back.
+    /// Outcomes of the submissions.
     pub(crate) outcomes: Vec<Outcome>,
-    /// What was counted.
+    /// Increase of each counter.
     pub(crate) counts: Counts,
-    /// Length of the slice with its drain, in seconds.
+    /// Length of the slice, until all tasks have ended, in seconds.
     pub(crate) span_s: f64,
-    /// Works that were started more than once, idempotent requests apart.
+    /// Works that were started more than once, not counting those of idempotent requests.
     pub(crate) doubled: usize,
-    /// Most tasks at once on one server.
+    /// Largest number of tasks that ran at once on one backend server.
     pub(crate) peak: usize,
 }
 
-/// Runs all slices: for each load, rounds in which each policy gets the same trace.
+/// Runs all slices. In each round of a load, every policy gets the same trace.
 pub(crate) fn run(spec: &Spec, daemon: &Path) -> Result<Vec<Slice>, Box<dyn Error>> {
     let mut deployment = Deployment::start(spec.plan(), &DaemonCommand::new(daemon))?;
-    let agent = Caller::new(deployment.hosts[0].address(), TEAMS[0]);
-    let agent = agent.deadline_ms(spec.deadline_ms);
-    warm(spec, &mut deployment, &agent)?;
+    let base_caller = Caller::new(deployment.hosts[0].address(), TEAMS[0]);
+    let base_caller = base_caller.deadline_ms(spec.deadline_ms);
+    warm_up(spec, &mut deployment, &base_caller)?;
     let mut slices = Vec::new();
     for load in &spec.loads {
         for round in 0..spec.rounds {
             let arrivals = draw_arrivals(spec, *load, round);
             for n in 0..spec.policies.len() {
-                // Another policy begins each round, so that none always follows the same one.
+                // Each round starts with another policy, so that the order does not favour one.
                 let policy = &spec.policies[(n + round) % spec.policies.len()];
-                adopt(&mut deployment, &agent, policy)?;
+                adopt(&mut deployment, &base_caller, policy)?;
                 let name = format!("{load}-{round}-{policy}");
-                let mut slice = replay(spec, &mut deployment, &agent, &name, arrivals.clone())?;
+                let mut slice =
+                    run_slice(spec, &mut deployment, &base_caller, &name, arrivals.clone())?;
                 (slice.policy, slice.load) = (policy.clone(), *load);
                 eprintln!("event=slice load={load} round={round} policy={policy}");
                 slices.push(slice);
@@ -70,19 +71,23 @@
     Ok(slices)
 }
 
-/// Runs a slice that is not counted, so that speeds are learnt and connections open.
-fn warm(spec: &Spec, deployment: &mut Deployment, agent: &Caller) -> Result<(), Box<dyn Error>> {
+/// Runs an unmeasured slice, in which hosts learn speeds and open connections.
+fn warm_up(
+    spec: &Spec,
+    deployment: &mut Deployment,
+    base_caller: &Caller,
+) -> Result<(), Box<dyn Error>> {
     const LOAD: u32 = 60;
-    adopt(deployment, agent, &spec.policies[0])?;
-    let calm = Spec { fault: FaultKind::None, ..spec.clone() };
-    let arrivals = draw_arrivals(&calm, LOAD, usize::MAX >> 1);
-    replay(&calm, deployment, agent, "warm", arrivals).map(|_| ())
+    adopt(deployment, base_caller, &spec.policies[0])?;
+    let faultless = Spec { fault: FaultKind::None, ..spec.clone() };
+    let arrivals = draw_arrivals(&faultless, LOAD, usize::MAX >> 1);
+    run_slice(&faultless, deployment, base_caller, "warm", arrivals).map(|_| ())
 }
 
-/// Draws the arrivals of a round; each round has a seed of its own.
+/// Generates the arrivals of a round; each round has its own seed.
 fn draw_arrivals(spec: &Spec, load: u32, round: usize) -> Vec<Arrival> {
     let (from_us, to_us) = (spec.from_ms * 1_000, spec.to_ms * 1_000);
-    let burst = Burst { from_us, to_us, factor: BURST };
+    let burst = Burst { from_us, to_us, factor: BURST_FACTOR };
     let load = Load {
         seed: spec.seed + round as u64,
         work_rate: spec.capacity() * f64::from(load) / 100.0,
@@ -92,7 +97,7 @@
     let mut arrivals = generate_trace(&load, &spec.mix());
     if spec.fault == FaultKind::Flood {
         let mut team_weights = [0; 3];
-        team_weights[FLOODER] = 1;
+        team_weights[FLOOD_TEAM] = 1;
         let flood = Load { seed: !load.seed, work_rate: spec.capacity(), ..load };
         let extra = generate_trace(&flood, &Mix { team_weights, ..spec.mix() });
         arrivals
@@ -102,35 +107,48 @@
     arrivals
 }
 
-/// Puts a policy in force at all hosts.
-fn adopt(deployment: &mut Deployment, agent: &Caller, policy: &str) -> Result<(), Box<dyn Error>> {
-    let wanted = deployment.reconfigure(|config| config.rules.policy = policy.into());
-    let in_force =
-        || deployment.hosts.iter().all(|host| adopted_revision(agent, host.address()) >= wanted);
-    if wait_for(ADOPT_S, in_force) { Ok(()) } else { Err("a configuration was not adopted".into()) }
+/// Configures a policy and waits until all hosts have adopted it.
+fn adopt(
+    deployment: &mut Deployment,
+    base_caller: &Caller,
+    policy: &str,
+) -> Result<(), Box<dyn Error>> {
+    let revision = deployment.reconfigure(|config| config.rules.policy = policy.into());
+    let in_force = || {
+        deployment
+            .hosts
+            .iter()
+            .all(|host| adopted_revision(base_caller, host.address()) >= revision)
+    };
+    if wait_for(ADOPT_TIMEOUT_S, in_force) {
+        Ok(())
+    } else {
+        Err("not all hosts adopted the configuration".into())
+    }
 }
 
-fn replay(
+/// Replays arrivals with the policy in force, and returns the slice without policy and load.
+fn run_slice(
     spec: &Spec,
     deployment: &mut Deployment,
-    agent: &Caller,
+    base_caller: &Caller,
     name: &str,
     arrivals: Vec<Arrival>,
 ) -> Result<Slice, Box<dyn Error>> {
     deployment.servers.clear_starts();
     let addresses: Vec<_> = deployment.hosts.iter().map(|host| host.address()).collect();
-    let replayer = Replayer::new(spec, agent, &addresses, name, &arrivals)?;
-    let before = read_counters(deployment, agent);
-    let began = Instant::now();
+    let replayer = Replayer::new(spec, base_caller, &addresses, name, &arrivals)?;
+    let before = read_counters(deployment, base_caller);
+    let started = Instant::now();
     let outcomes = thread::scope(|scope| {
-        let replay = scope.spawn(|| replayer.replay(spec, &arrivals, began));
-        fault::inject(spec, deployment, began);
+        let replay = scope.spawn(|| replayer.replay(spec, &arrivals, started));
+        fault::inject(spec, deployment, started);
         replay.join().map_err(|_| "the replay panicked")
     })?;
-    if !wait_for(DRAIN_S, || deployment.servers.running() == 0) {
-        return Err("tasks still run long after the last answer".into());
+    if !wait_for(DRAIN_TIMEOUT_S, || deployment.servers.running() == 0) {
+        return Err("tasks keep running after the last answer".into());
     }
-    let counts = difference(&before, &read_counters(deployment, agent));
+    let counts = difference(&before, &read_counters(deployment, base_caller));
     let once = |(work, _): &(String, usize)| is_once(work, &arrivals);
     Ok(Slice {
         policy: String::new(),
@@ -138,7 +156,7 @@
         ideal_ms: ideal_ms(&arrivals, &spec.slot_groups()),
         outcomes,
         counts,
-        span_s: began.elapsed().as_secs_f64(),
+        span_s: started.elapsed().as_secs_f64(),
         doubled: deployment.servers.duplicate_starts().iter().filter(|work| once(work)).count(),
         peak: (0..spec.servers)
             .map(|n| deployment.servers.peak_running(&server(n)))
@@ -148,7 +166,7 @@
     })
 }
 
-/// Tells whether a work, keyed `<slice>-<index>-<task>`, may start only once.
+/// Returns whether a work, keyed `<slice>-<index>-<task>`, must not start more than once.
 fn is_once(work: &str, arrivals: &[Arrival]) -> bool {
     let index = work.rsplit('-').nth(1).and_then(|text| text.parse::<usize>().ok());
     let arrival = index.and_then(|index| arrivals.get(index));
--- a/endivestile_lab/examples/experiment/spec.rs
+++ b/endivestile_lab/examples/experiment/spec.rs
@@ -1,4 +1,4 @@
-//! The experiment as its INI file tells it.
+//! Specification of an experiment, read from its INI file.
 
 use std::error::Error;
 use std::path::Path;
@@ -11,113 +11,113 @@
 
 use crate::fault::FaultKind;
 
-/// Teams of every experiment, by number.
+/// Teams of every experiment, by index.
 pub(crate) const TEAMS: [&str; 3] = ["m-large", "m-small", "m-other"];
-/// Service that every experiment calls.
+/// Service that all submissions call.
 pub(crate) const SERVICE: &str = "orders";
 
-/// Which ids submissions carry.
+/// Kind of the ids that submissions carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub(crate) enum IdKind {
-    /// The caller's own, dated.
+    /// Dated ids that the caller makes.
     Dated,
-    /// Minted by the host that gets the submission.
+    /// Ids issued by the host that gets the submission.
     Minted,
 }
 
 /// One experiment.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Spec {
-    /// Name, also of the files written.
+    /// Name, also that of the output files.
     pub(crate) name: String,
-    /// Seed of the first round's trace.
+    /// Seed of the first round's trace; each later round adds 1.
     pub(crate) seed: u64,
-    /// Rounds, each with every policy at every load.
+    /// Rounds of each load; each round runs every policy.
     pub(crate) rounds: usize,
-    /// Length of a slice's arrivals, in milliseconds.
+    /// Length of a slice's trace, in milliseconds.
     pub(crate) slice_ms: u64,
     /// Loads in percent of capacity.
     pub(crate) loads: Vec<u32>,
-    /// Policies that alternate.
+    /// Placement policies to compare.
     pub(crate) policies: Vec<String>,
     /// Availability zones.
     pub(crate) zones: Vec<String>,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub(crate) hosts: usize,
-    /// Weights of entry hosts, in turn.
+    /// Weights of the entry hosts, assigned in turn.
     pub(crate) weights: Vec<u32>,
-    /// One-way distance between zones, in microseconds.
+    /// One-way latency between zones, in microseconds.
     pub(crate) distance_us: u64,
-    /// Price of a message, in microseconds.
+    /// Placement cost of a message, in microseconds.
     pub(crate) price_us: u64,
-    /// Backend servers.
+    /// Number of backend servers.
     pub(crate) servers: usize,
-    /// Slots of each.
+    /// Slots of each backend server.
     pub(crate) slots: usize,
-    /// Connections of each.
+    /// Connections that each backend server accepts.
     pub(crate) connections: usize,
-    /// Backend servers in a rack.
+    /// Number of backend servers in a rack.
     pub(crate) rack: usize,
-    /// Speeds of backend servers, in turn.
+    /// Speeds of the backend servers, assigned in turn within a zone.
     pub(crate) speeds: Vec<f64>,
-    /// Tasks that each team may hold.
+    /// Maximum number of each team's waiting and running tasks.
     pub(crate) limit: u32,
     /// Deadline of submissions, in milliseconds.
     pub(crate) deadline_ms: u64,
-    /// Ids of submissions.
+    /// Kind of the submissions' ids.
     pub(crate) ids: IdKind,
-    /// Idempotent requests in a hundred submissions.
+    /// Idempotent requests per hundred submissions.
     pub(crate) idempotent: u32,
-    /// Non-idempotent requests in a hundred submissions.
+    /// Non-idempotent requests per hundred submissions.
     pub(crate) once: u32,
-    /// Long tasks in a thousand.
+    /// Long tasks per thousand tasks.
     pub(crate) long: u32,
-    /// Shares of the teams.
+    /// Relative shares of the teams, by index.
     pub(crate) teams: Vec<u32>,
-    /// What goes wrong in every slice.
+    /// Fault injected in every slice.
     pub(crate) fault: FaultKind,
-    /// When it begins, in milliseconds since the slice began.
+    /// Start of the fault, in milliseconds since the start of the slice.
     pub(crate) from_ms: u64,
-    /// When it ends.
+    /// End of the fault, in the same unit.
     pub(crate) to_ms: u64,
 }
 
 impl Spec {
-    /// Reads an experiment.
+    /// Reads the specification from an INI file.
     pub(crate) fn read(path: &Path) -> Result<Self, Box<dyn Error>> {
         let ini = load(path)?;
         let keys = Keys { ini: &ini };
         Ok(Self {
-            name: keys.one("experiment", "name")?,
-            seed: keys.one("experiment", "seed")?,
-            rounds: keys.one("experiment", "rounds")?,
-            slice_ms: keys.one("experiment", "slice-ms")?,
-            loads: keys.many("experiment", "loads")?,
-            policies: keys.many("experiment", "policies")?,
-            zones: keys.many("deployment", "zones")?,
-            hosts: keys.one("deployment", "hosts")?,
-            weights: keys.many("deployment", "weights")?,
-            distance_us: keys.one("deployment", "distance-us")?,
-            price_us: keys.one("deployment", "price-us")?,
-            servers: keys.one("deployment", "backend-servers")?,
-            slots: keys.one("deployment", "slots")?,
-            connections: keys.one("deployment", "connections")?,
-            rack: keys.one("deployment", "rack")?,
-            speeds: keys.many("deployment", "speeds")?,
-            limit: keys.one("deployment", "limit")?,
-            deadline_ms: keys.one("work", "deadline-ms")?,
-            ids: match keys.one::<String>("work", "ids")?.as_str() {
+            name: keys.required("experiment", "name")?,
+            seed: keys.required("experiment", "seed")?,
+            rounds: keys.required("experiment", "rounds")?,
+            slice_ms: keys.required("experiment", "slice-ms")?,
+            loads: keys.list("experiment", "loads")?,
+            policies: keys.list("experiment", "policies")?,
+            zones: keys.list("deployment", "zones")?,
+            hosts: keys.required("deployment", "hosts")?,
+            weights: keys.list("deployment", "weights")?,
+            distance_us: keys.required("deployment", "distance-us")?,
+            price_us: keys.required("deployment", "price-us")?,
+            servers: keys.required("deployment", "backend-servers")?,
+            slots: keys.required("deployment", "slots")?,
+            connections: keys.required("deployment", "connections")?,
+            rack: keys.required("deployment", "rack")?,
+            speeds: keys.list("deployment", "speeds")?,
+            limit: keys.required("deployment", "limit")?,
+            deadline_ms: keys.required("work", "deadline-ms")?,
+            ids: match keys.required::<String>("work", "ids")?.as_str() {
                 "dated" => IdKind::Dated,
                 "minted" => IdKind::Minted,
-                other => return Err(format!("ids={other}, accepted: dated, minted").into()),
+                other => return Err(format!("ids={other}: expected dated or minted").into()),
             },
-            idempotent: keys.one("work", "idempotent")?,
-            once: keys.one("work", "once")?,
-            long: keys.one("work", "long-permille")?,
-            teams: keys.many("work", "teams")?,
-            fault: FaultKind::parse(&keys.one::<String>("fault", "kind")?)?,
-            from_ms: keys.one("fault", "from-ms")?,
-            to_ms: keys.one("fault", "to-ms")?,
+            idempotent: keys.required("work", "idempotent")?,
+            once: keys.required("work", "once")?,
+            long: keys.required("work", "long-permille")?,
+            teams: keys.list("work", "teams")?,
+            fault: FaultKind::parse(&keys.required::<String>("fault", "kind")?)?,
+            from_ms: keys.required("fault", "from-ms")?,
+            to_ms: keys.required("fault", "to-ms")?,
         })
     }
 
@@ -142,7 +142,7 @@
         plan
     }
 
-    /// Returns the rack of a backend server; machines of a rack share its zone.
+    /// Returns the rack of a backend server; all servers of a rack are in the same zone.
     fn rack_of(&self, n: usize) -> String {
         let zones = self.zones.len();
         format!("{}-{}", self.zone(n), n / zones / self.rack)
@@ -159,22 +159,22 @@
         &self.zones[n % self.zones.len()]
     }
 
-    /// Returns the speed of a backend server; each zone gets all speeds.
+    /// Returns the speed of a backend server; every zone has servers of all speeds.
     pub(crate) fn speed(&self, n: usize) -> f64 {
         self.speeds[n / self.zones.len() % self.speeds.len()]
     }
 
-    /// Returns the slots by speed, for the ideal.
+    /// Returns the slots of each backend server, for the ideal schedule.
     pub(crate) fn slot_groups(&self) -> Vec<SlotGroup> {
         (0..self.servers).map(|n| SlotGroup { slots: self.slots, speed: self.speed(n) }).collect()
     }
 
-    /// Returns the capacity, in milliseconds of work on speed 1 per millisecond.
+    /// Returns the capacity, in milliseconds on a machine of speed 1 per millisecond.
     pub(crate) fn capacity(&self) -> f64 {
         self.slot_groups().iter().map(|group| group.slots as f64 * group.speed).sum()
     }
 
-    /// Returns what submissions look like.
+    /// Returns the composition of the submissions.
     pub(crate) fn mix(&self) -> Mix {
         let share = |n| self.teams.get(n).copied().unwrap_or(0);
         let team_weights = [share(0), share(1), share(2)];
@@ -192,35 +192,37 @@
     format!("s{n}")
 }
 
-/// Loads a file over the one that it names as its base, if it does.
+/// Loads a file; its values override those of the file that it names as its `base`, if any.
 fn load(path: &Path) -> Result<Ini, Box<dyn Error>> {
-    let own = Ini::load_from_file(path)?;
-    let Some(base) = own.get_from(Some("experiment"), "base") else { return Ok(own) };
-    let mut whole = load(&path.with_file_name(base))?;
-    for (section, keys) in &own {
+    let overrides = Ini::load_from_file(path)?;
+    let Some(base) = overrides.get_from(Some("experiment"), "base") else { return Ok(overrides) };
+    let mut merged = load(&path.with_file_name(base))?;
+    for (section, keys) in &overrides {
         for (key, value) in keys {
-            whole.set_to(section, key.to_owned(), value.to_owned());
+            merged.set_to(section, key.to_owned(), value.to_owned());
         }
     }
-    Ok(whole)
+    Ok(merged)
 }
 
-/// Typed access to an INI file.
+/// Typed access to the values of an INI file.
 struct Keys<'a> {
     ini: &'a Ini,
 }
 
 impl Keys<'_> {
-    fn one<T: FromStr>(&self, section: &str, key: &str) -> Result<T, String> {
+    /// Parses a value that must be present.
+    fn required<T: FromStr>(&self, section: &str, key: &str) -> Result<T, String> {
         let text = self.ini.get_from(Some(section), key);
         let text = text.ok_or_else(|| format!("[{section}] {key} is missing"))?;
-        text.trim().parse().map_err(|_| format!("[{section}] {key}={text} is not accepted"))
+        text.trim().parse().map_err(|_| format!("[{section}] invalid value {key}={text}"))
     }
 
-    fn many<T: FromStr>(&self, section: &str, key: &str) -> Result<Vec<T>, String> {
-        let text: String = self.one(section, key)?;
-        let parse = |word: &str| word.trim().parse().ok();
+    /// Parses a list of values separated by commas.
+    fn list<T: FromStr>(&self, section: &str, key: &str) -> Result<Vec<T>, String> {
+        let text: String = self.required(section, key)?;
+        let parse = |item: &str| item.trim().parse().ok();
         let values: Option<Vec<T>> = text.split(',').map(parse).collect();
-        values.ok_or_else(|| format!("[{section}] {key}={text} is not accepted"))
+        values.ok_or_else(|| format!("[{section}] invalid value {key}={text}"))
     }
 }
--- a/endivestile_lab/examples/experiment/summary.rs
+++ b/endivestile_lab/examples/experiment/summary.rs
@@ -9,63 +9,63 @@
 use crate::run::Slice;
 use crate::spec::TEAMS;
 
-/// Messages that do no useful work, by their names among the counters.
+/// Counters of messages that do no useful work.
 ///
-/// A frame carries a batch; forwards, handoffs and records are what frames carry.
+/// A frame carries a batch of forwards, handoffs and records, which are not counted again.
 pub(crate) const OVERHEAD_COUNTERS: [&str; 6] =
     ["frames", "resent", "refused_sends", "retries", "store_calls", "lease_calls"];
-/// Causes of frames, for the breakdown.
+/// Counters that break frames down by cause.
 pub(crate) const CAUSE_COUNTERS: [&str; 4] = ["forwards", "handoffs", "records", "idle_frames"];
 
-/// Response of one slice against the ideal.
+/// Response times relative to those of the ideal schedule.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub(crate) struct ResponseRatios {
-    /// Median of each answer's time over its ideal time.
+    /// Median of the ratio of each answer's response time to its ideal one.
     pub(crate) each_p50: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the same ratios.
     pub(crate) each_p99: f64,
-    /// Median of answers' times over the median of ideal times.
+    /// Median of the response times divided by the median of the ideal ones.
     pub(crate) p50: f64,
-    /// 95th percentile over 95th percentile.
+    /// The same for the 95th percentiles.
     pub(crate) p95: f64,
-    /// 99th percentile over 99th percentile.
+    /// The same for the 99th percentiles.
     pub(crate) p99: f64,
-    /// Longest over longest.
+    /// The same for the longest times.
     pub(crate) worst: f64,
 }
 
-/// One policy at one load: medians over the rounds.
+/// Results of one policy at one load; medians over the rounds unless stated otherwise.
 #[derive(Debug, Clone, Default, Serialize)]
 pub(crate) struct Row {
     /// Load in percent of capacity.
     pub(crate) load: u32,
-    /// Policy.
+    /// Placement policy.
     pub(crate) policy: String,
-    /// Rounds.
+    /// Number of rounds.
     pub(crate) rounds: usize,
-    /// Response of all teams.
+    /// Response times of all teams.
     pub(crate) all: ResponseRatios,
-    /// Response by team.
+    /// Response times by team.
     pub(crate) teams: BTreeMap<String, ResponseRatios>,
-    /// Completed submissions in percent of all.
+    /// Completed submissions, in percent of all.
     pub(crate) complete: f64,
-    /// Submissions refused as not run, in percent.
+    /// Submissions refused as not run, in percent of all.
     pub(crate) not_run: f64,
-    /// Slowest refusal, in milliseconds.
+    /// Longest response time of a refusal, in milliseconds.
     pub(crate) refusal_ms: f64,
-    /// Sum over the rounds of what ended otherwise, by its name.
+    /// Submissions that ended in another way, by its name, summed over the rounds.
     pub(crate) others: BTreeMap<String, usize>,
-    /// Work completed over work that arrived, in percent.
+    /// Completed work, in percent of the work that arrived.
     pub(crate) goodput: f64,
-    /// Messages beyond caller, host and back end, per task started.
+    /// Messages per task started, beyond those between caller, host and backend server.
     pub(crate) wasted: f64,
-    /// The same by cause.
+    /// Messages per task started, by counter.
     pub(crate) causes: BTreeMap<String, f64>,
     /// Bytes of frames per task started.
     pub(crate) bytes: f64,
-    /// Sum over the rounds of works started twice that must not be.
+    /// Works that were wrongly started more than once, summed over the rounds.
     pub(crate) doubled: usize,
-    /// Most tasks at once on one server, in any round.
+    /// Largest number of tasks that ran at once on one backend server in any round.
     pub(crate) peak: usize,
 }
 
@@ -79,7 +79,7 @@
 }
 
 fn row(load: u32, policy: &str, group: &[&Slice]) -> Row {
-    let over = |value: &dyn Fn(&Slice) -> f64| {
+    let median_of = |value: &dyn Fn(&Slice) -> f64| {
         median(&group.iter().map(|slice| value(slice)).collect::<Vec<_>>())
     };
     let mut teams = BTreeMap::new();
@@ -87,81 +87,90 @@
         teams.insert((*team).to_owned(), medians(group, Some(n)));
     }
     let names = OVERHEAD_COUNTERS.iter().chain(&CAUSE_COUNTERS);
-    let causes =
-        names.map(|name| ((*name).to_owned(), over(&|slice| per_task(slice, &[name])))).collect();
+    let causes = names
+        .map(|name| ((*name).to_owned(), median_of(&|slice| per_task(slice, &[name]))))
+        .collect();
     Row {
         load,
         policy: policy.to_owned(),
         rounds: group.len(),
         all: medians(group, None),
         teams,
-        complete: over(&|slice| share(slice, SubmissionEnd::Complete)),
-        not_run: over(&|slice| share(slice, SubmissionEnd::NotRun)),
-        refusal_ms: over(&slowest_refusal),
+        complete: median_of(&|slice| percent_ended(slice, SubmissionEnd::Complete)),
+        not_run: median_of(&|slice| percent_ended(slice, SubmissionEnd::NotRun)),
+        refusal_ms: median_of(&slowest_refusal),
         others: others(group),
-        goodput: over(&goodput),
-        wasted: over(&|slice| per_task(slice, &OVERHEAD_COUNTERS)),
+        goodput: median_of(&goodput),
+        wasted: median_of(&|slice| per_task(slice, &OVERHEAD_COUNTERS)),
         causes,
-        bytes: over(&|slice| per_task(slice, &["frame_bytes"])),
+        bytes: median_of(&|slice| per_task(slice, &["frame_bytes"])),
         doubled: group.iter().map(|slice| slice.doubled).sum(),
         peak: group.iter().map(|slice| slice.peak).max().unwrap_or(0),
     }
 }
 
+/// Returns the medians over the slices of a group, for one team or all of them.
 fn medians(group: &[&Slice], team: Option<usize>) -> ResponseRatios {
-    let each: Vec<ResponseRatios> = group.iter().map(|slice| response(slice, team)).collect();
-    let over =
-        |value: fn(&ResponseRatios) -> f64| median(&each.iter().map(value).collect::<Vec<_>>());
+    let responses: Vec<ResponseRatios> = group.iter().map(|slice| response(slice, team)).collect();
+    let median_of = |value: fn(&ResponseRatios) -> f64| {
+        median(&responses.iter().map(value).collect::<Vec<_>>())
+    };
     ResponseRatios {
-        each_p50: over(|r| r.each_p50),
-        each_p99: over(|r| r.each_p99),
-        p50: over(|r| r.p50),
-        p95: over(|r| r.p95),
-        p99: over(|r| r.p99),
-        worst: over(|r| r.worst),
+        each_p50: median_of(|r| r.each_p50),
+        each_p99: median_of(|r| r.each_p99),
+        p50: median_of(|r| r.p50),
+        p95: median_of(|r| r.p95),
+        p99: median_of(|r| r.p99),
+        worst: median_of(|r| r.worst),
     }
 }
 
+/// Compares the completed submissions of a slice, for one team or all of them.
 fn response(slice: &Slice, team: Option<usize>) -> ResponseRatios {
-    let wanted = slice.outcomes.iter().filter(|outcome| {
-        let own = team.is_none_or(|team| slice.arrivals[outcome.index].team == team);
-        own && outcome.end == SubmissionEnd::Complete
+    let completed = slice.outcomes.iter().filter(|outcome| {
+        let selected = team.is_none_or(|team| slice.arrivals[outcome.index].team == team);
+        selected && outcome.end == SubmissionEnd::Complete
     });
     let pairs: Vec<(f64, f64)> =
-        wanted.map(|outcome| (outcome.response_ms, slice.ideal_ms[outcome.index])).collect();
+        completed.map(|outcome| (outcome.response_ms, slice.ideal_ms[outcome.index])).collect();
     let (real, ideal): (Vec<f64>, Vec<f64>) = pairs.iter().copied().unzip();
-    let each: Vec<f64> = pairs.iter().map(|(real, ideal)| real / ideal).collect();
-    let over = |percent| ratio(percentile(&real, percent), percentile(&ideal, percent));
+    let ratios: Vec<f64> = pairs.iter().map(|(real, ideal)| real / ideal).collect();
+    let percentile_ratio = |percent| ratio(percentile(&real, percent), percentile(&ideal, percent));
     ResponseRatios {
-        each_p50: percentile(&each, 50.0),
-        each_p99: percentile(&each, 99.0),
-        p50: over(50.0),
-        p95: over(95.0),
-        p99: over(99.0),
-        worst: over(100.0),
+        each_p50: percentile(&ratios, 50.0),
+        each_p99: percentile(&ratios, 99.0),
+        p50: percentile_ratio(50.0),
+        p95: percentile_ratio(95.0),
+        p99: percentile_ratio(99.0),
+        worst: percentile_ratio(100.0),
     }
 }
 
+/// Returns `value / base`, 0 when `base` is not positive.
 fn ratio(value: f64, base: f64) -> f64 {
     if base > 0.0 { value / base } else { 0.0 }
 }
 
+/// Returns the sum of some counters per task started.
 fn per_task(slice: &Slice, names: &[&str]) -> f64 {
     let count = |name: &str| slice.counts.get(name).copied().unwrap_or(0) as f64;
     let sum: f64 = names.iter().map(|name| count(name)).sum();
     ratio(sum, count("task_starts"))
 }
 
-fn share(slice: &Slice, end: SubmissionEnd) -> f64 {
+/// Returns the submissions that ended in this way, in percent of all.
+fn percent_ended(slice: &Slice, end: SubmissionEnd) -> f64 {
     let count = slice.outcomes.iter().filter(|outcome| outcome.end == end).count();
     100.0 * ratio(count as f64, slice.arrivals.len() as f64)
 }
 
+/// Returns the longest response time of a refusal, in milliseconds.
 fn slowest_refusal(slice: &Slice) -> f64 {
     let refused = slice.outcomes.iter().filter(|outcome| outcome.end == SubmissionEnd::NotRun);
     refused.map(|outcome| outcome.response_ms).fold(0.0, f64::max)
 }
 
+/// Returns the completed work, in percent of the work that arrived.
 fn goodput(slice: &Slice) -> f64 {
     let work = |index: usize| slice.arrivals[index].tasks_ms.iter().sum::<f64>();
     let done = slice.outcomes.iter().filter(|outcome| outcome.end == SubmissionEnd::Complete);
@@ -170,6 +179,7 @@
     100.0 * ratio(done, all)
 }
 
+/// Counts the submissions that were neither completed nor refused as not run.
 fn others(group: &[&Slice]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for outcome in group.iter().flat_map(|slice| &slice.outcomes) {
--- a/endivestile_lab/examples/policies/main.rs
+++ b/endivestile_lab/examples/policies/main.rs
@@ -1,4 +1,5 @@
-//! What each policy of placing is worth: load at its worst in virtual time, with one policy left out at a time.
+//! Effect of each scheduling mechanism: results of usual load and of bursts in virtual time,
+//! with all mechanisms enabled and with each one disabled in turn.
 //!
 //! `cargo run --release -p endivestile_lab --example policies -- --seeds 5`
 
@@ -9,8 +10,8 @@
 use endivestile_config::{Mechanism, Policy};
 use endivestile_testkit::{FleetWorld, JobKind, LoadResult};
 
-/// Kinds of jobs: many small ones, some wide ones, a few long ones. One second
-/// of this asks for some 80% of what the workers can do.
+/// Kinds of jobs: many small ones, some wide ones, a few long ones. At a rate factor of 1 they
+/// use about 80% of the workers' capacity.
 const KINDS: [JobKind; 3] = [
     JobKind {
         name: "wide",
@@ -40,37 +41,37 @@
         estimate_factor: 1.0,
     },
 ];
-/// Speeds of the workers, in turn.
+/// Speeds of the workers, assigned in turn.
 const SPEEDS: [f64; 3] = [0.7, 0.7, 1.7];
-/// Length of the load, in milliseconds.
+/// Duration of the load, in milliseconds.
 const LOAD_MS: u64 = 8_000;
 
-/// Plays load at its worst, with one policy left out at a time.
+/// Measures the effect of each scheduling mechanism.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Seeds played for each, from 1 on.
+    /// Number of seeds for each row, starting at 1.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
-    /// Only all policies in force.
+    /// Only measure with all mechanisms enabled.
     #[arg(long)]
     all: bool,
 }
 
-/// A pattern of load and trouble.
+/// A pattern of load and worker faults.
 #[derive(Debug, Clone, Copy)]
 struct Pattern {
     name: &'static str,
-    /// Times the usual rate.
+    /// Factor of the rates of [`KINDS`].
     rate: f64,
-    /// Whether a tenth of the workers hangs and a tenth is slow.
-    trouble: bool,
+    /// Whether a tenth of the workers hangs and another tenth is slow.
+    faulty_workers: bool,
 }
 
 const PATTERNS: [Pattern; 4] = [
-    Pattern { name: "usual", rate: 0.8, trouble: false },
-    Pattern { name: "usual, workers in trouble", rate: 0.8, trouble: true },
-    Pattern { name: "burst", rate: 1.7, trouble: false },
-    Pattern { name: "burst, workers in trouble", rate: 1.4, trouble: true },
+    Pattern { name: "usual", rate: 0.8, faulty_workers: false },
+    Pattern { name: "usual, workers in trouble", rate: 0.8, faulty_workers: true },
+    Pattern { name: "burst", rate: 1.7, faulty_workers: false },
+    Pattern { name: "burst, workers in trouble", rate: 1.4, faulty_workers: true },
 ];
 
 fn main() -> ExitCode {
@@ -78,55 +79,58 @@
     println!("share of jobs served well / late / refused / lost, in percent; well by kind");
     for pattern in &PATTERNS {
         println!("{}", pattern.name);
-        row("all", pattern, Policy::default(), args.seeds);
+        print_row("all", pattern, Policy::default(), args.seeds);
         for mechanism in Mechanism::ALL.into_iter().filter(|_| !args.all) {
             let policy = Policy::default().without(mechanism);
-            row(mechanism.label(), pattern, policy, args.seeds);
+            print_row(mechanism.label(), pattern, policy, args.seeds);
         }
     }
     ExitCode::SUCCESS
 }
 
-fn row(name: &str, pattern: &Pattern, policy: Policy, seeds: u64) {
+/// Prints the results of a pattern under a policy, summed over all seeds.
+fn print_row(name: &str, pattern: &Pattern, policy: Policy, seeds: u64) {
     let mut sums: BTreeMap<&'static str, LoadResult> = BTreeMap::new();
     for seed in 1..=seeds {
-        for (kind, served) in play(pattern, policy, seed) {
-            sums.entry(kind).or_default().add(&served);
+        for (kind, result) in run_pattern(pattern, policy, seed) {
+            sums.entry(kind).or_default().add(&result);
         }
     }
     let mut all = LoadResult::default();
-    sums.values().for_each(|served| all.add(served));
-    let part = |count: u32, of: u32| 100.0 * f64::from(count) / f64::from(of.max(1));
+    sums.values().for_each(|result| all.add(result));
+    let percent = |count: u32, of: u32| 100.0 * f64::from(count) / f64::from(of.max(1));
     let kinds: Vec<String> = sums
         .iter()
-        .map(|(kind, served)| format!("{kind} {:.1}", part(served.in_time, served.submitted)))
+        .map(|(kind, result)| format!("{kind} {:.1}", percent(result.in_time, result.submitted)))
         .collect();
     println!(
         "  {name:<14} {:5.1} {:5.1} {:5.1} {:5.1}   {}; refused after {} ms; large {:.1} of {:.1}",
-        part(all.in_time, all.submitted),
-        part(all.late, all.submitted),
-        part(all.refused, all.submitted),
-        part(all.lost, all.submitted),
+        percent(all.in_time, all.submitted),
+        percent(all.late, all.submitted),
+        percent(all.refused, all.submitted),
+        percent(all.lost, all.submitted),
         kinds.join(", "),
         all.refusal_wait_ms / u64::from(all.refused.max(1)),
-        part(all.large_done, all.large),
-        part(all.in_time + all.late, all.submitted),
+        percent(all.large_done, all.large),
+        percent(all.in_time + all.late, all.submitted),
     );
 }
 
-fn play(pattern: &Pattern, policy: Policy, seed: u64) -> BTreeMap<&'static str, LoadResult> {
+/// Runs a pattern with one seed; returns the results by kind of job.
+fn run_pattern(pattern: &Pattern, policy: Policy, seed: u64) -> BTreeMap<&'static str, LoadResult> {
     let hosts = [250, 250];
     let mut world = FleetWorld::with_policy(policy, &["a", "b", "c"], &hosts, 16, 32_000, seed);
     world.set_speeds(&SPEEDS);
     world.run(2_000);
-    // The fleet learns durations and speeds from a calm start.
-    world.run_load(&kinds(0.5), 3_000, seed + 100);
-    if pattern.trouble {
+    // Light load first, from which the hosts learn durations and speeds.
+    world.run_load(&scaled_kinds(0.5), 3_000, seed + 100);
+    if pattern.faulty_workers {
         world.degrade_workers(10, 10, 6.0);
     }
-    world.run_load(&kinds(pattern.rate), LOAD_MS, seed)
+    world.run_load(&scaled_kinds(pattern.rate), LOAD_MS, seed)
 }
 
-fn kinds(times: f64) -> Vec<JobKind> {
-    KINDS.iter().map(|kind| JobKind { rate: kind.rate * times, ..*kind }).collect()
+/// Returns all kinds of jobs with their rates multiplied by `factor`.
+fn scaled_kinds(factor: f64) -> Vec<JobKind> {
+    KINDS.iter().map(|kind| JobKind { rate: kind.rate * factor, ..*kind }).collect()
 }
--- a/endivestile_lab/examples/slopes/burst.rs
+++ b/endivestile_lab/examples/slopes/burst.rs
@@ -1,4 +1,5 @@
-//! Callers that connect at once, as a balancer does to a host that has started.
+//! Callers that connect at the same time, as a load balancer does to a host that has just
+//! started.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,23 +12,23 @@
 use crate::result::MeasureResult;
 use crate::usage::built_daemon;
 
-/// Seconds that an answer may take; then the connection counts as unanswered.
-const LIMIT_S: u64 = 3;
-/// What each connection asks.
+/// Timeout of an answer, in seconds; a connection without one counts as unanswered.
+const TIMEOUT_S: u64 = 3;
+/// Request sent on each connection.
 const REQUEST: &[u8] = b"GET /health HTTP/1.1\r\nHost: entry\r\n\r\n";
 
-/// What is measured.
+/// Arguments of the measurement.
 #[derive(Debug, clap::Args)]
 pub(crate) struct Args {
-    /// Connections made at once.
+    /// Numbers of simultaneous connections, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "4,20,40,80")]
     connections: Vec<usize>,
-    /// Fresh hosts tried per line.
+    /// Rounds per row, each with a newly started host.
     #[arg(long, default_value_t = 5)]
     rounds: usize,
 }
 
-/// Prints one line per number of connections.
+/// Prints one row for each number of connections.
 pub(crate) fn measure(args: &Args) -> MeasureResult {
     println!("| connections at once | answered within 3 s | slowest answer, ms | by round |");
     println!("|---|---|---|---|");
@@ -36,33 +37,35 @@
         let mut slowest = 0.0_f64;
         for _ in 0..args.rounds {
             let deployment = Deployment::start(plan(1, 1), &built_daemon()?)?;
-            let times = burst(deployment.hosts[0].address(), connections)?;
-            slowest = times.iter().copied().fold(slowest, f64::max);
-            answered.push(times.len());
+            let times_ms = run_burst(deployment.hosts[0].address(), connections)?;
+            slowest = times_ms.iter().copied().fold(slowest, f64::max);
+            answered.push(times_ms.len());
         }
-        let sum: usize = answered.iter().sum();
+        let total: usize = answered.iter().sum();
         let all = connections * args.rounds;
-        println!("| {connections} | {sum} of {all} | {slowest:.1} | {answered:?} |");
+        println!("| {connections} | {total} of {all} | {slowest:.1} | {answered:?} |");
     }
     Ok(())
 }
 
-/// Opens all connections, then asks on each; returns the milliseconds of the answers.
-fn burst(host: SocketAddr, connections: usize) -> MeasureResult<Vec<f64>> {
+/// Opens all connections, then sends a request on each; returns the milliseconds until each
+/// answer, without those that were not answered.
+fn run_burst(host: SocketAddr, connections: usize) -> MeasureResult<Vec<f64>> {
     let streams: Vec<TcpStream> =
         (0..connections).map(|_| TcpStream::connect(host)).collect::<Result<_, _>>()?;
-    let began = Instant::now();
-    let times = thread::scope(|scope| {
-        let each = |stream| scope.spawn(move || ask(stream, began).ok());
-        let asked: Vec<_> = streams.iter().map(each).collect();
-        asked.into_iter().filter_map(|asked| asked.join().ok().flatten()).collect()
+    let started = Instant::now();
+    let times_ms = thread::scope(|scope| {
+        let each = |stream| scope.spawn(move || request_ms(stream, started).ok());
+        let handles: Vec<_> = streams.iter().map(each).collect();
+        handles.into_iter().filter_map(|handle| handle.join().ok().flatten()).collect()
     });
-    Ok(times)
+    Ok(times_ms)
 }
 
-fn ask(mut stream: &TcpStream, began: Instant) -> std::io::Result<f64> {
-    stream.set_read_timeout(Some(Duration::from_secs(LIMIT_S)))?;
+/// Sends a request; returns the milliseconds from `started` to the first byte of its answer.
+fn request_ms(mut stream: &TcpStream, started: Instant) -> std::io::Result<f64> {
+    stream.set_read_timeout(Some(Duration::from_secs(TIMEOUT_S)))?;
     stream.write_all(REQUEST)?;
     stream.read_exact(&mut [0])?;
-    Ok(began.elapsed().as_secs_f64() * 1e3)
+    Ok(started.elapsed().as_secs_f64() * 1e3)
 }
--- a/endivestile_lab/examples/slopes/harness.rs
+++ b/endivestile_lab/examples/slopes/harness.rs
@@ -1,4 +1,4 @@
-//! One kernel without processes: back ends answer when they are told to.
+//! A kernel without processes and sockets, whose calls to backends end on demand.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,32 +13,35 @@
 
 use crate::inventory;
 
-/// Seconds since 1970 at which kernels start.
+/// Wall-clock time at which kernels start, in seconds since 1970.
 pub(crate) const WALL_S: u64 = 1_800_000_000;
-/// Need of a task: 32 of them fit a worker.
+/// Resources that a task needs; a worker can run 32 such tasks.
 const NEED: Need = Need { cpu_milli: 1_000, memory_mb: 1_000, accelerators: 0 };
-/// Bytes of work and of a result.
+/// Work of each task, and its result.
 const WORK: [u8; 64] = [b'w'; 64];
 
-/// A kernel and its open calls to back ends.
+/// A kernel and its open calls to backends.
 pub(crate) struct KernelHarness {
     /// The kernel.
     pub(crate) kernel: Kernel,
-    /// Its clock.
+    /// Current time of its clock.
     pub(crate) now: Time,
-    /// Time spent inside it.
+    /// Time spent in the kernel.
     pub(crate) kernel_time: Duration,
-    /// Part of it spent on frames and on the next deadline.
+    /// Part of it in which the kernel builds frames and computes its next deadline.
     pub(crate) flush_time: Duration,
-    /// Answers to callers.
+    /// Number of answers to callers.
     pub(crate) answers: u64,
-    /// Frames sent.
+    /// Number of frames sent.
     pub(crate) frames: u64,
-    /// Effects for others than callers and back ends.
+    /// Effects that concern neither callers nor backends, such as frames and store calls.
     pub(crate) outgoing: Vec<Effect>,
-    open: VecDeque<AttemptId>,
-    calls: u64,
-    out: Vec<Effect>,
+    /// Open calls to backends, oldest first.
+    attempts: VecDeque<AttemptId>,
+    /// Number of submissions so far.
+    submissions: u64,
+    /// Buffer for the effects of an event.
+    effects: Vec<Effect>,
 }
 
 impl KernelHarness {
@@ -60,25 +63,25 @@
             answers: 0,
             frames: 0,
             outgoing: Vec::new(),
-            open: VecDeque::new(),
-            calls: 0,
-            out: Vec::new(),
+            attempts: VecDeque::new(),
+            submissions: 0,
+            effects: Vec::new(),
         }
     }
 
-    /// Hands an event in and carries the effects out.
+    /// Passes an event to the kernel, measures its time and sorts its effects.
     pub(crate) fn handle_event(&mut self, event: Event) {
-        let began = Instant::now();
-        self.kernel.handle(self.now, event, &mut self.out);
+        let started = Instant::now();
+        self.kernel.handle(self.now, event, &mut self.effects);
         let handled = Instant::now();
-        self.kernel.flush(self.now, &mut self.out);
-        // The daemon asks for it after each batch, to set its timer.
+        self.kernel.flush(self.now, &mut self.effects);
+        // The daemon calls this after each batch of events, to set its timer.
         std::hint::black_box(self.kernel.deadline());
         self.flush_time += handled.elapsed();
-        self.kernel_time += began.elapsed();
-        for effect in self.out.drain(..) {
+        self.kernel_time += started.elapsed();
+        for effect in self.effects.drain(..) {
             match effect {
-                Effect::Start { attempt, .. } => self.open.push_back(attempt),
+                Effect::Start { attempt, .. } => self.attempts.push_back(attempt),
                 Effect::Answer { .. } => self.answers += 1,
                 Effect::Log(_) | Effect::Count(..) => {}
                 other => {
@@ -89,12 +92,12 @@
         }
     }
 
-    /// Adopts a configuration.
+    /// Delivers a configuration to the kernel.
     pub(crate) fn configure(&mut self, config: &Config) {
         self.handle_event(Event::Config { config: Arc::new(config.clone()), text: Bytes::new() });
     }
 
-    /// Registers host number `at`.
+    /// Delivers the registration of host number `at` to the kernel.
     pub(crate) fn register(&mut self, at: usize, zones: usize, leaving: bool) {
         let registration = Registration {
             peer: peer(at),
@@ -106,10 +109,10 @@
         self.handle_event(Event::HostRegistration { host, registration: Some(registration) });
     }
 
-    /// Hears host number `at`, which tells a load without free slots.
+    /// Delivers a frame in which host number `at` reports a load without free slots.
     pub(crate) fn receive_load(&mut self, at: usize, me: usize) {
         let target = Target::Need(Need { cpu_milli: 0, memory_mb: 0, accelerators: 0 });
-        let figure = TargetLoad {
+        let target_load = TargetLoad {
             target,
             slots: 600,
             free: 0,
@@ -125,7 +128,7 @@
             sent: self.now,
             revision: 1,
             leaving: false,
-            load: Some(Arc::from([figure])),
+            load: Some(Arc::from([target_load])),
             echo: Time::ZERO,
             report: None,
             msgs: Vec::new(),
@@ -134,35 +137,35 @@
 
     /// Submits a request, or a job when `tasks` is more than one.
     pub(crate) fn submit(&mut self, id: Option<SubmissionId>, tasks: usize) {
-        self.calls += 1;
+        self.submissions += 1;
         let work = Bytes::copy_from_slice(&WORK);
         let task =
             || Arc::new(Task { target: Target::Need(NEED), work: work.clone(), declared_ms: 0 });
         let submission = Submission {
             idempotent: id.is_none(),
             id,
-            team: inventory::team_name(self.calls as usize),
+            team: inventory::team_name(self.submissions as usize),
             deadline: self.now.after_ms(1_000_000),
             tasks: (0..tasks).map(|_| task()).collect(),
         };
-        self.handle_event(Event::Submitted { call: CallId(self.calls), submission });
+        self.handle_event(Event::Submitted { call: CallId(self.submissions), submission });
     }
 
-    /// Ends the oldest open call to a back end; false when none is open.
+    /// Answers the oldest open call to a backend; returns false when none is open.
     pub(crate) fn finish_attempt(&mut self) -> bool {
-        let Some(attempt) = self.open.pop_front() else { return false };
+        let Some(attempt) = self.attempts.pop_front() else { return false };
         let end = AttemptEnd::Answered(Bytes::copy_from_slice(&WORK));
         self.handle_event(Event::AttemptEnded { attempt, end });
         true
     }
 
-    /// Returns the open calls to back ends.
+    /// Returns the number of open calls to backends.
     pub(crate) fn open_attempts(&self) -> usize {
-        self.open.len()
+        self.attempts.len()
     }
 }
 
-/// Returns the incarnation of host number `at`.
+/// Returns the network identity of host number `at`.
 pub(crate) fn peer(at: usize) -> Peer {
     Peer::new(inventory::host_name(at), 1 + at as u64)
 }
--- a/endivestile_lab/examples/slopes/heap.rs
+++ b/endivestile_lab/examples/slopes/heap.rs
@@ -1,15 +1,15 @@
-//! Bytes that this process has allocated.
+//! Bytes of heap memory that this process has allocated and not freed.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Allocator that counts the bytes in use.
-struct Counting;
+/// System allocator that counts the bytes in use.
+struct CountingAllocator;
 
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: every call goes to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is passed on unchanged to the system allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
@@ -22,7 +22,7 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 /// Returns the bytes in use.
 pub(crate) fn in_use() -> usize {
--- a/endivestile_lab/examples/slopes/inventory.rs
+++ b/endivestile_lab/examples/slopes/inventory.rs
@@ -1,22 +1,22 @@
-//! Inventories of a given size.
+//! Generated inventories of a given size.
 
 use endivestile_config::model::{Config, Host, Name, Team, Worker, Zone};
 
-/// Teams of the target.
+/// Teams of the target deployment.
 const TEAMS: usize = 170;
-/// Workers of a rack.
-const RACK: usize = 20;
-/// Regions of the target.
+/// Workers per rack.
+const RACK_WORKERS: usize = 20;
+/// Regions of the target deployment.
 const REGIONS: usize = 8;
 
 /// Size of an inventory.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Size {
-    /// Availability zones.
+    /// Number of availability zones.
     pub(crate) zones: usize,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub(crate) hosts: usize,
-    /// Workers.
+    /// Number of workers.
     pub(crate) workers: usize,
 }
 
@@ -55,15 +55,15 @@
     config
 }
 
-/// Adds workers that nobody serves; nothing is sent to them without a task.
+/// Adds workers at addresses where nothing listens; hosts send them nothing without a task.
 pub(crate) fn add_workers(config: &mut Config, size: Size) {
     let zones: Vec<Name> = config.zones.keys().cloned().collect();
     for at in 0..size.workers {
-        // 6,300 accelerators on 4,400 workers.
+        // About 6,300 accelerators on the 4,400 workers of the target deployment.
         let accelerators = if at % 14 < 5 { 4 } else { 0 };
         let worker = Worker {
             zone: zones[at % zones.len()].clone(),
-            rack: Name::from(format!("rack-{:03}", at / RACK)),
+            rack: Name::from(format!("rack-{:03}", at / RACK_WORKERS)),
             address: Name::from(format!("127.2.{}.{}:9000", at / 200, at % 200 + 1)),
             cpu_milli: 32_000,
             memory_mb: 65_536,
--- a/endivestile_lab/examples/slopes/main.rs
+++ b/endivestile_lab/examples/slopes/main.rs
@@ -1,5 +1,5 @@
-//! Measures what a deployment costs as it grows: one subcommand per table of
-//! `docs/CAPACITY.md`.
+//! Measures how the cost of a deployment grows with its size, with one subcommand for each
+//! table of `docs/CAPACITY.md`.
 //!
 //! `cargo build --release -p endivestile` first, then
 //! `cargo run --release -p endivestile_lab --example slopes -- idle`.
@@ -24,7 +24,7 @@
 
 use result::MeasureResult;
 
-/// Measures slopes of processor time, memory and messages.
+/// Measures how processor time, memory and messages grow with a deployment.
 #[derive(Debug, Parser)]
 struct Args {
     #[command(subcommand)]
@@ -34,19 +34,19 @@
 /// A table to measure.
 #[derive(Debug, Subcommand)]
 enum Table {
-    /// Idle entry hosts against their number.
+    /// Cost of idle entry hosts by their number.
     Idle(idle::Args),
-    /// Cost of a task start against kind of submission and number of entry hosts.
+    /// Cost of a task start by kind of submission and number of entry hosts.
     Load(load::Args),
-    /// Time to adopt a configuration against entry hosts and size.
+    /// Time to adopt a configuration by number of entry hosts and workers.
     Adopt(adopt::Args),
     /// Time and store calls to take over the shards of killed entry hosts.
     Takeover(takeover::Args),
-    /// Callers that connect at once.
+    /// Response times of callers that connect at the same time.
     Burst(burst::Args),
-    /// Processor time of the kernel alone: a task, a change of the view, a configuration.
+    /// Processor time of the kernel alone, for tasks, membership changes and configurations.
     Task,
-    /// Bytes of the kernel alone: per remembered submission, queued task and back end.
+    /// Memory of the kernel alone, per remembered submission, queued task and worker.
     Memory,
 }
 
--- a/endivestile_lab/examples/slopes/takeover.rs
+++ b/endivestile_lab/examples/slopes/takeover.rs
@@ -1,4 +1,4 @@
-//! Take-over of the shards of entry hosts that are killed.
+//! Takeover of the shards of killed entry hosts.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,28 +12,28 @@
 use crate::result::MeasureResult;
 use crate::usage::built_daemon;
 
-/// Pause between two tries of a shard, in milliseconds.
-const TRY_MS: u64 = 20;
-/// Time that a caller gives one try, in milliseconds.
+/// Pause between two submissions to a shard, in milliseconds.
+const RETRY_MS: u64 = 20;
+/// Deadline of each submission, in milliseconds.
 const DEADLINE_MS: u64 = 2_000;
-/// Seconds in which all shards have to be served again.
-const LIMIT_S: u64 = 60;
+/// Timeout for all shards to be served again, in seconds.
+const TIMEOUT_S: u64 = 60;
 
-/// What is measured.
+/// Arguments of the measurement.
 #[derive(Debug, clap::Args)]
 pub(crate) struct Args {
-    /// Entry hosts.
+    /// Number of entry hosts.
     #[arg(long, default_value_t = 16)]
     hosts: usize,
-    /// Shards per entry host.
+    /// Numbers of shards per entry host, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "4,16,64")]
     shards: Vec<usize>,
-    /// Entry hosts killed at once.
+    /// Numbers of entry hosts killed at the same time, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "1,4")]
     killed: Vec<usize>,
 }
 
-/// Prints one line per number of shards and of killed hosts.
+/// Prints one row for each number of shards and of killed hosts.
 pub(crate) fn measure(args: &Args) -> MeasureResult {
     println!(
         "| hosts | killed | their shards | first served, ms | last served, ms | not served | \
@@ -42,39 +42,40 @@
     println!("|---|---|---|---|---|---|---|---|---|");
     for &shards in &args.shards {
         for &killed in &args.killed {
-            line(args.hosts, shards * args.hosts, killed)?;
+            measure_row(args.hosts, shards * args.hosts, killed)?;
         }
     }
     Ok(())
 }
 
-fn line(hosts: usize, shards: usize, killed: usize) -> MeasureResult {
+/// Measures and prints one row.
+fn measure_row(hosts: usize, shards: usize, killed: usize) -> MeasureResult {
     let mut deployment = Deployment::start(plan(hosts, shards as u32), &built_daemon()?)?;
     if !wait_synced(&deployment, shards) {
         return Err(format!("{} of {shards} shards are synced", count_synced(&deployment)).into());
     }
     let mut lost = BTreeSet::new();
     for host in &deployment.hosts[..killed] {
-        lost.extend(homes(&Caller::new(host.address(), "m1").status()?));
+        lost.extend(home_shards(&Caller::new(host.address(), "m1").status()?));
     }
-    let living = deployment.hosts[hosts - 1].address();
+    let survivor = deployment.hosts[hosts - 1].address();
     let callers =
-        lost.iter().map(|&shard| connect(living, shard)).collect::<MeasureResult<Vec<_>>>()?;
+        lost.iter().map(|&shard| connect(survivor, shard)).collect::<MeasureResult<Vec<_>>>()?;
     let before = deployment.store.counts();
-    let began = Instant::now();
+    let started = Instant::now();
     for host in &mut deployment.hosts[..killed] {
         host.kill();
     }
-    let served = serve(&callers, shards as u32, began);
-    // New witnesses and the ends of registrations come after the first answers.
-    thread::sleep(Duration::from_secs(LIMIT_S / 3));
+    let served_ms = serving_times_ms(&callers, shards as u32, started);
+    // Store calls for new witnesses and ended registrations follow the first answers.
+    thread::sleep(Duration::from_secs(TIMEOUT_S / 3));
     let after = deployment.store.counts();
     println!(
         "| {hosts} | {killed} | {} | {:.0} | {:.0} | {} | {} | {} | {} |",
         lost.len(),
-        served.first().copied().unwrap_or(f64::NAN),
-        served.last().copied().unwrap_or(f64::NAN),
-        lost.len() - served.len(),
+        served_ms.first().copied().unwrap_or(f64::NAN),
+        served_ms.last().copied().unwrap_or(f64::NAN),
+        lost.len() - served_ms.len(),
         after.total() - before.total(),
         after.txn - before.txn,
         after.events - before.events,
@@ -82,29 +83,32 @@
     Ok(())
 }
 
-/// Connects the caller of a shard. Callers that connect at once may wait for a
-/// thread for seconds, see `burst`, which is not what is measured here.
+/// Connects the caller of a shard before the measurement: callers that connect at the same time
+/// may wait for a thread for seconds, see `burst`.
 fn connect(host: SocketAddr, shard: u32) -> MeasureResult<(u32, Caller)> {
     let caller = Caller::new(host, "m1").deadline_ms(DEADLINE_MS);
     caller.status()?;
     Ok((shard, caller))
 }
 
-/// Submits ids of each shard until one is served; returns the milliseconds since `began`, sorted.
-fn serve(callers: &[(u32, Caller)], count: u32, began: Instant) -> Vec<f64> {
-    let end = began + Duration::from_secs(LIMIT_S);
-    let mut served: Vec<f64> = thread::scope(|scope| {
-        let each = |(shard, caller): &(u32, Caller)| one(caller, *shard, count, end);
-        let tries: Vec<_> =
-            callers.iter().map(|caller| scope.spawn(move || each(caller))).collect();
-        let ends = tries.into_iter().filter_map(|each| each.join().ok().flatten());
-        ends.map(|at| at.duration_since(began).as_secs_f64() * 1e3).collect()
+/// Submits ids of each shard until one is completed; returns the milliseconds from `started`
+/// to each shard's first completed submission, sorted.
+fn serving_times_ms(callers: &[(u32, Caller)], count: u32, started: Instant) -> Vec<f64> {
+    let end = started + Duration::from_secs(TIMEOUT_S);
+    let mut served_ms: Vec<f64> = thread::scope(|scope| {
+        let run = |(shard, caller): &(u32, Caller)| submit_until_served(caller, *shard, count, end);
+        let handles: Vec<_> =
+            callers.iter().map(|caller| scope.spawn(move || run(caller))).collect();
+        let ends = handles.into_iter().filter_map(|handle| handle.join().ok().flatten());
+        ends.map(|at| at.duration_since(started).as_secs_f64() * 1e3).collect()
     });
-    served.sort_by(f64::total_cmp);
-    served
+    served_ms.sort_by(f64::total_cmp);
+    served_ms
 }
 
-fn one(caller: &Caller, shard: u32, count: u32, end: Instant) -> Option<Instant> {
+/// Submits ids of a shard until one is completed or `end` has passed; returns when it was
+/// completed.
+fn submit_until_served(caller: &Caller, shard: u32, count: u32, end: Instant) -> Option<Instant> {
     let mut serial = 0;
     while Instant::now() < end {
         let id = loop {
@@ -117,14 +121,14 @@
         if caller.request("orders", Some(&id), "{}").is_ok_and(|reply| reply.status == 200) {
             return Some(Instant::now());
         }
-        thread::sleep(Duration::from_millis(TRY_MS));
+        thread::sleep(Duration::from_millis(RETRY_MS));
     }
     None
 }
 
-/// Returns the shards of which a host is home.
-fn homes(status: &serde_json::Value) -> Vec<u32> {
+/// Returns the shards of which a host is home, from its status page.
+fn home_shards(status: &serde_json::Value) -> Vec<u32> {
     let shards = status["shards"].as_array().map(Vec::as_slice).unwrap_or_default();
-    let home = shards.iter().filter(|shard| shard["role"] == "home");
-    home.filter_map(|shard| shard["shard"].as_u64().map(|shard| shard as u32)).collect()
+    let homes = shards.iter().filter(|shard| shard["role"] == "home");
+    homes.filter_map(|shard| shard["shard"].as_u64().map(|shard| shard as u32)).collect()
 }
--- a/endivestile_lab/examples/slopes/usage.rs
+++ b/endivestile_lab/examples/slopes/usage.rs
@@ -1,4 +1,4 @@
-//! What processes use and what they have sent.
+//! Processor time, memory and message counters of a deployment.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,58 +8,59 @@
 
 use crate::result::MeasureResult;
 
-/// Ticks of `/proc/<pid>/stat` in a second.
-const TICKS: f64 = 100.0;
-/// Place of the user time in `/proc/<pid>/stat` after the program's name.
-const USER: usize = 11;
+/// Clock ticks of `/proc/<pid>/stat` per second.
+const TICKS_PER_S: f64 = 100.0;
+/// Index of the user time in `/proc/<pid>/stat`, counted from behind the program's name; the
+/// system time follows it.
+const USER_TIME_INDEX: usize = 11;
 
-/// Counts over all entry hosts.
+/// Usage and counters of all entry hosts together, at one time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Usage {
-    /// When it was looked at.
+    /// Time of the reading.
     at: Instant,
-    /// Processor time in seconds.
+    /// Processor time, in seconds.
     cpu_s: f64,
-    /// Resident memory in KiB.
+    /// Resident memory, in KiB.
     rss_kb: f64,
-    /// Frames between hosts.
+    /// Number of frames between hosts.
     frames: f64,
     /// Bytes of these frames.
     bytes: f64,
-    /// Task starts.
+    /// Number of task starts.
     starts: f64,
-    /// Calls that reached the store, watches at their creation.
+    /// Number of calls that reached the store; a watch counts once, when it is created.
     store_calls: f64,
-    /// Watches that wait.
+    /// Number of open watches.
     watches: f64,
 }
 
-/// What was used between two looks.
+/// Difference of two readings.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UsageDelta {
-    /// Seconds between the looks.
+    /// Time between the readings, in seconds.
     pub(crate) span_s: f64,
-    /// Processor time in seconds.
+    /// Processor time, in seconds.
     pub(crate) cpu_s: f64,
     /// Resident memory of all hosts at the end, in KiB.
     pub(crate) rss_kb: f64,
-    /// Frames between hosts.
+    /// Number of frames between hosts.
     pub(crate) frames: f64,
     /// Bytes of these frames.
     pub(crate) bytes: f64,
-    /// Task starts.
+    /// Number of task starts.
     pub(crate) starts: f64,
-    /// Calls that reached the store.
+    /// Number of calls that reached the store.
     pub(crate) store_calls: f64,
-    /// Watches that waited at the end.
+    /// Number of open watches at the end.
     pub(crate) watches: f64,
 }
 
 impl Usage {
-    /// Looks at all entry hosts of a deployment.
+    /// Reads the usage of all entry hosts and the store of a deployment.
     pub(crate) fn read(deployment: &Deployment) -> MeasureResult<Self> {
         let store = deployment.store.counts();
-        let mut sum = Self {
+        let mut usage = Self {
             at: Instant::now(),
             cpu_s: 0.0,
             rss_kb: 0.0,
@@ -72,42 +73,43 @@
         for host in &deployment.hosts {
             let status = Caller::new(host.address(), "").status()?;
             let count = |name: &str| status["counters"][name].as_f64().unwrap_or(0.0);
-            sum.frames += count("frames");
-            sum.bytes += count("frame_bytes");
-            sum.starts += count("starts");
-            sum.rss_kb += status["rss_kb"].as_f64().unwrap_or(0.0);
-            sum.cpu_s += cpu_s(host.pid())?;
+            usage.frames += count("frames");
+            usage.bytes += count("frame_bytes");
+            usage.starts += count("starts");
+            usage.rss_kb += status["rss_kb"].as_f64().unwrap_or(0.0);
+            usage.cpu_s += cpu_s(host.pid())?;
         }
-        Ok(sum)
+        Ok(usage)
     }
 
-    /// Returns what was used since an earlier look.
-    pub(crate) fn since(&self, before: &Self) -> UsageDelta {
+    /// Returns the difference from an earlier reading.
+    pub(crate) fn since(&self, earlier: &Self) -> UsageDelta {
         UsageDelta {
-            span_s: self.at.duration_since(before.at).as_secs_f64(),
-            cpu_s: self.cpu_s - before.cpu_s,
+            span_s: self.at.duration_since(earlier.at).as_secs_f64(),
+            cpu_s: self.cpu_s - earlier.cpu_s,
             rss_kb: self.rss_kb,
-            frames: self.frames - before.frames,
-            bytes: self.bytes - before.bytes,
-            starts: self.starts - before.starts,
-            store_calls: self.store_calls - before.store_calls,
+            frames: self.frames - earlier.frames,
+            bytes: self.bytes - earlier.bytes,
+            starts: self.starts - earlier.starts,
+            store_calls: self.store_calls - earlier.store_calls,
             watches: self.watches,
         }
     }
 }
 
-/// Returns the processor time of a process, in seconds.
+/// Returns the processor time that a process has used, in seconds.
 pub(crate) fn cpu_s(pid: u32) -> MeasureResult<f64> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let (_, fields) = stat.rsplit_once(") ").ok_or("no name in stat")?;
-    let ticks = fields.split(' ').skip(USER).take(2).map(str::parse::<f64>);
-    Ok(ticks.collect::<Result<Vec<_>, _>>()?.iter().sum::<f64>() / TICKS)
+    let (_, times) = stat.rsplit_once(") ").ok_or("unexpected format of the stat file")?;
+    let ticks = times.split(' ').skip(USER_TIME_INDEX).take(2).map(str::parse::<f64>);
+    Ok(ticks.collect::<Result<Vec<_>, _>>()?.iter().sum::<f64>() / TICKS_PER_S)
 }
 
-/// Returns the daemon built beside this example.
+/// Returns the daemon built with this example.
 pub(crate) fn built_daemon() -> MeasureResult<DaemonCommand> {
     let example = std::env::current_exe()?;
-    let dir = example.parent().and_then(Path::parent).ok_or("no directory of the daemon")?;
+    let dir =
+        example.parent().and_then(Path::parent).ok_or("the example is not in a build directory")?;
     let program: PathBuf = dir.join("endivestile");
     if program.exists() {
         return Ok(DaemonCommand::new(program));
--- a/endivestile_lab/src/lib.rs
+++ b/endivestile_lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Load and experiments: arrival traces, the ideal they are held against, and
-//! their statistics. The programs that run them are the package's examples.
+//! Load generation and experiments: arrival traces, an ideal schedule as the baseline of
+//! their response times, and statistics. The package's examples run the experiments.
 
 mod ideal;
 mod stats;
--- a/endivestile_lab/tests/traces.rs
+++ b/endivestile_lab/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Traces and the ideal that experiments are held against.
+//! Arrival traces, the ideal schedule and percentiles.
 
 use endivestile_lab::{
     Arrival, Burst, Kind, Load, Mix, SlotGroup, generate_trace, ideal_ms, median, percentile,
