--- a/endivestile_lab/examples/experiment/summary.rs
+++ b/endivestile_lab/examples/experiment/summary.rs
@@ -111,7 +111,8 @@
 
 /// Returns the medians over the slices of a group, for one team or all of them.
 fn medians(group: &[&Slice], team: Option<usize>) -> ResponseRatios {
-    let responses: Vec<ResponseRatios> = group.iter().map(|slice| response(slice, team)).collect();
+    let responses: Vec<ResponseRatios> =
+        group.iter().map(|slice| response_ratios(slice, team)).collect();
     let median_of = |value: fn(&ResponseRatios) -> f64| {
         median(&responses.iter().map(value).collect::<Vec<_>>())
     };
@@ -126,7 +127,7 @@
 }
 
 /// Compares the completed submissions of a slice, for one team or all of them.
-fn response(slice: &Slice, team: Option<usize>) -> ResponseRatios {
+fn response_ratios(slice: &Slice, team: Option<usize>) -> ResponseRatios {
     let completed = slice.outcomes.iter().filter(|outcome| {
         let selected = team.is_none_or(|team| slice.arrivals[outcome.index].team == team);
         selected && outcome.end == SubmissionEnd::Complete
--- a/endivestile_lab/examples/slopes/load.rs
+++ b/endivestile_lab/examples/slopes/load.rs
@@ -14,7 +14,7 @@
 const SHARDS: usize = 4;
 /// Run time of a task, in milliseconds.
 const RUN_MS: u64 = 50;
-/// Number of open tasks per entry host.
+/// Number of open tasks per entry host, unless a single job has more.
 const OPEN_TASKS: usize = 20;
 /// Time between the connections of two callers, in milliseconds. Callers that connect at the
 /// same time may wait for a thread until their deadline, see `burst`, which would prolong the
