--- a/endivestile_kernel/src/answer.rs
+++ b/endivestile_kernel/src/answer.rs
@@ -6,68 +6,68 @@
 
 use crate::Time;
 
-/// What a refusal says about the tasks.
+/// Whether tasks of a refused submission ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Class {
-    /// No task of the submission ran, nor will one.
+    /// No task ran, and none will.
     NotRun,
-    /// Nobody in reach can tell whether tasks ran.
+    /// No reachable host has a record of whether tasks ran.
     Unknown,
 }
 
-/// Why a submission was refused.
+/// Cause of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cause {
-    /// It could not be finished by its deadline.
+    /// It would not finish by its deadline.
     Deadline,
     /// The queue of the entry host is full.
     Full,
-    /// The team holds as much work as it may.
+    /// The team has reached its limit of outstanding work.
     Limit,
-    /// No back end that could run it is in reach.
+    /// No backend that could run it is reachable.
     NoBackend,
     /// The entry host is stopping.
     Stopping,
-    /// No configuration was adopted yet.
+    /// No configuration has been adopted yet.
     NoConfig,
-    /// The host that may start it is out of reach.
+    /// The host that may start it is unreachable.
     HomeAway,
-    /// The witness of its shard is out of reach.
+    /// The witness of its shard is unreachable.
     WitnessAway,
-    /// The shard has no usable home, or is being handed over.
+    /// The shard has no usable home, or is being transferred to another one.
     ShardMoving,
-    /// The id is older than the resubmission window, or than the shard's memory.
+    /// The id is older than the resubmission window, or than the records of its shard.
     Expired,
 }
 
-/// A refusal, given at once.
+/// An immediate refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What it says about the tasks.
+    /// Whether tasks ran.
     pub class: Class,
-    /// Why.
+    /// Cause.
     pub cause: Cause,
-    /// When to come back.
+    /// Earliest time for a retry.
     pub retry: Time,
 }
 
-/// Why a submission failed; its tasks may have run.
+/// Cause of a failure; tasks may have run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Failure {
-    /// A back end answered with an error.
+    /// A backend answered with an error status.
     Rejected {
         /// Index of the task.
         task: u16,
-        /// Back end at which it arose.
+        /// Name of the backend.
         peer: Name,
-        /// HTTP status of the back end.
+        /// HTTP status of its answer.
         status: u16,
     },
-    /// A back end took a task and its answer was lost.
+    /// A backend accepted a task and its answer was lost.
     Lost {
         /// Index of the task.
         task: u16,
-        /// Back end or entry host at which it was lost.
+        /// Name of the backend or entry host at which it was lost.
         peer: Name,
     },
     /// The deadline passed.
@@ -76,16 +76,16 @@
     Cancelled,
     /// The host that ran it is gone.
     HomeLost,
-    /// A task could not be started any more, after others had been.
+    /// A task could not be started after others had been.
     NotPlaced {
         /// Index of the task.
         task: u16,
-        /// Why.
+        /// Cause.
         cause: Cause,
     },
 }
 
-/// What a caller gets: never a part of the results.
+/// Answer to a caller; never contains partial results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     /// Results of all tasks, in their order.
@@ -94,16 +94,16 @@
     Failed(Failure),
     /// Refused.
     Refused(Refusal),
-    /// The same id was used for another submission; nothing of this one ran.
+    /// The id was already used for a different submission; no task of this one ran.
     Conflict,
-    /// A submission that is still running, to a caller that only asked.
+    /// The submission is still running; only sent in reply to a query.
     Running,
-    /// Nothing is known of the id, to a caller that only asked or cancelled.
+    /// The id is unknown; only sent in reply to a query or a cancellation.
     NotFound,
 }
 
 impl Answer {
-    /// Returns the status as callers and log lines show it.
+    /// Returns the status as shown to callers and in log lines.
     pub fn label(&self) -> &'static str {
         match self {
             Self::Complete(_) => "complete",
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Returns the bytes of the results.
+    /// Returns the size of the results in bytes.
     pub fn payload(&self) -> usize {
         match self {
             Self::Complete(results) => results.iter().map(Bytes::len).sum(),
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Returns whether the answer proves that no task ran, so that the same id
-    /// may be started by a later call.
+    /// Returns whether the answer proves that no task ran, so that a later call may start the same
+    /// id.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Refused(Refusal { class: Class::NotRun, .. }))
     }
--- a/endivestile_kernel/src/channel.rs
+++ b/endivestile_kernel/src/channel.rs
@@ -1,4 +1,4 @@
-//! Reliable channels between two incarnations.
+//! Reliable message channel between two incarnations.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,29 +7,30 @@
 
 use crate::{Frame, Msg, Peer, TargetLoad, Time};
 
-/// Wait before a lone acknowledgement, in milliseconds; most ride on other frames.
+/// Delay before a frame is sent only to acknowledge, in milliseconds; most acknowledgements are
+/// piggybacked on other frames.
 const ACK_MS: u64 = 200;
-/// Wait before messages are sent again, in milliseconds; doubles up to [`RESEND_MAX_MS`].
+/// Initial delay before unacknowledged messages are resent, in milliseconds; doubles up to
+/// [`MAX_RESEND_MS`].
 const RESEND_MS: u64 = 500;
-/// Longest wait before messages are sent again, in milliseconds.
-const RESEND_MAX_MS: u64 = 2_000;
-/// Messages of one frame at most.
-const FRAME_MSGS: usize = 512;
-/// Shortest time between two tellings of the load, in milliseconds.
-const LOAD_MIN_MS: u64 = 20;
-/// Longest time between two tellings, in milliseconds: the frame that told the
+/// Maximum delay before unacknowledged messages are resent, in milliseconds.
+const MAX_RESEND_MS: u64 = 2_000;
+/// Maximum number of messages in one frame.
+const MAX_FRAME_MSGS: usize = 512;
+/// Minimum interval between two load reports, in milliseconds.
+const MIN_LOAD_INTERVAL_MS: u64 = 20;
+/// Interval after which an unchanged load is reported again, in milliseconds: the frame with the
 /// last change may have been lost.
-const LOAD_MAX_MS: u64 = 2_000;
-/// Payload of one frame at most, unless its first message alone is larger.
-const FRAME_BYTES: usize = 1 << 20;
+const MAX_LOAD_INTERVAL_MS: u64 = 2_000;
+/// Maximum payload of one frame in bytes, unless its first message alone is larger.
+const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// One end of a channel to a peer.
 ///
-/// A link may break with frames under way, and nobody can tell which arrived.
-/// Sending a task again could start it twice, not sending it could lose it.
-/// Messages are therefore numbered and kept until acknowledged, and the
-/// receiver drops numbers that it has seen: every message arrives once and in
-/// order for as long as both incarnations live.
+/// A link may break with frames in flight, without a way to find out which of them arrived.
+/// Resending a task could start it twice, not resending it could lose it. Messages are therefore
+/// numbered and kept until acknowledged, and the receiver drops numbers that it has already
+/// received: each message is delivered once and in order for as long as both incarnations live.
 #[derive(Debug)]
 pub(crate) struct Channel {
     peer: Peer,
@@ -37,20 +38,20 @@
     acked: u64,
     sent: u64,
     received: u64,
-    told: u64,
+    ack_sent: u64,
     ack_due: Option<Time>,
     resend_due: Option<Time>,
     resend_ms: u64,
-    beat_due: Option<Time>,
-    heard: Option<Time>,
-    wanting: Option<Time>,
-    load: Option<Arc<[TargetLoad]>>,
-    load_next: Time,
-    load_due: Time,
+    heartbeat_due: Option<Time>,
+    last_frame: Option<Time>,
+    awaiting_since: Option<Time>,
+    reported_load: Option<Arc<[TargetLoad]>>,
+    next_load_due: Time,
+    load_refresh_due: Time,
 }
 
 impl Channel {
-    /// Opens the end towards `peer`.
+    /// Creates the local end of the channel to `peer`.
     pub(crate) fn new(peer: Peer) -> Self {
         Self {
             peer,
@@ -58,16 +59,16 @@
             acked: 0,
             sent: 0,
             received: 0,
-            told: 0,
+            ack_sent: 0,
             ack_due: None,
             resend_due: None,
             resend_ms: RESEND_MS,
-            beat_due: None,
-            heard: None,
-            wanting: None,
-            load: None,
-            load_next: Time::ZERO,
-            load_due: Time::ZERO,
+            heartbeat_due: None,
+            last_frame: None,
+            awaiting_since: None,
+            reported_load: None,
+            next_load_due: Time::ZERO,
+            load_refresh_due: Time::ZERO,
         }
     }
 
@@ -76,61 +77,62 @@
         self.unacked.push_back(msg);
     }
 
-    /// Returns how many messages wait for an acknowledgement.
+    /// Returns the number of unacknowledged messages.
     pub(crate) fn backlog(&self) -> usize {
         self.unacked.len()
     }
 
-    /// Returns since when messages have waited without the peer being heard.
+    /// Returns when messages were first sent after the peer's last frame, if any are
+    /// unacknowledged.
     pub(crate) fn unanswered_since(&self) -> Option<Time> {
-        if self.unacked.is_empty() { None } else { self.wanting }
+        if self.unacked.is_empty() { None } else { self.awaiting_since }
     }
 
-    /// Returns when a frame last arrived.
+    /// Returns when the last frame arrived.
     pub(crate) fn last_frame(&self) -> Option<Time> {
-        self.heard
+        self.last_frame
     }
 
-    /// Returns the load to put on the next frame: none when it was told already.
+    /// Returns the load report for the next frame, or none if no report is due.
     pub(crate) fn next_load(
         &mut self,
         now: Time,
         load: &Arc<[TargetLoad]>,
     ) -> Option<Arc<[TargetLoad]>> {
-        let same = self.load.as_ref().is_some_and(|told| told == load);
-        let due = if same { self.load_due } else { self.load_next };
+        let same = self.reported_load.as_ref().is_some_and(|reported| reported == load);
+        let due = if same { self.load_refresh_due } else { self.next_load_due };
         if due > now || load.is_empty() {
             return None;
         }
-        self.load = Some(load.clone());
-        self.load_next = now.after_ms(LOAD_MIN_MS);
-        self.load_due = now.after_ms(LOAD_MAX_MS);
+        self.reported_load = Some(load.clone());
+        self.next_load_due = now.after_ms(MIN_LOAD_INTERVAL_MS);
+        self.load_refresh_due = now.after_ms(MAX_LOAD_INTERVAL_MS);
         Some(load.clone())
     }
 
-    /// Asks for a frame at `at` even when there is nothing to say.
+    /// Schedules a heartbeat at `at`, or leaves one that is due earlier.
     pub(crate) fn schedule_heartbeat(&mut self, at: Time) {
-        let due = self.beat_due.map_or(at, |due| due.min(at));
-        self.beat_due = Some(due);
+        let due = self.heartbeat_due.map_or(at, |due| due.min(at));
+        self.heartbeat_due = Some(due);
     }
 
-    /// Asks for a frame by `at` unless one leaves or is due before.
+    /// Schedules a heartbeat at `at` unless one is scheduled; a frame sent before replaces it.
     pub(crate) fn schedule_heartbeat_by(&mut self, at: Time) {
-        self.beat_due.get_or_insert(at);
+        self.heartbeat_due.get_or_insert(at);
     }
 
-    /// Answers a peer that asked for a sign of life. Unlike a beat it is not given up when
-    /// the peer is not watched: the peer may wait for it to count this host as live.
+    /// Schedules an immediate reply to a greeting. Unlike a heartbeat it is not cancelled when the
+    /// peer is not monitored: the peer may need it to consider this host live.
     pub(crate) fn ack_now(&mut self, now: Time) {
         self.ack_due = Some(now);
     }
 
-    /// Ends the regular frames of [`Self::schedule_heartbeat`].
+    /// Cancels a scheduled heartbeat.
     pub(crate) fn stop_heartbeats(&mut self) {
-        self.beat_due = None;
+        self.heartbeat_due = None;
     }
 
-    /// Notes that the link broke: what was not acknowledged is sent again.
+    /// Schedules all unacknowledged messages for resending after the link broke.
     pub(crate) fn resend_unacked(&mut self, now: Time) {
         self.sent = self.acked;
         if !self.unacked.is_empty() {
@@ -138,34 +140,34 @@
         }
     }
 
-    /// Takes a frame in; returns its new messages.
+    /// Processes a frame and returns its new messages.
     pub(crate) fn receive(&mut self, now: Time, frame: Frame) -> Vec<Msg> {
-        self.heard = Some(now);
-        self.wanting = None;
+        self.last_frame = Some(now);
+        self.awaiting_since = None;
         self.acknowledge(now, frame.ack);
         if frame.msgs.is_empty() {
             return Vec::new();
         }
         self.ack_due.get_or_insert(now.after_ms(ACK_MS));
-        // A gap means that a frame was lost; the sender will send both again.
+        // A gap means that an earlier frame was lost; the sender will resend both.
         if frame.seq > self.received + 1 {
             return Vec::new();
         }
-        let seen = (self.received + 1 - frame.seq) as usize;
-        let mut fresh = Vec::new();
-        for mut msg in frame.msgs.into_iter().skip(seen) {
+        let duplicates = (self.received + 1 - frame.seq) as usize;
+        let mut new_msgs = Vec::new();
+        for mut msg in frame.msgs.into_iter().skip(duplicates) {
             msg.rebase(frame.sent, now);
             self.received += 1;
-            fresh.push(msg);
+            new_msgs.push(msg);
         }
-        fresh
+        new_msgs
     }
 
-    /// Returns whether there may be a frame to send, without making it.
+    /// Returns whether a frame may be due, without building it.
     pub(crate) fn has_frame_due(&self, now: Time) -> bool {
         let unsent = self.unacked.len() as u64 > self.sent - self.acked;
         let resend = self.resend_due.is_some_and(|due| due <= now);
-        unsent || resend || self.due(now)
+        unsent || resend || self.timer_elapsed(now)
     }
 
     /// Returns the next frame, if one is due.
@@ -173,28 +175,29 @@
         if self.resend_due.is_some_and(|due| due <= now) {
             self.sent = self.acked;
             self.resend_due = None;
-            self.resend_ms = (self.resend_ms * 2).min(RESEND_MAX_MS);
+            self.resend_ms = (self.resend_ms * 2).min(MAX_RESEND_MS);
         }
-        let held = self.resend_due.is_some_and(|due| due > now) && self.sent == self.acked;
+        let awaiting_resend =
+            self.resend_due.is_some_and(|due| due > now) && self.sent == self.acked;
         let skip = (self.sent - self.acked) as usize;
-        let msgs = if held { Vec::new() } else { self.batch(skip) };
-        if msgs.is_empty() && !self.due(now) {
+        let msgs = if awaiting_resend { Vec::new() } else { self.batch(skip) };
+        if msgs.is_empty() && !self.timer_elapsed(now) {
             return None;
         }
         let seq = if msgs.is_empty() { 0 } else { self.sent + 1 };
         self.sent += msgs.len() as u64;
         if !msgs.is_empty() {
-            self.wanting.get_or_insert(now);
+            self.awaiting_since.get_or_insert(now);
             self.resend_due.get_or_insert(now.after_ms(self.resend_ms));
         }
-        self.told = self.received;
+        self.ack_sent = self.received;
         self.ack_due = None;
-        self.beat_due = None;
+        self.heartbeat_due = None;
         Some(Frame {
             from: me.clone(),
             to: self.peer.clone(),
             seq,
-            ack: self.told,
+            ack: self.ack_sent,
             sent: now,
             revision: 0,
             leaving: false,
@@ -205,26 +208,27 @@
         })
     }
 
-    /// Returns when a frame is due.
+    /// Returns when the next frame is due.
     pub(crate) fn deadline(&self) -> Option<Time> {
         let resend = self.resend_due.filter(|_| !self.unacked.is_empty());
-        [self.ack_due, self.beat_due, resend].into_iter().flatten().min()
+        [self.ack_due, self.heartbeat_due, resend].into_iter().flatten().min()
     }
 
-    /// Returns the messages after the first `skip` that fit one frame, at least one.
+    /// Returns the messages after the first `skip` that fit into one frame, at least one if any is
+    /// left.
     fn batch(&self, skip: usize) -> Vec<Msg> {
         let mut bytes = 0;
         let fits = |msg: &&Msg| {
-            let first = bytes == 0;
+            let is_first = bytes == 0;
             bytes += msg.payload() + 1;
-            first || bytes <= FRAME_BYTES
+            is_first || bytes <= MAX_FRAME_BYTES
         };
-        self.unacked.iter().skip(skip).take(FRAME_MSGS).take_while(fits).cloned().collect()
+        self.unacked.iter().skip(skip).take(MAX_FRAME_MSGS).take_while(fits).cloned().collect()
     }
 
-    fn due(&self, now: Time) -> bool {
-        let past = |due: Option<Time>| due.is_some_and(|due| due <= now);
-        past(self.ack_due) || past(self.beat_due)
+    fn timer_elapsed(&self, now: Time) -> bool {
+        let elapsed = |due: Option<Time>| due.is_some_and(|due| due <= now);
+        elapsed(self.ack_due) || elapsed(self.heartbeat_due)
     }
 
     fn acknowledge(&mut self, now: Time, ack: u64) {
@@ -237,14 +241,14 @@
         self.sent = self.sent.max(self.acked);
         self.resend_ms = RESEND_MS;
         self.resend_due = None;
-        // What was never sent is not held back: it leaves with the next frame.
+        // Messages that were never sent are not held back: they leave with the next frame.
         if self.sent > self.acked {
             self.resend_due = Some(now.after_ms(self.resend_ms));
         }
     }
 }
 
-/// Where a channel's frames go.
+/// Returns the address of a peer's links.
 pub(crate) fn address_of(view: &crate::View, peer: &Peer) -> Option<Name> {
     let host = view.hosts.get(&peer.host)?;
     Some(host.address.clone())
--- a/endivestile_kernel/src/event.rs
+++ b/endivestile_kernel/src/event.rs
@@ -1,4 +1,4 @@
-//! What enters and leaves the kernel.
+//! Inputs and outputs of the kernel.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,23 +11,23 @@
     SubmissionId,
 };
 
-/// Number of an open call of a caller, never used twice by one process.
+/// Number of a caller's open call, unique within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// State of a host or back end in the platform's list.
+/// State of a host or backend in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlatformState {
     /// In use.
     Live,
-    /// Leaving: no new work.
+    /// Receives no new work.
     Leaving,
-    /// Gone as the platform sees it. The list lags and a host that is cut off may
-    /// serve on, so this makes a host suspect and proves nothing.
+    /// Gone according to the platform. The list lags and a host that is cut off may still serve, so
+    /// this makes a host suspect but proves nothing.
     Gone,
 }
 
-/// How a call to the platform's store ended.
+/// Result of a call to the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreResult {
     /// The value and its revision; 0 and empty when the key is absent.
@@ -37,15 +37,15 @@
         /// Value.
         value: Bytes,
     },
-    /// The swap took effect; the key's new revision.
+    /// The compare-and-swap took effect; the new revision of the key.
     Swapped(u64),
-    /// The swap found another revision and changed nothing.
+    /// The compare-and-swap found another revision and changed nothing.
     Raced,
-    /// No answer, or an error: a swap may have taken effect.
+    /// No answer, or an error: a compare-and-swap may have taken effect.
     Lost,
 }
 
-/// A call to the platform's store.
+/// An operation on the platform's store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreOp {
     /// Reads a key.
@@ -57,51 +57,51 @@
     Swap {
         /// Key.
         key: Name,
-        /// Revision expected.
+        /// Expected revision.
         revision: u64,
         /// New value.
         value: Bytes,
     },
 }
 
-/// Everything that the edges tell the kernel.
+/// An input to the kernel.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A caller submits.
+    /// A caller submitted work.
     Submitted {
         /// The open call.
         call: CallId,
-        /// What to run.
+        /// The submission.
         submission: Submission,
     },
-    /// A caller asks for the answer to an id, or cancels it.
+    /// A caller requested the answer to an id, or its cancellation.
     Ask {
         /// The open call.
         call: CallId,
         /// The id.
         id: SubmissionId,
-        /// What is asked.
+        /// The request.
         ask: Ask,
     },
     /// A frame arrived.
     Frame(Frame),
-    /// The link to a peer broke or could not be made.
+    /// The link to a peer broke or could not be established.
     LinkDown(Peer),
-    /// A call to a back end ended.
+    /// A call to a backend ended.
     AttemptEnded {
         /// The call.
         attempt: AttemptId,
-        /// How it ended.
+        /// Its result.
         end: AttemptEnd,
     },
     /// A call to the store ended.
     StoreCallEnded {
         /// Number of the call.
         op_id: u64,
-        /// How it ended.
+        /// Its result.
         result: StoreResult,
     },
-    /// Another value of a shard record.
+    /// A shard record changed.
     ShardRecordChange {
         /// Shard.
         shard: u32,
@@ -114,39 +114,39 @@
     HostRegistration {
         /// Name of the host.
         host: Name,
-        /// The registration, none when its lease ended.
+        /// The registration, none after its end.
         registration: Option<Registration>,
     },
-    /// The platform's list changed for a host or back end.
+    /// The platform's list changed for a host or backend.
     PlatformChange {
         /// Name of the host or back end.
         name: Name,
-        /// State; none when the platform does not list it any more.
+        /// State; none if it is no longer listed.
         state: Option<PlatformState>,
     },
-    /// An operator planned a stop of a host or back end, or took it back.
+    /// An operator planned a stop of a host or backend, or cancelled it.
     PlannedStop {
         /// Name of the host or back end.
         name: Name,
-        /// Whether it is to stop.
+        /// Whether a stop is planned.
         stop: bool,
     },
-    /// The watch on the store came up or broke.
+    /// The watch on the store was established or broke.
     StoreAvailable(bool),
-    /// A checked configuration was read, with its canonical text.
+    /// A validated configuration was read.
     Config {
         /// The configuration.
         config: Arc<Config>,
-        /// Its canonical text, to hand to peers.
+        /// Its canonical text, to send to peers.
         text: Bytes,
     },
-    /// The process was told to stop gracefully.
+    /// A graceful shutdown of the process was requested.
     Shutdown,
-    /// A deadline of the kernel passed.
+    /// [`crate::Kernel::deadline`] passed.
     Tick,
 }
 
-/// Everything that the kernel tells the edges.
+/// An action for the process to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Answer a caller.
@@ -156,56 +156,56 @@
         /// The answer.
         answer: Arc<Answer>,
     },
-    /// Send a frame, at most once, to `to` at `address`.
+    /// Send a frame to a peer, at most once.
     Send {
         /// Address of the peer's links.
         address: Name,
         /// The frame.
         frame: Frame,
     },
-    /// Call a back end.
+    /// Call a backend to run a task.
     Start {
         /// Number of the call.
         attempt: AttemptId,
-        /// Address of the back end, `IP:port`.
+        /// Address of the backend, `IP:port`.
         address: Name,
         /// Path to call; empty for a worker.
         path: Name,
-        /// The order.
+        /// The request to run the task.
         request: PlaceRequest,
     },
-    /// Stop a call to a back end whose answer nobody wants any more.
+    /// Abort a call to a backend whose answer is no longer needed.
     Abort(AttemptId),
-    /// Call the store.
+    /// Start a call to the store.
     StoreCall {
         /// Number of the call.
         op_id: u64,
-        /// The call.
+        /// The operation.
         op: StoreOp,
     },
-    /// Check and offer a configuration that a peer passed on.
+    /// Validate a configuration that a peer sent, and post it as [`Event::Config`].
     OfferConfig(Bytes),
-    /// Register anew in the store, as leaving or not.
+    /// Update this host's registration in the store.
     Register {
         /// Whether the host is leaving.
         leaving: bool,
     },
     /// Write a log line.
     Log(Note),
-    /// Count an event for the metrics.
+    /// Add to a counter.
     Count(Metric, u64),
-    /// Everything is drained: the process may end.
+    /// All work is drained: the process may exit.
     Drained,
 }
 
-/// A log line: what happened, at which step, with which peer.
+/// A structured log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Note {
     /// Severity.
     pub level: Level,
-    /// Event, one word with underscores.
+    /// Name of the event, in snake case.
     pub event: &'static str,
-    /// Submission id, empty when none is concerned.
+    /// Id of the submission, if the line concerns one.
     pub id: Option<Name>,
     /// Further keys and values.
     pub pairs: Vec<(&'static str, String)>,
@@ -214,17 +214,17 @@
 /// Severity of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Level {
-    /// Something an operator has to look at.
+    /// Needs the attention of an operator.
     Error,
-    /// Something unusual that the system handles.
+    /// Unusual, but handled by the system.
     Warn,
     /// A change of state.
     Info,
-    /// One submission's course.
+    /// Progress of one submission.
     Debug,
 }
 
-/// What the kernel counts.
+/// Counters of the kernel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Metric {
     /// Submissions accepted.
@@ -233,9 +233,9 @@
     RefusedNotRun,
     /// Submissions refused as unknown.
     RefusedUnknown,
-    /// Answers complete.
+    /// Complete answers.
     Complete,
-    /// Answers failed.
+    /// Failed answers.
     Failed,
     /// Task starts.
     Starts,
@@ -243,21 +243,21 @@
     Retries,
     /// Submissions forwarded to a home.
     Forwards,
-    /// Tasks handed to another host's placer.
+    /// Tasks sent to another host's placer.
     Handoffs,
     /// Witness records sent.
     Records,
     /// Frames sent.
     Frames,
-    /// Frames that carried no message.
+    /// Frames without a message.
     IdleFrames,
-    /// Frames sent again.
+    /// Frames resent.
     Resent,
     /// Calls to the store.
     StoreCalls,
     /// Shards taken over.
     Takeovers,
-    /// Back ends taken out.
+    /// Backends taken out of use.
     Ejections,
 }
 
--- a/endivestile_kernel/src/forwards.rs
+++ b/endivestile_kernel/src/forwards.rs
@@ -1,4 +1,4 @@
-//! Calls that were passed on, or wait to be passed on again.
+//! Calls forwarded to other hosts, and submissions parked for another attempt.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,46 +6,46 @@
 use crate::run::Waiter;
 use crate::{Peer, Submission, Time};
 
-/// What was passed on.
+/// The request of a forwarded call.
 #[derive(Debug, Clone)]
 pub(crate) enum Forwarded {
     /// A submission.
     Submission(Arc<Submission>),
-    /// A question or a cancellation.
+    /// A query or a cancellation.
     Ask,
 }
 
-/// A call that another host is to answer.
+/// A call forwarded to another host, which answers it.
 #[derive(Debug, Clone)]
 pub(crate) struct Forward {
-    /// Who waits.
+    /// Recipient of the answer.
     pub(crate) waiter: Waiter,
-    /// What was passed on.
+    /// The request of a forwarded call.
     pub(crate) request: Forwarded,
-    /// To whom.
+    /// Host to which it was forwarded.
     pub(crate) to: Peer,
     /// When to give up.
     pub(crate) due: Time,
-    /// Hosts that have passed it on, this one among them.
+    /// Number of times it was forwarded, including by this host.
     pub(crate) hops: u8,
-    /// Until when another home is waited for.
+    /// Until when to wait for another home.
     pub(crate) until: Time,
 }
 
-/// A submission that waits for its shard to get a usable home.
+/// A submission waiting for its shard to get a usable home.
 #[derive(Debug, Clone)]
 pub(crate) struct Parked {
-    /// Who waits.
+    /// Recipient of the answer.
     pub(crate) waiter: Waiter,
-    /// What is to run.
+    /// The submission.
     pub(crate) submission: Arc<Submission>,
-    /// Hosts that have passed it on.
+    /// Number of times it was forwarded.
     pub(crate) hops: u8,
     /// Until when to wait.
     pub(crate) until: Time,
 }
 
-/// All calls passed on or parked.
+/// All forwarded calls and parked submissions.
 #[derive(Debug, Default)]
 pub(crate) struct Forwards {
     forwards: BTreeMap<u64, Forward>,
@@ -55,7 +55,7 @@
 }
 
 impl Forwards {
-    /// Notes a call as passed on and returns its number.
+    /// Adds a forwarded call and returns its number.
     pub(crate) fn add(&mut self, forward: Forward) -> u64 {
         self.next += 1;
         self.due.insert((forward.due, self.next));
@@ -63,7 +63,7 @@
         self.next
     }
 
-    /// Takes a call that was passed on back.
+    /// Removes and returns a forwarded call.
     pub(crate) fn take(&mut self, call: u64) -> Option<Forward> {
         let forward = self.forwards.remove(&call)?;
         self.due.remove(&(forward.due, call));
@@ -76,22 +76,22 @@
         self.parked.insert((at, self.next), parked);
     }
 
-    /// Returns a call that was passed on and not answered in time.
+    /// Removes and returns a forwarded call that was not answered in time.
     pub(crate) fn pop_late(&mut self, now: Time) -> Option<Forward> {
         let &(due, call) = self.due.first()?;
         if due > now { None } else { self.take(call) }
     }
 
-    /// Returns a parked submission whose time has come.
+    /// Removes and returns a parked submission that is due.
     pub(crate) fn pop_parked(&mut self, now: Time) -> Option<Parked> {
         let (&(at, number), _) = self.parked.first_key_value()?;
         if at > now { None } else { self.parked.remove(&(at, number)) }
     }
 
-    /// Takes back all calls passed on to hosts that `pick` picks.
-    pub(crate) fn take_to(&mut self, pick: impl Fn(&Peer) -> bool) -> Vec<Forward> {
-        let picked = self.forwards.iter().filter(|(_, forward)| pick(&forward.to));
-        let calls: Vec<u64> = picked.map(|(call, _)| *call).collect();
+    /// Removes and returns all calls forwarded to hosts that match `predicate`.
+    pub(crate) fn take_to(&mut self, predicate: impl Fn(&Peer) -> bool) -> Vec<Forward> {
+        let matching = self.forwards.iter().filter(|(_, forward)| predicate(&forward.to));
+        let calls: Vec<u64> = matching.map(|(call, _)| *call).collect();
         calls.into_iter().filter_map(|call| self.take(call)).collect()
     }
 
@@ -102,7 +102,7 @@
         [late, parked].into_iter().flatten().min()
     }
 
-    /// Returns how many calls are passed on or parked.
+    /// Returns the number of forwarded calls and parked submissions.
     pub(crate) fn len(&self) -> usize {
         self.forwards.len() + self.parked.len()
     }
--- a/endivestile_kernel/src/id.rs
+++ b/endivestile_kernel/src/id.rs
@@ -13,7 +13,7 @@
 pub const MAX_ID: usize = 128;
 
 quick_error! {
-    /// Why a text is not a submission id.
+    /// Reason why a text is not a submission id.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum IdError {
         /// The text is empty or longer than [`MAX_ID`].
@@ -31,16 +31,16 @@
     }
 }
 
-/// What an id tells about where it may be started, and until when.
+/// Form of an id, which determines where and until when it may be started.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum IdForm {
-    /// `m:<host>:<birth>:<serial>`, number `serial` of one incarnation, which alone may start it.
+    /// `m:<host>:<incarnation>:<serial>`, issued by one incarnation, which alone may start it.
     Minted(Peer, u64),
-    /// `<seconds since 1970>:<key>`, chosen by the caller at its first try.
+    /// `<seconds since 1970>:<key>`, chosen by the caller at its first attempt.
     Dated(u64),
 }
 
-/// A submission id: the caller's own, or one that an entry host minted.
+/// A submission id, chosen by the caller or minted by an entry host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct SubmissionId {
@@ -49,10 +49,10 @@
 }
 
 impl SubmissionId {
-    /// Reads an id.
+    /// Parses an id.
     ///
     /// # Errors
-    /// Says what is wrong with the text.
+    /// Returns the reason why the text is not an id.
     pub fn parse(text: &str) -> Result<Self, IdError> {
         if text.is_empty() || text.len() > MAX_ID {
             return Err(IdError::Length(text.len()));
@@ -64,7 +64,7 @@
         Ok(Self { text: Name::from(text), form })
     }
 
-    /// Makes the id number `serial` of `issuer`.
+    /// Creates the id with number `serial` of `issuer`.
     pub fn mint(issuer: &Peer, serial: u64) -> Self {
         let text = format!("m:{}:{:x}:{serial:x}", issuer.host, issuer.birth);
         Self { text: Name::from(text), form: IdForm::Minted(issuer.clone(), serial) }
@@ -75,12 +75,12 @@
         &self.text
     }
 
-    /// Returns what the id tells.
+    /// Returns the form of the id.
     pub fn form(&self) -> &IdForm {
         &self.form
     }
 
-    /// Returns the shard of the id among `count`.
+    /// Returns the shard of the id, of `count` shards.
     pub fn shard(&self, count: u32) -> u32 {
         (xxh3_64(self.text.as_bytes()) % u64::from(count.max(1))) as u32
     }
--- a/endivestile_kernel/src/kernel.rs
+++ b/endivestile_kernel/src/kernel.rs
@@ -1,4 +1,4 @@
-//! The kernel: takes events in, gives effects out.
+//! The kernel: handles events and returns effects.
 
 mod forward;
 mod frames;
@@ -31,10 +31,10 @@
 
 pub use status::{HostStatus, Status};
 
-/// Steps after which one event's chain of consequences counts as a fault.
-const MAX_STEPS: usize = 1_000_000;
+/// Limit on the rounds of effects that one event may cause; exceeding it is a bug.
+const MAX_SETTLE_ROUNDS: usize = 1_000_000;
 
-/// What a kernel is told once.
+/// Parameters of a kernel.
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// This incarnation.
@@ -43,15 +43,15 @@
     pub zone: Name,
     /// Address of this host's links, `IP:port`.
     pub address: Name,
-    /// Seconds since 1970 at the start of the process.
+    /// Wall clock at [`Time::ZERO`], in seconds since 1970.
     pub wall_s: u64,
-    /// Seed of everything that is drawn at random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Hosts to ask for the configuration while the store is away.
+    /// Hosts from which to request the configuration while the store is unavailable.
     pub seed_hosts: Vec<SeedHost>,
 }
 
-/// All decisions of one entry host.
+/// State machine of one entry host.
 #[derive(Debug)]
 pub struct Kernel {
     setup: Setup,
@@ -81,7 +81,7 @@
 }
 
 impl Kernel {
-    /// Starts without a configuration: every submission is refused until one is adopted.
+    /// Creates a kernel without a configuration: every submission is refused until one is adopted.
     pub fn new(setup: Setup) -> Self {
         let me = setup.me.clone();
         let shard_setup = ShardSetup {
@@ -123,21 +123,21 @@
         }
     }
 
-    /// Takes one event in. Frames to peers wait for [`Self::flush`], so that
-    /// one frame carries what several events caused.
+    /// Handles one event. Frames to peers wait for [`Self::flush`], so that one frame carries the
+    /// messages of several events.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Effect>) {
         self.handle_event(now, event);
         self.settle(now);
         out.append(&mut self.out);
     }
 
-    /// Sends what waits for the peers; called after a batch of events.
+    /// Sends the frames that are due to peers; to be called after a batch of events.
     pub fn flush(&mut self, now: Time, out: &mut Vec<Effect>) {
         self.send_frames(now);
         out.append(&mut self.out);
     }
 
-    /// Returns when the kernel wants [`Event::Tick`].
+    /// Returns when [`Event::Tick`] is due.
     pub fn deadline(&self) -> Option<Time> {
         let channels = self.channels.values().filter_map(Channel::deadline).min();
         let drain = self.drain_due();
@@ -161,12 +161,12 @@
         self.config.as_ref().map_or(0, |config| config.revision)
     }
 
-    /// Returns whether the platform's balancer may send calls here.
+    /// Returns whether the platform's load balancer may send calls to this host.
     pub fn ready(&self) -> bool {
         self.config.is_some() && !self.leaving
     }
 
-    /// Issues ids that this incarnation alone may start.
+    /// Issues ids that only this incarnation may start.
     pub fn mint(&mut self, now: Time, count: usize) -> Vec<SubmissionId> {
         let window_s = self.config.as_ref().map_or(0, |config| config.rules.window_s);
         self.mint.issue(now, count, window_s)
@@ -213,16 +213,16 @@
         let view = self.membership.view();
         self.shards.tick(now, view, &mut self.shard_effects);
         self.placer.tick(now, &mut self.place_effects);
-        // The placer gives up what still waits at the deadline and proves that
-        // it never ran; a run that ended first would be told as failed.
+        // At their deadline the placer drops the tasks that still wait and reports them as not run.
+        // Runs that end before these reports are handled would be answered as failed.
         self.settle(now);
         self.end_due_runs(now);
         self.check_drained(now);
     }
 
-    /// Carries out what the parts want of each other until nothing is left.
+    /// Handles the effects of the shards and the placer until none is left.
     fn settle(&mut self, now: Time) {
-        for _ in 0..MAX_STEPS {
+        for _ in 0..MAX_SETTLE_ROUNDS {
             let shard_effects = std::mem::take(&mut self.shard_effects);
             let place_effects = std::mem::take(&mut self.place_effects);
             if shard_effects.is_empty() && place_effects.is_empty() {
@@ -235,12 +235,12 @@
                 self.handle_place_effect(now, effect);
             }
         }
-        unreachable!("the kernel's parts answer each other without end");
+        unreachable!("effects of one event not settled after {MAX_SETTLE_ROUNDS} rounds");
     }
 
     fn adopt_config(&mut self, now: Time, config: Arc<Config>, text: Bytes) {
-        // A slow peer or a lagging watch may offer an older revision; taking it
-        // would put rules in force again that operators have replaced.
+        // A slow peer or a lagging watch may deliver an older revision. Adopting it would put rules
+        // back in force that operators have replaced.
         if self.config.as_ref().is_some_and(|own| own.revision >= config.revision) {
             return;
         }
@@ -251,7 +251,7 @@
         self.config = Some(config.clone());
         let view = self.membership.view();
         self.placer.configure(now, &config, view, &mut self.place_effects);
-        self.info("config_adopted", vec![("revision", config.revision.to_string())]);
+        self.log_info("config_adopted", vec![("revision", config.revision.to_string())]);
         self.apply_view_change(now, true);
     }
 
--- a/endivestile_kernel/src/kernel/forward.rs
+++ b/endivestile_kernel/src/kernel/forward.rs
@@ -1,4 +1,4 @@
-//! Calls passed on to another host, or waiting for one.
+//! Forwarding of calls to other hosts, and parking of submissions until one is usable.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 use crate::run::Waiter;
 use crate::{Answer, Cause, Class, Failure, HostState, IdForm, Kernel, Metric, Msg, Peer, Time};
 
-/// Wait before a parked submission is tried again, in milliseconds.
-const PARK_MS: u64 = 100;
+/// Delay of the next attempt of a parked submission, in milliseconds.
+const PARK_RETRY_MS: u64 = 100;
 
 impl Kernel {
     pub(super) fn forward_to_home(&mut self, now: Time, arrival: Arrival, home: Peer) {
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Passes a submission on; `recorded` says that it is recorded as the receiver's own.
+    /// Forwards a submission; `recorded` means that its id is recorded with the receiver as its
+    /// runner.
     pub(super) fn forward(&mut self, now: Time, arrival: Arrival, to: Peer, recorded: bool) {
         if self.is_closing(now) && matches!(arrival.waiter, Waiter::Call(_)) {
             self.refuse(now, &arrival.waiter, Class::Unknown, Cause::Stopping);
@@ -43,8 +44,7 @@
         self.send(&to, Msg::Submit { call, submission, hops, recorded });
     }
 
-    /// Waits for the shard to get a usable home while that can be hoped for;
-    /// otherwise refuses at once.
+    /// Parks a submission while its shard may still get a usable home, otherwise refuses it.
     pub(super) fn park_or_refuse(
         &mut self,
         now: Time,
@@ -52,25 +52,26 @@
         class: Class,
         cause: Cause,
     ) {
-        let passing = matches!(cause, Cause::HomeAway | Cause::WitnessAway | Cause::ShardMoving);
-        // At the start the store may not have answered yet.
-        let hope = self.membership.view().store_available || now < Time::ZERO.after_ms(MAX_PARK_MS);
-        if passing && hope && Self::may_park(now, &arrival) {
+        let transient = matches!(cause, Cause::HomeAway | Cause::WitnessAway | Cause::ShardMoving);
+        // Shortly after the start the store may not have answered yet.
+        let may_recover =
+            self.membership.view().store_available || now < Time::ZERO.after_ms(MAX_PARK_MS);
+        if transient && may_recover && Self::may_park(now, &arrival) {
             self.park(now, arrival);
         } else {
             self.refuse(now, &arrival.waiter, class, cause);
         }
     }
 
-    /// Returns whether there is time to try a submission once more.
+    /// Returns whether there is time for another attempt of a submission.
     pub(super) fn may_park(now: Time, arrival: &Arrival) -> bool {
-        now.after_ms(PARK_MS) < arrival.until
+        now.after_ms(PARK_RETRY_MS) < arrival.until
     }
 
-    /// Has a submission tried again soon.
+    /// Schedules another attempt of a submission.
     pub(super) fn park(&mut self, now: Time, arrival: Arrival) {
         let Arrival { waiter, submission, hops, until } = arrival;
-        self.forwards.park(now.after_ms(PARK_MS), Parked { waiter, submission, hops, until });
+        self.forwards.park(now.after_ms(PARK_RETRY_MS), Parked { waiter, submission, hops, until });
     }
 
     pub(super) fn handle_reply(&mut self, call: u64, answer: Arc<Answer>) {
@@ -78,16 +79,17 @@
         self.reply(&forward.waiter, answer);
     }
 
-    /// Takes back what was passed on to hosts that went silent or are gone.
-    pub(super) fn retry_unreachable(&mut self, now: Time) {
+    /// Reroutes the calls forwarded to hosts that are suspect or gone.
+    pub(super) fn reroute_forwards(&mut self, now: Time) {
         let view = self.membership.view();
-        let away = |peer: &Peer| matches!(view.state(peer), HostState::Suspect | HostState::Gone);
-        for forward in self.forwards.take_to(away) {
-            self.retry_forward(now, forward);
+        let unreachable =
+            |peer: &Peer| matches!(view.state(peer), HostState::Suspect | HostState::Gone);
+        for forward in self.forwards.take_to(unreachable) {
+            self.reroute_forward(now, forward);
         }
     }
 
-    fn retry_forward(&mut self, now: Time, forward: Forward) {
+    fn reroute_forward(&mut self, now: Time, forward: Forward) {
         let gone = self.membership.view().state(&forward.to) == HostState::Gone;
         let Forward { waiter, request, hops, until, .. } = forward;
         let Forwarded::Submission(submission) = request else {
--- a/endivestile_kernel/src/kernel/frames.rs
+++ b/endivestile_kernel/src/kernel/frames.rs
@@ -8,27 +8,27 @@
 use crate::membership::HEARTBEAT_MS;
 use crate::{Effect, Frame, HostState, Kernel, Level, Metric, Msg, Note, Peer, TargetLoad, Time};
 
-/// Age at which the load figures are worked out anew, in milliseconds.
-const FIGURES_MS: u64 = 50;
-/// Wait before a configuration is asked for again, in milliseconds.
-const WANT_MS: u64 = 500;
-/// Frames to one peer at a time.
-const MAX_FRAMES: usize = 16;
+/// Interval at which the load of this host is recomputed, in milliseconds.
+const LOAD_INTERVAL_MS: u64 = 50;
+/// Minimum interval between two requests for a configuration, in milliseconds.
+const CONFIG_REQUEST_INTERVAL_MS: u64 = 500;
+/// Maximum number of frames to one peer per flush.
+const MAX_FRAMES_PER_FLUSH: usize = 16;
 
 impl Kernel {
     pub(super) fn handle_frame(&mut self, now: Time, mut frame: Frame) {
-        let hello = frame.to.birth == 0 && frame.msgs.is_empty();
-        if frame.to != self.setup.me && !(hello && frame.to.host == self.setup.me.host) {
+        let greeting = frame.to.birth == 0 && frame.msgs.is_empty();
+        if frame.to != self.setup.me && !(greeting && frame.to.host == self.setup.me.host) {
             return;
         }
         let from = frame.from.clone();
         let Some(changed) = self.membership.apply_frame(now, &from, frame.leaving) else { return };
-        if let Some(figures) = frame.load.take() {
-            self.routes.update(now, &from, figures);
+        if let Some(loads) = frame.load.take() {
+            self.routes.update(now, &from, loads);
         }
         self.request_config(now, &from, frame.revision);
         let channel = self.channel(&from);
-        if hello {
+        if greeting {
             channel.ack_now(now);
         }
         let msgs = channel.receive(now, frame);
@@ -72,7 +72,7 @@
             Msg::Placed { key, outcome } => self.handle_placed(now, from, key, outcome),
             Msg::WantConfig(revision) => self.send_config(from, revision),
             Msg::Config { text, .. } => self.out.push(Effect::OfferConfig(text)),
-            // Hosts of this kind serve no jobs of that kind.
+            // Messages between hosts that serve jobs are handled by `Fleet`.
             Msg::Job(_) | Msg::DirectTransfer(_) => {}
             Msg::Record { .. }
             | Msg::Recorded { .. }
@@ -87,23 +87,24 @@
         self.settle(now);
     }
 
-    /// Greets every host whose incarnation is not known yet.
+    /// Sends a greeting, an empty frame to incarnation 0, to hosts that need one.
     ///
-    /// A host that restarts while the store is away learns neither the
-    /// configuration nor who its peers are, and they do not learn of its new
-    /// incarnation: it would refuse everything until the store is back. A frame
-    /// to incarnation 0 of an address from the settings makes both known.
+    /// A host that restarts while the store is unavailable receives neither the configuration nor
+    /// the incarnations of its peers, and they do not receive its new one: it would refuse
+    /// everything until the store is back. A greeting to an address from the settings identifies
+    /// both to each other.
     ///
-    /// A host that fell silent and is still registered is greeted too: with nobody
-    /// else would it show that it is back, once nothing is shared with it any more.
-    pub(super) fn greet_unknown_hosts(&mut self, now: Time) {
-        let alone = self.config.is_none();
-        let greeted = self.membership.view().hosts.values().filter(|host| {
-            (alone && host.peer.birth == 0) || self.membership.suspected_for_silence(&host.peer)
+    /// A registered host that is suspect for its silence is targets too: once no shard is shared
+    /// with it, no other frame would show that it is back.
+    pub(super) fn send_greetings(&mut self, now: Time) {
+        let unconfigured = self.config.is_none();
+        let targets = self.membership.view().hosts.values().filter(|host| {
+            (unconfigured && host.peer.birth == 0)
+                || self.membership.suspected_for_silence(&host.peer)
         });
-        let greeted: Vec<(Name, Name)> =
-            greeted.map(|host| (host.peer.host.clone(), host.address.clone())).collect();
-        for (host, address) in greeted {
+        let targets: Vec<(Name, Name)> =
+            targets.map(|host| (host.peer.host.clone(), host.address.clone())).collect();
+        for (host, address) in targets {
             let mut channel = Channel::new(Peer::new(host, 0));
             channel.schedule_heartbeat(now);
             let Some(frame) = channel.next_frame(now, &self.setup.me) else { continue };
@@ -117,7 +118,7 @@
         if revision <= own || self.config_request_due.is_some_and(|due| due > now) {
             return;
         }
-        self.config_request_due = Some(now.after_ms(WANT_MS));
+        self.config_request_due = Some(now.after_ms(CONFIG_REQUEST_INTERVAL_MS));
         self.send(from, Msg::WantConfig(own));
     }
 
@@ -129,17 +130,17 @@
         }
     }
 
-    /// Sends what is due to every peer.
+    /// Sends all frames that are due.
     pub(super) fn send_frames(&mut self, now: Time) {
         self.update_load(now);
-        // A host knows hundreds of peers, and one event concerns few of them.
-        let wanting = self.channels.iter().filter(|(_, channel)| channel.has_frame_due(now));
-        let peers: Vec<Peer> = wanting.map(|(peer, _)| peer.clone()).collect();
+        // There may be hundreds of peers, and one event concerns few of them.
+        let ready = self.channels.iter().filter(|(_, channel)| channel.has_frame_due(now));
+        let peers: Vec<Peer> = ready.map(|(peer, _)| peer.clone()).collect();
         for peer in peers {
             if self.membership.view().state(&peer) == HostState::Gone {
                 continue;
             }
-            for _ in 0..MAX_FRAMES {
+            for _ in 0..MAX_FRAMES_PER_FLUSH {
                 if !self.send_frame(now, &peer) {
                     break;
                 }
@@ -149,10 +150,10 @@
 
     fn send_frame(&mut self, now: Time, peer: &Peer) -> bool {
         let Some(address) = address_of(self.membership.view(), peer) else { return false };
-        let watched = self.monitored.contains_key(peer);
+        let is_monitored = self.monitored.contains_key(peer);
         let Some(channel) = self.channels.get_mut(peer) else { return false };
         let Some(mut frame) = channel.next_frame(now, &self.setup.me) else { return false };
-        if watched {
+        if is_monitored {
             channel.schedule_heartbeat(now.after_ms(HEARTBEAT_MS));
         }
         frame.revision = self.config.as_ref().map_or(0, |config| config.revision);
@@ -171,11 +172,11 @@
         if self.own_load.0 > now {
             return;
         }
-        let figures: Arc<[TargetLoad]> = self.placer.figures(now).into();
-        self.own_load = (now.after_ms(FIGURES_MS), figures);
+        let loads: Arc<[TargetLoad]> = self.placer.figures(now).into();
+        self.own_load = (now.after_ms(LOAD_INTERVAL_MS), loads);
     }
 
-    pub(super) fn info(&mut self, event: &'static str, pairs: Vec<(&'static str, String)>) {
+    pub(super) fn log_info(&mut self, event: &'static str, pairs: Vec<(&'static str, String)>) {
         self.out.push(Effect::Log(Note { level: Level::Info, event, id: None, pairs }));
     }
 
--- a/endivestile_kernel/src/kernel/liveness.rs
+++ b/endivestile_kernel/src/kernel/liveness.rs
@@ -1,4 +1,4 @@
-//! Watching the peers that this host depends on.
+//! Monitoring of the peers that this host depends on.
 
 use std::collections::BTreeSet;
 
@@ -6,49 +6,49 @@
 use crate::membership::{HEARTBEAT_MS, SUSPECT_MS};
 use crate::{HostState, Kernel, Peer, Time};
 
-/// Surveys that a process may miss before it takes itself to have been paused.
-const PAUSED_SURVEYS: u64 = 3;
+/// Number of missed checks that shows that this process was paused.
+const PAUSED_CHECKS: u64 = 3;
 
 impl Kernel {
-    /// Looks at every peer once per [`HEARTBEAT_MS`].
+    /// Checks every peer once per [`HEARTBEAT_MS`].
     pub(super) fn check_peers(&mut self, now: Time) {
         if self.check_due > now {
             return;
         }
-        if self.check_due.after_ms(PAUSED_SURVEYS * HEARTBEAT_MS) < now {
+        if self.check_due.after_ms(PAUSED_CHECKS * HEARTBEAT_MS) < now {
             self.reset_silence(now);
         }
         self.check_due = now.after_ms(HEARTBEAT_MS);
-        self.greet_unknown_hosts(now);
+        self.send_greetings(now);
         self.select_monitored(now);
         for (peer, channel) in &self.channels {
-            let watched = self.monitored.get(peer).copied();
-            let silent = watched
-                .map(|since| channel.last_frame().map_or(since, |heard| heard.max(since)))
+            let monitored_since = self.monitored.get(peer).copied();
+            let no_frame_since = monitored_since
+                .map(|since| channel.last_frame().map_or(since, |frame| frame.max(since)))
                 .or_else(|| channel.unanswered_since());
-            self.membership.set_silent_since(peer, silent);
+            self.membership.set_silent_since(peer, no_frame_since);
         }
         let changed = self.membership.refresh(now);
         self.apply_view_change(now, changed);
         self.lose_tasks_of_unreachable(now);
     }
 
-    /// After a pause of this process every peer looks silent, though it was
-    /// this host that did not listen: without this, a paused host would wake
-    /// up and try to take over every shard it is witness of.
+    /// Restarts the silence of all monitored peers after a pause of this process. They seem silent
+    /// though this host did not read their frames: without the reset it would resume and try to
+    /// take over every shard of which it is the witness.
     fn reset_silence(&mut self, now: Time) {
         for since in self.monitored.values_mut() {
             *since = now;
         }
     }
 
-    /// Watches the hosts of the own zone and the partners of shared shards: a
-    /// number that does not grow with the deployment.
+    /// Monitors the hosts of the own zone and the partners of shared shards: a number that does not
+    /// grow with the deployment.
     fn select_monitored(&mut self, now: Time) {
         let view = self.membership.view();
         let known = |peer: &Peer| peer.birth != 0 && view.state(peer) != HostState::Gone;
-        let mates = view.hosts.values().filter(|host| host.zone == view.zone);
-        let mut peers: BTreeSet<Peer> = mates.map(|host| host.peer.clone()).collect();
+        let zone_hosts = view.hosts.values().filter(|host| host.zone == view.zone);
+        let mut peers: BTreeSet<Peer> = zone_hosts.map(|host| host.peer.clone()).collect();
         peers.extend(self.shards.replica_peers().cloned());
         peers.remove(&self.setup.me);
         peers.retain(known);
@@ -69,19 +69,19 @@
         }
     }
 
-    /// Acts on a change of the view.
+    /// Handles a change of the view.
     pub(super) fn apply_view_change(&mut self, now: Time, changed: bool) {
         if !changed {
             return;
         }
         let leaving = self.membership.stop_requested() || self.stopping.is_some();
-        self.set_leaving(now, leaving);
+        self.update_leaving(now, leaving);
         self.remove_gone_peers(now);
         let view = self.membership.view();
         self.shards.handle_view_change(now, view, &mut self.shard_effects);
         self.placer.handle_view(now, view, &mut self.place_effects);
         self.settle(now);
-        self.retry_unreachable(now);
+        self.reroute_forwards(now);
         self.retry_tasks_of_suspects(now);
     }
 
@@ -100,20 +100,20 @@
 
     fn retry_tasks_of_suspects(&mut self, now: Time) {
         let view = self.membership.view();
-        let silent = |peer: &&Peer| view.state(peer) == HostState::Suspect;
-        let silent: Vec<Peer> = self.channels.keys().filter(silent).cloned().collect();
-        for peer in silent {
+        let suspect = |peer: &&Peer| view.state(peer) == HostState::Suspect;
+        let suspects: Vec<Peer> = self.channels.keys().filter(suspect).cloned().collect();
+        for peer in suspects {
             self.retry_tasks(now, &peer);
         }
     }
 
     fn lose_tasks_of_unreachable(&mut self, now: Time) {
-        let limit = SUSPECT_MS + TASKS_LOST_MS;
-        let silent = |peer: &&Peer| {
+        let limit_ms = SUSPECT_MS + TASKS_LOST_MS;
+        let unreachable = |peer: &&Peer| {
             let since = self.membership.silent_since(peer);
-            since.is_some_and(|since| since.after_ms(limit) <= now)
+            since.is_some_and(|since| since.after_ms(limit_ms) <= now)
         };
-        let lost: Vec<Peer> = self.channels.keys().filter(silent).cloned().collect();
+        let lost: Vec<Peer> = self.channels.keys().filter(unreachable).cloned().collect();
         for peer in lost {
             self.lose_tasks(now, &peer);
         }
--- a/endivestile_kernel/src/kernel/query.rs
+++ b/endivestile_kernel/src/kernel/query.rs
@@ -1,4 +1,4 @@
-//! Questions about ids, and cancellations.
+//! Queries about ids, and cancellations.
 
 use std::sync::Arc;
 
@@ -10,8 +10,8 @@
     Time,
 };
 
-/// Time to answer a question before it is given up, in milliseconds.
-const ASK_MS: u64 = 2_000;
+/// Timeout of a forwarded query, in milliseconds.
+const QUERY_TIMEOUT_MS: u64 = 2_000;
 
 impl Kernel {
     pub(super) fn handle_ask(&mut self, now: Time, call: CallId, id: SubmissionId, ask: Ask) {
@@ -27,7 +27,7 @@
         hops: u8,
     ) {
         if let Some(number) = self.runs.by_id(&id) {
-            self.answer_ask(now, &waiter, number, ask);
+            self.answer_running(now, &waiter, number, ask);
             return;
         }
         if let Some(ended) = self.runs.answers().get(&id) {
@@ -35,28 +35,28 @@
             self.reply(&waiter, answer);
             return;
         }
-        let owner = match id.form() {
+        let responder = match id.form() {
             IdForm::Minted(issuer, _) => Some(issuer.clone()),
             IdForm::Dated(_) => match self.shards.lookup(&id) {
                 Some(known) => Some(known.runner.clone()),
                 None => self.shards.home_of(&id).cloned(),
             },
         };
-        let Some(owner) = owner else {
+        let Some(responder) = responder else {
             self.refuse(now, &waiter, Class::Unknown, Cause::ShardMoving);
             return;
         };
-        if owner == self.setup.me {
+        if responder == self.setup.me {
             self.reply(&waiter, Arc::new(Answer::NotFound));
             return;
         }
-        match self.membership.view().state(&owner) {
+        match self.membership.view().state(&responder) {
             HostState::Gone => {
                 let answer = Answer::Failed(Failure::HomeLost);
                 self.reply(&waiter, Arc::new(answer));
             }
             HostState::Live | HostState::Leaving if hops < MAX_HOPS => {
-                self.forward_ask(now, waiter, id, ask, owner, hops + 1);
+                self.forward_ask(now, waiter, id, ask, responder, hops + 1);
             }
             _ => self.refuse(now, &waiter, Class::Unknown, Cause::HomeAway),
         }
@@ -71,28 +71,29 @@
         to: Peer,
         hops: u8,
     ) {
-        let due = now.after_ms(ASK_MS);
+        let due = now.after_ms(QUERY_TIMEOUT_MS);
         let forward =
             Forward { waiter, request: Forwarded::Ask, to: to.clone(), due, hops, until: due };
         let call = self.forwards.add(forward);
         self.send(&to, Msg::Ask { call, id, ask, hops });
     }
 
-    fn answer_ask(&mut self, now: Time, waiter: &Waiter, number: u64, ask: Ask) {
+    fn answer_running(&mut self, now: Time, waiter: &Waiter, number: u64, ask: Ask) {
         let Some(run) = self.runs.get_mut(number) else { return };
         match ask {
             Ask::Fetch => self.reply(waiter, Arc::new(Answer::Running)),
             Ask::Cancel => {
                 run.waiters.push(waiter.clone());
                 self.shards.cancel(number);
-                self.keep_cancelled(now, number);
+                self.keep_cancellation(now, number);
                 self.finish(now, number, Answer::Failed(Failure::Cancelled));
             }
         }
     }
 
-    /// A cancelled id stays cancelled when its submission comes in late.
-    fn keep_cancelled(&mut self, now: Time, number: u64) {
+    /// Keeps the answer of a cancelled run, so that its submission stays cancelled if it arrives
+    /// late.
+    fn keep_cancellation(&mut self, now: Time, number: u64) {
         let keep = now.after_ms(self.keep_ms());
         if let Some(run) = self.runs.get_mut(number) {
             run.keep_until = run.keep_until.max(keep);
--- a/endivestile_kernel/src/kernel/reply.rs
+++ b/endivestile_kernel/src/kernel/reply.rs
@@ -1,11 +1,11 @@
-//! Answers to those who wait.
+//! Answers to callers and fronts.
 
 use std::sync::Arc;
 
 use crate::run::Waiter;
 use crate::{Answer, Cause, Class, Effect, Kernel, Metric, Msg, Time};
 
-/// Wait that a refusal suggests when nothing better is known, in milliseconds.
+/// Default delay of a retry after a refusal, in milliseconds.
 pub(super) const RETRY_AFTER_MS: u64 = 1_000;
 
 impl Kernel {
--- a/endivestile_kernel/src/kernel/shard_effect.rs
+++ b/endivestile_kernel/src/kernel/shard_effect.rs
@@ -1,4 +1,4 @@
-//! What the shards let this host do.
+//! Handling of the shards' effects.
 
 use crate::kernel::submit::{Arrival, MAX_PARK_MS};
 use crate::run::RunState;
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Returns for how long an id is remembered, in milliseconds: the window and
-    /// the margins by which clocks may differ on both ends.
+    /// Returns how long an id is kept, in milliseconds: the resubmission window and the maximum
+    /// clock skew on both ends.
     pub(super) fn keep_ms(&self) -> u64 {
         let window_s = self.config.as_ref().map_or(0, |config| config.rules.window_s);
         (window_s + 2 * MAX_CLOCK_SKEW_S) * 1_000
     }
 
-    /// Gives up on a run that the witness has not let start.
+    /// Refuses a run that the witness has not confirmed in time.
     pub(super) fn end_unconfirmed(&mut self, now: Time, ticket: u64) {
         self.shards.cancel(ticket);
         let refusal = self.refusal(now, Class::Unknown, Cause::WitnessAway);
--- a/endivestile_kernel/src/kernel/shutdown.rs
+++ b/endivestile_kernel/src/kernel/shutdown.rs
@@ -2,36 +2,36 @@
 
 use crate::{Effect, HostState, Kernel, PlatformState, Time};
 
-/// Time for which a stopping process still serves what the balancer sends, in milliseconds.
-const LINGER_MS: u64 = 1_500;
-/// Delay of a look at which the process takes itself to have been paused, in milliseconds.
-const LATE_MS: u64 = 100;
-/// Time between two looks whether everything is drained, in milliseconds.
+/// Time for which a stopping process still accepts calls from the load balancer, in milliseconds.
+const MIN_SHUTDOWN_MS: u64 = 1_500;
+/// Delay of a drain check that shows that the process was paused, in milliseconds.
+const PAUSED_MS: u64 = 100;
+/// Interval between two drain checks, in milliseconds.
 const DRAIN_POLL_MS: u64 = 50;
 
-/// A graceful shutdown under way.
+/// Progress of a graceful shutdown.
 #[derive(Debug)]
 pub(super) struct DrainState {
-    /// When the process may end at the earliest.
+    /// Earliest time at which the process may exit.
     until: Time,
-    /// When to look again whether everything is drained.
-    look: Time,
+    /// When to check again whether all work is drained.
+    next_check: Time,
 }
 
 impl DrainState {
     fn new(now: Time) -> Self {
-        Self { until: now.after_ms(LINGER_MS), look: now.after_ms(DRAIN_POLL_MS) }
+        Self { until: now.after_ms(MIN_SHUTDOWN_MS), next_check: now.after_ms(DRAIN_POLL_MS) }
     }
 
-    /// Notes a look; says whether the process has to stay for a while anyway.
+    /// Schedules the next check, and returns whether the process has to wait in any case.
     ///
-    /// A look that comes late means that the process was paused: the calls that
-    /// came meanwhile are still unread, and ending now would cut them off.
-    fn looked(&mut self, now: Time) -> bool {
-        if self.look.after_ms(LATE_MS) < now {
-            self.until = now.after_ms(LINGER_MS);
+    /// A late check means that the process was paused: calls that arrived meanwhile are still
+    /// unread, and exiting now would cut them off.
+    fn schedule_check(&mut self, now: Time) -> bool {
+        if self.next_check.after_ms(PAUSED_MS) < now {
+            self.until = now.after_ms(MIN_SHUTDOWN_MS);
         }
-        self.look = now.after_ms(DRAIN_POLL_MS);
+        self.next_check = now.after_ms(DRAIN_POLL_MS);
         self.until > now
     }
 }
@@ -40,7 +40,7 @@
     pub(super) fn handle_shutdown(&mut self, now: Time) {
         if self.stopping.is_none() {
             self.stopping = Some(DrainState::new(now));
-            self.info("stopping", vec![("runs", self.runs.active().to_string())]);
+            self.log_info("stopping", vec![("runs", self.runs.active().to_string())]);
         }
         self.apply_view_change(now, true);
     }
@@ -63,40 +63,41 @@
         self.apply_view_change(now, changed || *name == *self.setup.me.host);
     }
 
-    /// A leaving host gives its share and its shards away, and finishes what it runs.
-    pub(super) fn set_leaving(&mut self, now: Time, leaving: bool) {
+    /// Starts or cancels leaving: a leaving host transfers its share and its shards, and finishes
+    /// its runs.
+    pub(super) fn update_leaving(&mut self, now: Time, leaving: bool) {
         if leaving == self.leaving {
             return;
         }
         self.leaving = leaving;
         self.membership.mark_leaving(now, leaving);
         self.out.push(Effect::Register { leaving });
-        self.info("leaving", vec![("leaving", leaving.to_string())]);
+        self.log_info("leaving", vec![("leaving", leaving.to_string())]);
         if leaving {
             let view = self.membership.view();
             self.shards.start_drain(now, view, &mut self.shard_effects);
         }
-        // Told at once: the next heartbeat may be half a second away.
+        // Sent at once: the next heartbeat may be half a second away.
         for channel in self.channels.values_mut() {
             channel.schedule_heartbeat(now);
         }
     }
 
-    /// Returns whether new calls are refused: the balancer has had time to notice
-    /// the stop, and callers who go on calling would keep the process for ever.
+    /// Returns whether new calls are refused: the load balancer has had time to notice the stop,
+    /// and callers that continue to call would keep the process from exiting.
     pub(super) fn is_closing(&self, now: Time) -> bool {
         self.stopping.as_ref().is_some_and(|stopping| stopping.until <= now)
     }
 
     pub(super) fn drain_due(&self) -> Option<Time> {
         let stopping = self.stopping.as_ref().filter(|_| !self.drained);
-        stopping.map(|stopping| stopping.look)
+        stopping.map(|stopping| stopping.next_check)
     }
 
     pub(super) fn check_drained(&mut self, now: Time) {
         let busy = self.busy();
         let Some(stopping) = &mut self.stopping else { return };
-        if self.drained || stopping.look > now || stopping.looked(now) || busy {
+        if self.drained || stopping.next_check > now || stopping.schedule_check(now) || busy {
             return;
         }
         self.drained = true;
@@ -105,11 +106,11 @@
 
     fn busy(&self) -> bool {
         let view = self.membership.view();
-        let owed = self.channels.iter().any(|(peer, channel)| {
+        let unacked = self.channels.iter().any(|(peer, channel)| {
             let state = view.state(peer);
             channel.backlog() > 0 && matches!(state, HostState::Live | HostState::Leaving)
         });
         let calls = self.runs.active() + self.forwards.len();
-        calls > 0 || owed || !self.placer.is_idle() || !self.shards.is_drained()
+        calls > 0 || unacked || !self.placer.is_idle() || !self.shards.is_drained()
     }
 }
--- a/endivestile_kernel/src/kernel/status.rs
+++ b/endivestile_kernel/src/kernel/status.rs
@@ -1,4 +1,4 @@
-//! What an entry host tells operators of itself.
+//! Status of an entry host for operators.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::{Kernel, ServerStatus, ShardStatus, Time};
 
-/// A host as this one sees it.
+/// Status of a host in this host's view.
 #[derive(Debug, Clone, Serialize)]
 pub struct HostStatus {
     /// Incarnation.
@@ -15,7 +15,7 @@
     pub zone: String,
     /// `live`, `leaving`, `suspect` or `gone`.
     pub state: String,
-    /// Messages not acknowledged yet.
+    /// Number of unacknowledged messages.
     pub backlog: usize,
 }
 
@@ -28,27 +28,27 @@
     pub zone: String,
     /// Revision of the configuration in force, 0 for none.
     pub revision: u64,
-    /// Whether the balancer may send calls here.
+    /// Whether the load balancer may send calls to this host.
     pub ready: bool,
     /// Whether the host is leaving.
     pub leaving: bool,
-    /// Whether the platform's store answers.
+    /// Whether the platform's store is available.
     pub store: bool,
-    /// Submissions that have not ended.
+    /// Number of submissions that have not ended.
     pub active: usize,
-    /// Submissions of which callers of this host wait for the answer.
+    /// Number of submissions whose answer callers of this host wait for.
     pub waiting: usize,
-    /// Submissions that are remembered, ended ones among them.
+    /// Number of submissions on record, including ended ones.
     pub remembered: usize,
-    /// Calls passed on to another host.
+    /// Number of forwarded calls and parked submissions.
     pub passed: usize,
-    /// Events counted since the start, by the name of the metric.
+    /// Counters since the start, by name of the metric.
     pub totals: BTreeMap<String, u64>,
     /// Hosts.
     pub hosts: BTreeMap<String, HostStatus>,
-    /// Shards in which the host plays a part.
+    /// Shards in which the host has a role.
     pub shards: Vec<ShardStatus>,
-    /// Back ends of the host's share.
+    /// Backends of the host's share.
     pub servers: Vec<ServerStatus>,
 }
 
--- a/endivestile_kernel/src/kernel/submit.rs
+++ b/endivestile_kernel/src/kernel/submit.rs
@@ -1,4 +1,4 @@
-//! Calls on their way to the host that may run them.
+//! Routing of submissions to the host that may run them.
 
 use std::sync::Arc;
 
@@ -9,18 +9,22 @@
     Submission, SubmissionId, Time,
 };
 
-/// Hosts that pass a call on at most.
+/// Maximum number of times a call is forwarded.
 pub(super) const MAX_HOPS: u8 = 3;
-/// Longest wait for a shard to get a usable home, in milliseconds: somewhat
-/// more than a take-over takes while the store answers.
+/// Maximum wait for a shard to get a usable home, in milliseconds: somewhat more than a takeover
+/// takes while the store is available.
 pub(super) const MAX_PARK_MS: u64 = 4_000;
 
-/// A submission on its way, with how it came here.
+/// A submission to be routed, with its origin.
 #[derive(Debug, Clone)]
 pub(super) struct Arrival {
+    /// Recipient of the answer.
     pub(super) waiter: Waiter,
+    /// The submission.
     pub(super) submission: Arc<Submission>,
+    /// Number of times it was forwarded.
     pub(super) hops: u8,
+    /// Until when to wait for a usable home.
     pub(super) until: Time,
 }
 
@@ -42,20 +46,20 @@
         let until = submission.deadline.min(now.after_ms(MAX_PARK_MS));
         let arrival = Arrival { waiter, submission, hops, until };
         match arrival.submission.id.clone() {
-            Some(id) if recorded => self.submit_known(now, &id, arrival),
+            Some(id) if recorded => self.submit_recorded(now, &id, arrival),
             _ => self.submit(now, arrival),
         }
     }
 
-    /// Starts an id that its home has recorded as this incarnation's own, unless it was started.
+    /// Starts an id that its home has recorded with this incarnation as the runner, unless it was
+    /// started before.
     ///
-    /// A home sends an id to its witness and hands the shard over before the
-    /// word comes back: it never started the id, and nobody else may. Without
-    /// this the caller is told "failed" because of a planned stop.
-    /// It can't start twice: what this incarnation started is in the table of
-    /// runs until after the id has expired, and no other one ever starts an id
-    /// that is recorded.
-    fn submit_known(&mut self, now: Time, id: &SubmissionId, arrival: Arrival) {
+    /// A home may send an id to its witness and transfer the shard before the acknowledgement
+    /// arrives: it has not started the id, and no other host may. Without this path a planned stop
+    /// would fail the submission. It cannot start twice: ids that this incarnation started are in
+    /// the table of runs until after they have expired, and no other incarnation starts a recorded
+    /// id.
+    fn submit_recorded(&mut self, now: Time, id: &SubmissionId, arrival: Arrival) {
         let Some(arrival) = self.attach(id, arrival) else { return };
         let window_s = self.config.as_ref().map_or(0, |config| config.rules.window_s);
         let wall_s = self.setup.wall_s + now.as_micros() / 1_000_000;
@@ -88,8 +92,8 @@
         }
     }
 
-    /// Joins a submission that this host runs or ran; gives the arrival back
-    /// when there is none, or when it ended without having run.
+    /// Attaches a call to a submission that this host runs or ran. Returns the arrival if there is
+    /// none, or if it ended without having run.
     fn attach(&mut self, id: &SubmissionId, arrival: Arrival) -> Option<Arrival> {
         let digest = arrival.submission.digest();
         if let Some(run) = self.runs.by_id(id).and_then(|number| self.runs.get_mut(number)) {
@@ -140,23 +144,23 @@
 
     fn submit_dated(&mut self, now: Time, id: &SubmissionId, arrival: Arrival) {
         let digest = arrival.submission.digest();
-        let verdict = self.check_admission(now, &arrival.submission);
+        let admissible = self.check_admission(now, &arrival.submission);
         let state =
-            verdict.map_or_else(RunState::ConfirmingRefusal, |()| RunState::AwaitingWitness);
-        // An id that was recorded before is met as such, however full the host is:
-        // "not run" would be untrue of it.
-        let asking = state == RunState::AwaitingWitness || self.shards.lookup(id).is_some();
+            admissible.map_or_else(RunState::ConfirmingRefusal, |()| RunState::AwaitingWitness);
+        // An id that was recorded before is handled as such, however full the host is: refusing it
+        // as "not run" would be wrong.
+        let needs_grant = state == RunState::AwaitingWitness || self.shards.lookup(id).is_some();
         let mut run = Run::new(now, arrival.submission.clone(), state);
         run.due = arrival.until;
         run.waiters.push(arrival.waiter.clone());
         let ticket = self.runs.add(run);
         let (view, out) = (self.membership.view(), &mut self.shard_effects);
-        let admit = if asking {
+        let admission = if needs_grant {
             self.shards.admit(now, view, id, digest, ticket, out)
         } else {
             self.shards.confirm_not_run(now, view, id, ticket, out)
         };
-        self.handle_admission(now, id, arrival, ticket, admit);
+        self.handle_admission(now, id, arrival, ticket, admission);
     }
 
     fn handle_admission(
@@ -165,12 +169,12 @@
         id: &SubmissionId,
         arrival: Arrival,
         ticket: u64,
-        admit: Admission,
+        admission: Admission,
     ) {
-        if admit == Admission::Wait {
+        if admission == Admission::Wait {
             return;
         }
-        if let Admission::Known(known) = &admit
+        if let Admission::Known(known) = &admission
             && known.runner == self.setup.me
             && known.digest == arrival.submission.digest()
         {
@@ -178,7 +182,7 @@
             return;
         }
         self.runs.remove(ticket);
-        match admit {
+        match admission {
             Admission::Wait => {}
             Admission::Forward(peer) => self.forward_to_home(now, arrival, peer),
             Admission::Known(known) => self.forward_to_runner(now, arrival, &known),
@@ -186,9 +190,9 @@
         }
     }
 
-    /// Starts an id that this incarnation recorded and never started: whatever
-    /// it started is in the table of runs for as long as the id may come back.
-    /// The witness has to confirm that nobody took the shard over meanwhile.
+    /// Starts an id that this incarnation recorded but never started: ids that it started are in
+    /// the table of runs for as long as they may be resubmitted. The witness has to confirm that no
+    /// other host has taken over the shard.
     fn confirm_unstarted(&mut self, now: Time, id: &SubmissionId, arrival: Arrival, ticket: u64) {
         let (view, out) = (self.membership.view(), &mut self.shard_effects);
         match self.shards.confirm_not_run(now, view, id, ticket, out) {
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Meets an id that another incarnation may have started: only that one knows the answer.
+    /// Forwards an id that another incarnation may have started: only that one has the answer.
     fn forward_to_runner(&mut self, now: Time, arrival: Arrival, known: &KnownId) {
         if known.digest != arrival.submission.digest() {
             self.reply(&arrival.waiter, Arc::new(Answer::Conflict));
@@ -220,7 +224,7 @@
             self.forward(now, arrival, known.runner.clone(), true);
             return;
         }
-        // A host that was silent for a moment may still run it, or has the answer.
+        // A host that is briefly silent may still run it, or have the answer.
         if state == HostState::Suspect && Self::may_park(now, &arrival) {
             self.park(now, arrival);
             return;
--- a/endivestile_kernel/src/kernel/task.rs
+++ b/endivestile_kernel/src/kernel/task.rs
@@ -1,4 +1,4 @@
-//! Runs and their tasks.
+//! Runs: admission, placement of their tasks and their end.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,24 +11,23 @@
     PlaceEffect, PlaceRequest, Placer, Submission, Target, Task, TaskKey, Time,
 };
 
-/// Starts of one repeatable task at most.
+/// Maximum number of starts of a submission that may be retried.
 const MAX_STARTS: u8 = 3;
-/// Tries of one task at most, also of those that were never started.
-const MAX_TRIES: u8 = 7;
-/// First wait before a task that a placer gave back is placed again, in
-/// milliseconds; doubles with every try.
-const REPLACE_MS: u64 = 10;
-/// Longest such wait, in milliseconds.
-const REPLACE_MAX_MS: u64 = 500;
-/// Time that a placer's word takes besides the distance, in microseconds.
-const WORD_US: u64 = 5_000;
-/// Silence of a placer after which its tasks count as lost, in milliseconds.
+/// Maximum number of attempts of one task, including those that did not start it.
+const MAX_ATTEMPTS: u8 = 7;
+/// Initial backoff of a task that a placer returned, in milliseconds; doubles with every attempt.
+const PLACE_BACKOFF_MS: u64 = 10;
+/// Maximum backoff of a returned task, in milliseconds.
+const MAX_PLACE_BACKOFF_MS: u64 = 500;
+/// Time for a placer's outcome to arrive, without the distance, in microseconds.
+const OUTCOME_DELAY_US: u64 = 5_000;
+/// Time for which a placer is suspect before its tasks count as lost, in milliseconds.
 pub(super) const TASKS_LOST_MS: u64 = 5_000;
-/// Wait that a refusal suggests when the queue says nothing, in milliseconds.
-const DRAIN_MS: u64 = 250;
+/// Minimum delay of a retry after a refusal for lack of capacity, in milliseconds.
+const MIN_RETRY_DELAY_MS: u64 = 250;
 
 impl Kernel {
-    /// Runs a submission that needs nobody's leave.
+    /// Runs a submission that needs no grant of a shard.
     pub(super) fn start_run(&mut self, now: Time, arrival: Arrival, keep: Time) {
         if let Err(cause) = self.check_admission(now, &arrival.submission) {
             self.refuse(now, &arrival.waiter, Class::NotRun, cause);
@@ -41,7 +40,8 @@
         self.start(now, number);
     }
 
-    /// Says at once what cannot end in time, so that the caller can turn elsewhere.
+    /// Refuses a submission that cannot run or end in time, so that its caller can go elsewhere at
+    /// once.
     pub(super) fn check_admission(&self, now: Time, submission: &Submission) -> Result<(), Cause> {
         let Some(config) = &self.config else { return Err(Cause::NoConfig) };
         if self.is_closing(now) {
@@ -55,21 +55,21 @@
             targets.entry(&task.target).or_insert((task, 0)).1 += 1;
         }
         for (task, count) in targets.into_values() {
-            // Shares tell of two classes of needs only: each would pass on what fits no
-            // worker at all, and its caller would wait while they try in turn.
+            // Load is reported for two classes of needs only: without this check a task that fits
+            // no worker would be sent from host to host, and its caller would wait meanwhile.
             if !Placer::can_ever_run(config, &task.target) {
                 return Err(Cause::NoBackend);
             }
             let Some(route) = self.route(now, task, &[]) else {
                 return Err(if self.leaving { Cause::Stopping } else { Cause::NoBackend });
             };
-            // The other tasks of a job end one turn after the other.
-            let turn = self.routes.task_interval_us(
+            // The other tasks of a job end one interval after the other.
+            let interval_us = self.routes.task_interval_us(
                 self.membership.view(),
                 &self.own_load.1,
                 &task.target,
             );
-            let late = route.end.after_us(turn * (count - 1)) > submission.deadline;
+            let late = route.end.after_us(interval_us * (count - 1)) > submission.deadline;
             if late && !self.may_probe_duration(now, task, count, submission.deadline) {
                 return Err(Cause::Deadline);
             }
@@ -77,8 +77,8 @@
         Ok(())
     }
 
-    /// Returns whether tasks that look too long are tried all the same, so that
-    /// a wrong belief about their run time is corrected.
+    /// Returns whether tasks that seem too long are admitted anyway, to correct a wrong estimate of
+    /// their run time.
     fn may_probe_duration(&self, now: Time, task: &Task, count: u64, deadline: Time) -> bool {
         if count > 1 {
             return self.placer.has_untried_backend(task);
@@ -95,12 +95,12 @@
         let count = run.tasks.len();
         self.runs.set_due(number, deadline);
         for index in 0..count {
-            self.budget.first();
+            self.budget.record_first_attempt();
             self.place(now, TaskKey { run: number, index: index as u16, attempt: 0 });
         }
     }
 
-    /// Returns where a task would end first, none of `avoid`.
+    /// Returns the route, except to `avoid`, with the earliest expected end of a task.
     fn route(&self, now: Time, task: &Task, avoid: &[Peer]) -> Option<Route> {
         let config = self.config.as_ref()?;
         let view = self.membership.view();
@@ -109,7 +109,7 @@
         let own = own.map(|end| Route { peer: me.clone(), end });
         let other = self.routes.best(now, view, &config.rules, &task.target, avoid);
         let best = match (own, other) {
-            // A share that is only guessed to be slow would never be tried.
+            // Otherwise a share that is only estimated to be slow would never be used.
             (Some(own), Some(_)) if self.placer.has_untried_backend(task) => Some(own),
             (Some(own), Some(other)) if other.end < own.end => Some(other),
             (Some(own), _) => Some(own),
@@ -149,16 +149,16 @@
         self.send_request(now, &route.peer, PlaceRequest { deadline, ..request });
     }
 
-    /// Returns when another host's placer has to give a task up: early enough for
-    /// its word that the task never ran to come before this host's own deadline,
-    /// after which it could only say that it may have run.
+    /// Returns the deadline for the placer at `to`: early enough for its report that a task never
+    /// ran to arrive before this host's own deadline, after which the task would count as possibly
+    /// run.
     fn remote_deadline(&self, to: &Peer, deadline: Time) -> Time {
         if *to == self.setup.me {
             return deadline;
         }
         let distance_us = self.config.as_ref().map_or(0, |config| config.rules.distance_us);
-        let early_us = WORD_US + 2 * distance_us;
-        Time::from_micros(deadline.as_micros().saturating_sub(early_us))
+        let margin_us = OUTCOME_DELAY_US + 2 * distance_us;
+        Time::from_micros(deadline.as_micros().saturating_sub(margin_us))
     }
 
     fn send_request(&mut self, now: Time, to: &Peer, request: PlaceRequest) {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes in how a task ended at a placer; a late word on an earlier try is dropped.
+    /// Handles the outcome of a task at a placer; late outcomes of earlier attempts are dropped.
     pub(super) fn handle_placed(&mut self, now: Time, from: &Peer, key: TaskKey, outcome: Outcome) {
         let Some(run) = self.runs.get_mut(key.run) else { return };
         let Some(task) = run.tasks.get_mut(usize::from(key.index)) else { return };
@@ -209,7 +209,7 @@
                 if !run.full_placers.contains(from) {
                     run.full_placers.push(from.clone());
                 }
-                self.replace_task(now, key);
+                self.place_next_attempt(now, key);
             }
             Outcome::NotRun(cause) => self.handle_not_run(now, key, cause),
             Outcome::Rejected { peer, status } => {
@@ -224,15 +224,15 @@
         }
     }
 
-    /// A task was not started: another share may still take it.
+    /// Handles a task that was not started: another share may still run it.
     ///
-    /// While a host leaves, its peers learn of it one after the other, and for
-    /// some milliseconds each takes another one to have its share. A task that
-    /// is placed anew at once uses up its tries among them, and its caller sees
-    /// a request cut off by a planned stop; so it waits a little longer each time.
+    /// While a host leaves, its peers are informed one after the other, and for some milliseconds
+    /// their views differ on which host has its share. A task that is placed again at once would
+    /// use up its attempts among them, and a planned stop would fail the request. The backoff
+    /// therefore grows with each attempt.
     fn handle_not_run(&mut self, now: Time, key: TaskKey, cause: Cause) {
-        let elsewhere = matches!(cause, Cause::NoBackend | Cause::Stopping);
-        if !elsewhere || key.attempt + 1 >= MAX_TRIES {
+        let other_share_may_run = matches!(cause, Cause::NoBackend | Cause::Stopping);
+        if !other_share_may_run || key.attempt + 1 >= MAX_ATTEMPTS {
             self.end_unplaced(now, key, cause);
             return;
         }
@@ -240,12 +240,12 @@
         let task = &mut run.tasks[usize::from(key.index)];
         task.attempt += 1;
         task.state = TaskState::Ready;
-        let wait_ms = (REPLACE_MS << key.attempt.min(6)).min(REPLACE_MAX_MS);
+        let backoff_ms = (PLACE_BACKOFF_MS << key.attempt.min(6)).min(MAX_PLACE_BACKOFF_MS);
         let next = TaskKey { attempt: key.attempt + 1, ..key };
-        self.retries.insert((now.after_ms(wait_ms), next));
+        self.retries.insert((now.after_ms(backoff_ms), next));
     }
 
-    /// Places what waited to be placed again.
+    /// Places the returned tasks whose backoff has ended.
     pub(super) fn retry_due_tasks(&mut self, now: Time) {
         while let Some(&(due, key)) = self.retries.first() {
             if due > now {
@@ -256,19 +256,19 @@
         }
     }
 
-    /// A task may have run: only what may be repeated is tried again.
-    fn handle_ambiguous(&mut self, now: Time, key: TaskKey, failure: Failure, repeat: bool) {
-        let may_repeat = self.runs.get(key.run).is_some_and(Run::may_repeat);
+    /// Handles a task that may have run: it is only retried if that is allowed.
+    fn handle_ambiguous(&mut self, now: Time, key: TaskKey, failure: Failure, retryable: bool) {
+        let may_retry = self.runs.get(key.run).is_some_and(Run::may_retry);
         let starts = self.runs.get(key.run).map_or(0, |run| run.ambiguous_ends);
-        if repeat && may_repeat && starts < MAX_STARTS && self.budget.retry() {
+        if retryable && may_retry && starts < MAX_STARTS && self.budget.try_retry() {
             self.count(Metric::Retries, 1);
-            self.replace_task(now, key);
+            self.place_next_attempt(now, key);
         } else {
             self.finish(now, key.run, Answer::Failed(failure));
         }
     }
 
-    fn replace_task(&mut self, now: Time, key: TaskKey) {
+    fn place_next_attempt(&mut self, now: Time, key: TaskKey) {
         if let Some(run) = self.runs.get_mut(key.run) {
             let task = &mut run.tasks[usize::from(key.index)];
             task.attempt += 1;
@@ -288,15 +288,15 @@
         self.finish(now, key.run, answer);
     }
 
-    /// Ends a run: its other tasks are dropped, everyone who waits is answered.
+    /// Ends a run: drops its other tasks and sends the answer to all waiters.
     pub(super) fn finish(&mut self, now: Time, number: u64, answer: Answer) {
         let Some(run) = self.runs.get_mut(number) else { return };
         let waiters = std::mem::take(&mut run.waiters);
-        let drops = placed_tasks(number, run);
+        let placed = placed_tasks(number, run);
         let answer = Arc::new(answer);
         self.log_end(now, number, &answer);
         self.runs.end(number, answer.clone());
-        for (peer, key) in drops {
+        for (peer, key) in placed {
             self.cancel_task(now, &peer, key);
         }
         for waiter in waiters {
@@ -313,7 +313,7 @@
         }
     }
 
-    /// Gives up, or forgets, what is due.
+    /// Ends the runs that are due, and removes expired answers.
     pub(super) fn end_due_runs(&mut self, now: Time) {
         self.runs.answers_mut().evict_expired(now);
         while let Some(number) = self.runs.next_due(now) {
@@ -334,22 +334,21 @@
         }
     }
 
-    /// Tasks at a placer that is gone, or silent for too long, may have run.
+    /// Ends tasks at a placer that is gone, or silent for too long, as lost: they may have run.
     pub(super) fn lose_tasks(&mut self, now: Time, lost: &Peer) {
-        self.lose_tasks_of(now, lost, |_| true);
+        self.end_tasks_as_lost(now, lost, |_| true);
     }
 
-    /// Requests that may be repeated do not wait for a placer that went silent:
-    /// their caller would see nothing until the deadline, though another back
-    /// end could answer at once. The others wait, since the placer may come back
-    /// with their answers.
-    pub(super) fn retry_tasks(&mut self, now: Time, silent: &Peer) {
-        self.lose_tasks_of(now, silent, Run::may_repeat);
+    /// Retries requests at a suspect placer if that is allowed: their callers would wait until the
+    /// deadline, though another backend could answer at once. Other requests wait, since the placer
+    /// may recover and send their answers.
+    pub(super) fn retry_tasks(&mut self, now: Time, suspect: &Peer) {
+        self.end_tasks_as_lost(now, suspect, Run::may_retry);
     }
 
-    fn lose_tasks_of(&mut self, now: Time, lost: &Peer, pick: impl Fn(&Run) -> bool) {
-        let at_lost = |task: &RunTask| task.state == TaskState::Placed(lost.clone());
-        let runs = self.runs.select(|run| pick(run) && run.tasks.iter().any(at_lost));
+    fn end_tasks_as_lost(&mut self, now: Time, lost: &Peer, predicate: impl Fn(&Run) -> bool) {
+        let at_peer = |task: &RunTask| task.state == TaskState::Placed(lost.clone());
+        let runs = self.runs.select(|run| predicate(run) && run.tasks.iter().any(at_peer));
         for number in runs {
             let Some(run) = self.runs.get(number) else { continue };
             let keys: Vec<TaskKey> = placed_tasks(number, run)
@@ -363,14 +362,14 @@
         }
     }
 
-    /// Returns when the queue of this host's share is expected to be drained.
+    /// Returns when the queue of this host's share is expected to be empty.
     pub(super) fn queue_drained_at(&self, now: Time) -> Time {
-        let figures = self.own_load.1.iter();
-        let wait = figures.map(|figure| u64::from(figure.wait_us)).max().unwrap_or(0);
-        now.after_us(wait).max(now.after_ms(DRAIN_MS))
+        let loads = self.own_load.1.iter();
+        let wait = loads.map(|load| u64::from(load.wait_us)).max().unwrap_or(0);
+        now.after_us(wait).max(now.after_ms(MIN_RETRY_DELAY_MS))
     }
 
-    /// Pushes a message unless the receiver is gone.
+    /// Sends a message unless the receiver is gone.
     pub(super) fn send_unless_gone(&mut self, to: &Peer, msg: Msg) {
         if self.membership.view().state(to) != HostState::Gone {
             self.send(to, msg);
@@ -383,10 +382,10 @@
     }
 }
 
-/// Lowest HTTP status that speaks of the back end rather than of the request.
+/// Lowest HTTP status that indicates a fault of the backend rather than of the request.
 const SERVER_ERROR: u16 = 500;
 
-/// Returns the tasks of a run that are with a placer.
+/// Returns the tasks of a run that are at a placer, with the host of the placer.
 fn placed_tasks(number: u64, run: &Run) -> Vec<(Peer, TaskKey)> {
     let tasks = run.tasks.iter().enumerate();
     tasks
--- a/endivestile_kernel/src/lib.rs
+++ b/endivestile_kernel/src/lib.rs
@@ -1,5 +1,5 @@
-//! All decisions of the dispatcher: no input or output, no threads, no clock
-//! of its own. Every scenario can be repeated event by event.
+//! The dispatcher's logic as a deterministic state machine: no I/O, no threads and no clock of its
+//! own, so that every scenario can be replayed event by event.
 
 mod answer;
 mod answer_cache;
--- a/endivestile_kernel/src/membership.rs
+++ b/endivestile_kernel/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: which hosts live, leave, are silent or gone.
+//! Membership: which hosts are live, leaving, suspect or gone.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 
 use crate::{HostState, HostView, Peer, PlatformState, Registration, Time, View};
 
-/// Time between frames to the peers that are watched, in milliseconds.
+/// Interval between heartbeats to monitored peers, in milliseconds.
 pub(crate) const HEARTBEAT_MS: u64 = 500;
-/// Silence after which a watched host is suspected, in milliseconds.
+/// Silence after which a monitored host is suspect, in milliseconds.
 pub(crate) const SUSPECT_MS: u64 = 1_500;
-/// Time for which a broken link counts against a host that is not watched, in milliseconds.
-const BROKEN_MS: u64 = 5_000;
+/// Time for which a broken link makes a host suspect that is not monitored, in milliseconds.
+const LINK_DOWN_MS: u64 = 5_000;
 
-/// A host that a starting process may ask for the configuration.
+/// A host from which a starting process may request the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeedHost {
     /// Name of the host.
@@ -23,7 +23,7 @@
 }
 
 impl SeedHost {
-    /// Shows the host as one of which nothing but the address is known.
+    /// Returns a view of the host, of which only the name and address are known.
     fn view(&self) -> HostView {
         HostView {
             peer: Peer::new(self.host.clone(), 0),
@@ -35,37 +35,37 @@
     }
 }
 
-/// What is known of one host, from every source.
+/// Observations of one host from all sources.
 #[derive(Debug, Default)]
-struct Facts {
+struct Observations {
     birth: u64,
     registered: bool,
     leaving: bool,
-    stopped: bool,
-    platform: Option<PlatformState>,
-    heard: Option<Time>,
-    broken: Option<Time>,
-    silent: Option<Time>,
+    stop_planned: bool,
+    platform_state: Option<PlatformState>,
+    last_frame: Option<Time>,
+    link_down_at: Option<Time>,
+    silent_since: Option<Time>,
     address: Option<Name>,
 }
 
-/// Puts the sources together: registrations in the store, the platform's
-/// list, planned stops, and what is seen on the links.
+/// Combines registrations in the store, the platform's list, planned stops and observations of the
+/// links.
 ///
-/// The platform's list lags, and a registration outlives its host by the
-/// lease: neither alone says who answers now. What is seen on the links goes
-/// first; the others fill in for hosts that there is no traffic with.
+/// The platform's list lags, and a registration outlives its host by the lease: neither shows which
+/// hosts respond now. Observations of the links take precedence; the other sources cover hosts
+/// without traffic.
 #[derive(Debug)]
 pub(crate) struct Membership {
     view: View,
-    facts: BTreeMap<Name, Facts>,
-    listed: bool,
+    observed: BTreeMap<Name, Observations>,
+    in_inventory: bool,
 }
 
 impl Membership {
-    /// Starts with this host alone.
+    /// Creates a membership of this host and the seed hosts.
     pub(crate) fn new(me: Peer, zone: Name, address: Name, seed_hosts: &[SeedHost]) -> Self {
-        let own = Facts { birth: me.birth, registered: true, ..Facts::default() };
+        let own = Observations { birth: me.birth, registered: true, ..Observations::default() };
         let host = HostView {
             peer: me.clone(),
             zone: zone.clone(),
@@ -73,51 +73,53 @@
             weight: 1,
             state: HostState::Live,
         };
-        let mut facts = BTreeMap::from([(me.host.clone(), own)]);
+        let mut observed = BTreeMap::from([(me.host.clone(), own)]);
         let mut hosts = BTreeMap::from([(me.host.clone(), host)]);
         for seed in seed_hosts.iter().filter(|seed| seed.host != me.host) {
-            facts.insert(seed.host.clone(), Facts::default());
+            observed.insert(seed.host.clone(), Observations::default());
             hosts.insert(seed.host.clone(), seed.view());
         }
         Self {
             view: View { me, zone, hosts, store_available: false, has_inventory: false },
-            facts,
-            listed: false,
+            observed,
+            in_inventory: false,
         }
     }
 
-    /// Returns the hosts as this one sees them.
+    /// Returns this host's view of all hosts.
     pub(crate) fn view(&self) -> &View {
         &self.view
     }
 
-    /// Takes in the inventory; a host that is not in it any more is forgotten.
+    /// Applies the inventory; hosts that are no longer in it are removed.
     pub(crate) fn configure(&mut self, now: Time, config: &Config) {
         let me = self.view.me.host.clone();
         self.view.hosts.retain(|name, _| *name == me || config.hosts.contains_key(name));
         for (name, host) in &config.hosts {
-            let facts = self.facts.entry(name.clone()).or_default();
+            let observed = self.observed.entry(name.clone()).or_default();
             let own = self.view.hosts.get(name).filter(|_| *name == me);
-            let told = own.map(|own| own.address.clone()).or_else(|| facts.address.clone());
-            let address = told.unwrap_or_else(|| host.address.clone());
-            let peer = Peer::new(name.clone(), facts.birth);
+            let reported = own.map(|own| own.address.clone()).or_else(|| observed.address.clone());
+            let address = reported.unwrap_or_else(|| host.address.clone());
+            let peer = Peer::new(name.clone(), observed.birth);
             let zone = host.zone.clone();
             let state = HostState::Suspect;
             let entry = HostView { peer, zone, address, weight: host.weight, state };
             self.view.hosts.insert(name.clone(), entry);
         }
         self.view.has_inventory = true;
-        self.listed = config.hosts.contains_key(&me);
+        self.in_inventory = config.hosts.contains_key(&me);
         self.refresh(now);
     }
 
-    /// Notes that the store answers or does not.
+    /// Records whether the store is available.
     pub(crate) fn set_store_available(&mut self, up: bool) {
         self.view.store_available = up;
     }
 
-    /// Takes in a registration, or the end of one; also of a host that is not in
-    /// the inventory yet, since registrations are read before the configuration.
+    /// Applies a registration or its end, and returns whether the view changed.
+    ///
+    /// Hosts that are not in the inventory yet are recorded too, since registrations are read
+    /// before the configuration.
     pub(crate) fn apply_registration(
         &mut self,
         now: Time,
@@ -127,151 +129,162 @@
         if *name == self.view.me.host {
             return false;
         }
-        let facts = self.facts.entry(name.clone()).or_default();
+        let observed = self.observed.entry(name.clone()).or_default();
         match registration {
-            Some(registration) if registration.peer.birth >= facts.birth => {
-                facts.reborn(registration.peer.birth);
-                facts.registered = true;
-                facts.leaving = registration.leaving;
-                facts.address = Some(registration.address.clone());
+            Some(registration) if registration.peer.birth >= observed.birth => {
+                observed.reset_if_newer(registration.peer.birth);
+                observed.registered = true;
+                observed.leaving = registration.leaving;
+                observed.address = Some(registration.address.clone());
                 if let Some(host) = self.view.hosts.get_mut(name) {
                     host.address = registration.address.clone();
                 }
             }
             Some(_) => return false,
-            None => facts.registered = false,
+            None => observed.registered = false,
         }
         self.refresh(now)
     }
 
-    /// Takes in the platform's word on a host.
+    /// Applies the platform's state of a host, and returns whether the view changed.
     pub(crate) fn apply_platform_state(
         &mut self,
         now: Time,
         name: &str,
         state: Option<PlatformState>,
     ) -> bool {
-        self.facts.entry(Name::from(name)).or_default().platform = state;
+        self.observed.entry(Name::from(name)).or_default().platform_state = state;
         self.refresh(now)
     }
 
-    /// Takes in a planned stop, or its end.
+    /// Applies a planned stop or its cancellation, and returns whether the view changed.
     pub(crate) fn apply_planned_stop(&mut self, now: Time, name: &str, stop: bool) -> bool {
-        self.facts.entry(Name::from(name)).or_default().stopped = stop;
+        self.observed.entry(Name::from(name)).or_default().stop_planned = stop;
         self.refresh(now)
     }
 
-    /// Marks this host as leaving, or not any more.
+    /// Marks this host as leaving or not, and returns whether the view changed.
     pub(crate) fn mark_leaving(&mut self, now: Time, leaving: bool) -> bool {
         let me = self.view.me.host.clone();
-        self.facts.entry(me).or_default().leaving = leaving;
+        self.observed.entry(me).or_default().leaving = leaving;
         self.refresh(now)
     }
 
-    /// Returns whether this host was told to stop, by operators or the platform,
-    /// or is not in the inventory any more.
+    /// Returns whether operators or the platform want this host to stop, or it is not in the
+    /// inventory any more.
     pub(crate) fn stop_requested(&self) -> bool {
-        let Some(own) = self.facts.get(&self.view.me.host) else { return false };
-        let listed = matches!(own.platform, Some(PlatformState::Leaving | PlatformState::Gone));
-        own.stopped || listed || (self.view.has_inventory && !self.listed)
+        let Some(own) = self.observed.get(&self.view.me.host) else { return false };
+        let platform_stop =
+            matches!(own.platform_state, Some(PlatformState::Leaving | PlatformState::Gone));
+        own.stop_planned || platform_stop || (self.view.has_inventory && !self.in_inventory)
     }
 
-    /// Takes in a frame's sender; says whether the view changed, none for an
-    /// incarnation that is gone or a host that is not in the inventory.
+    /// Records a frame from `peer`, and returns whether the view changed; none if the sender is an
+    /// earlier incarnation, this host itself or not in the inventory.
     pub(crate) fn apply_frame(&mut self, now: Time, peer: &Peer, leaving: bool) -> Option<bool> {
         self.view.hosts.get(&peer.host)?;
-        let facts = self.facts.entry(peer.host.clone()).or_default();
-        if peer.birth < facts.birth || peer.host == self.view.me.host {
+        let observed = self.observed.entry(peer.host.clone()).or_default();
+        if peer.birth < observed.birth || peer.host == self.view.me.host {
             return None;
         }
-        facts.reborn(peer.birth);
-        facts.heard = Some(now);
-        facts.broken = None;
-        facts.silent = None;
-        facts.leaving = leaving;
+        observed.reset_if_newer(peer.birth);
+        observed.last_frame = Some(now);
+        observed.link_down_at = None;
+        observed.silent_since = None;
+        observed.leaving = leaving;
         Some(self.refresh(now))
     }
 
-    /// Notes that the link to a peer broke or could not be made.
+    /// Records that the link to a peer broke or could not be established, and returns whether the
+    /// view changed.
     pub(crate) fn mark_link_down(&mut self, now: Time, peer: &Peer) -> bool {
-        let Some(facts) = self.facts.get_mut(&peer.host) else { return false };
-        if facts.birth == peer.birth {
-            facts.broken = Some(now);
+        let Some(observed) = self.observed.get_mut(&peer.host) else { return false };
+        if observed.birth == peer.birth {
+            observed.link_down_at = Some(now);
         }
         self.refresh(now)
     }
 
-    /// Notes since when a peer owes an answer, or has been silent though watched.
+    /// Records since when a peer owes an answer, or has been silent while monitored.
     ///
-    /// One that is suspected for its silence stays so until it is heard, also when it
-    /// owes nothing and is not watched any more. In a cut its shards are taken over at
-    /// once; if it counted as live until its registration ends, calls that must not be
-    /// repeated would go there and be lost.
+    /// A peer that is suspect for its silence stays so until its next frame, even if it owes no
+    /// answer and is no longer monitored. In a network partition its shards are taken over at once;
+    /// if it counted as live until its registration ends, calls that must not be retried would be
+    /// sent there and lost.
     pub(crate) fn set_silent_since(&mut self, peer: &Peer, since: Option<Time>) {
-        let doubted = self.suspected_for_silence(peer);
-        if let Some(facts) = self.facts.get_mut(&peer.host) {
-            facts.silent = since.or(facts.silent.filter(|_| doubted));
+        let suspected = self.suspected_for_silence(peer);
+        if let Some(observed) = self.observed.get_mut(&peer.host) {
+            observed.silent_since = since.or(observed.silent_since.filter(|_| suspected));
         }
     }
 
-    /// Returns whether a peer is registered and suspected for its silence alone.
+    /// Returns whether a registered peer is suspect because of its silence.
     pub(crate) fn suspected_for_silence(&self, peer: &Peer) -> bool {
-        let Some(facts) = self.facts.get(&peer.host) else { return false };
-        let registered = facts.registered && facts.platform != Some(PlatformState::Gone);
-        let silent = facts.silent.is_some() && facts.birth == peer.birth;
+        let Some(observed) = self.observed.get(&peer.host) else { return false };
+        let registered =
+            observed.registered && observed.platform_state != Some(PlatformState::Gone);
+        let silent = observed.silent_since.is_some() && observed.birth == peer.birth;
         registered && silent && self.view.state(peer) == HostState::Suspect
     }
 
-    /// Returns since when a peer owes an answer.
+    /// Returns since when a peer has been silent.
     pub(crate) fn silent_since(&self, peer: &Peer) -> Option<Time> {
-        let facts = self.facts.get(&peer.host)?;
-        facts.silent.filter(|_| facts.birth == peer.birth)
+        let observed = self.observed.get(&peer.host)?;
+        observed.silent_since.filter(|_| observed.birth == peer.birth)
     }
 
-    /// Works the states out anew; says whether one changed.
+    /// Recomputes all states, and returns whether the view changed.
     pub(crate) fn refresh(&mut self, now: Time) -> bool {
         let mut changed = false;
         for (name, host) in &mut self.view.hosts {
-            let Some(facts) = self.facts.get(name) else { continue };
+            let Some(observed) = self.observed.get(name) else { continue };
             let own = host.peer == self.view.me;
-            let state = if own { facts.own() } else { facts.state(now) };
-            let reborn = host.peer.birth != facts.birth;
-            changed |= reborn || host.state != state;
+            let state = if own { observed.own_state() } else { observed.state(now) };
+            let newer = host.peer.birth != observed.birth;
+            changed |= newer || host.state != state;
             host.state = state;
-            host.peer.birth = facts.birth;
+            host.peer.birth = observed.birth;
         }
         changed
     }
 }
 
-impl Facts {
-    fn reborn(&mut self, birth: u64) {
+impl Observations {
+    fn reset_if_newer(&mut self, birth: u64) {
         if birth > self.birth {
-            let platform = self.platform.filter(|state| *state != PlatformState::Gone);
-            let stopped = self.stopped;
-            *self = Self { birth, platform, stopped, ..Self::default() };
+            let platform_state = self.platform_state.filter(|state| *state != PlatformState::Gone);
+            let stop_planned = self.stop_planned;
+            *self = Self { birth, platform_state, stop_planned, ..Self::default() };
         }
     }
 
-    fn own(&self) -> HostState {
+    fn own_state(&self) -> HostState {
         if self.leaving { HostState::Leaving } else { HostState::Live }
     }
 
     fn state(&self, now: Time) -> HostState {
         let recent = |at: Option<Time>, ms: u64| at.is_some_and(|at| at.after_ms(ms) > now);
-        let heard = recent(self.heard, SUSPECT_MS);
-        // The platform's list lags, and a host that is cut off from the platform
-        // may look gone to it while it serves on. Its word makes a host suspect;
-        // only a later incarnation or the operators prove that it ended.
-        if self.platform == Some(PlatformState::Gone) && !heard {
+        let responsive = recent(self.last_frame, SUSPECT_MS);
+        // The platform's list lags, and may show a host as gone that is cut off from the platform
+        // but still serves. The list makes a host suspect; only a later incarnation or its removal
+        // from the inventory proves that it has ended.
+        if self.platform_state == Some(PlatformState::Gone) && !responsive {
             return HostState::Suspect;
         }
-        let silent = self.silent.is_some_and(|since| since.after_ms(SUSPECT_MS) <= now);
-        let broken = recent(self.broken, BROKEN_MS);
-        if self.birth == 0 || silent || (broken && !heard) || !(heard || self.registered) {
+        let silent = self.silent_since.is_some_and(|since| since.after_ms(SUSPECT_MS) <= now);
+        let link_down = recent(self.link_down_at, LINK_DOWN_MS);
+        if self.birth == 0
+            || silent
+            || (link_down && !responsive)
+            || !(responsive || self.registered)
+        {
             return HostState::Suspect;
         }
-        let platform = self.platform == Some(PlatformState::Leaving);
-        if self.leaving || self.stopped || platform { HostState::Leaving } else { HostState::Live }
+        let platform_leaving = self.platform_state == Some(PlatformState::Leaving);
+        if self.leaving || self.stop_planned || platform_leaving {
+            HostState::Leaving
+        } else {
+            HostState::Live
+        }
     }
 }
--- a/endivestile_kernel/src/mint.rs
+++ b/endivestile_kernel/src/mint.rs
@@ -1,4 +1,4 @@
-//! Ids that this incarnation issues.
+//! Issuing of submission ids by this incarnation.
 
 use std::collections::VecDeque;
 
@@ -7,8 +7,8 @@
 /// Ids issued within this many milliseconds expire together.
 const MERGE_MS: u64 = 1_000;
 
-/// Issues ids and remembers when, so that an id that outlived the resubmission
-/// window is told from a new one without a list of all that were used.
+/// Issues ids and records their expiry, so that expired ids are recognized without a list of all
+/// used ids.
 #[derive(Debug)]
 pub(crate) struct Mint {
     me: Peer,
@@ -16,26 +16,26 @@
     blocks: VecDeque<Block>,
 }
 
-/// Ids issued together.
+/// Consecutive ids with the same expiry.
 #[derive(Debug)]
 struct Block {
     first: u64,
     expires: Time,
 }
 
-/// How an id stands at its issuer.
+/// Validity of an id at its issuer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum IdValidity {
-    /// Within the window until this instant.
+    /// Within the resubmission window until this instant.
     Valid(Time),
-    /// Outlived the window.
+    /// Older than the resubmission window.
     Expired,
     /// Never issued.
     NotIssued,
 }
 
 impl Mint {
-    /// Starts with no id issued.
+    /// Creates a mint that has issued no id.
     pub(crate) fn new(me: Peer) -> Self {
         Self { me, next: 1, blocks: VecDeque::new() }
     }
@@ -48,14 +48,15 @@
         let first = self.next;
         self.next += count as u64;
         let expires = now.after_ms(window_s * 1_000);
-        // Ids of one second share a block, or every answer would leave one behind.
+        // Ids of one second share a block: ids are issued with answers, and a block for each would
+        // use too much memory.
         if self.blocks.back().is_none_or(|last| last.expires.after_ms(MERGE_MS) < expires) {
             self.blocks.push_back(Block { first, expires });
         }
         (first..self.next).map(|serial| SubmissionId::mint(&self.me, serial)).collect()
     }
 
-    /// Returns how the id number `serial` of this incarnation stands.
+    /// Returns the validity of id number `serial` of this incarnation.
     pub(crate) fn validity(&self, now: Time, serial: u64) -> IdValidity {
         if serial == 0 || serial >= self.next {
             return IdValidity::NotIssued;
--- a/endivestile_kernel/src/msg.rs
+++ b/endivestile_kernel/src/msg.rs
@@ -11,7 +11,7 @@
     Answer, Outcome, Peer, PlaceRequest, Submission, SubmissionId, TargetLoad, TaskKey, Time,
 };
 
-/// One id as a shard's home and witness keep it.
+/// Record of an id at a shard's home and witness.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownId {
     /// The id.
@@ -20,63 +20,65 @@
     pub digest: u64,
     /// The incarnation that may have started it.
     pub runner: Peer,
-    /// When it may be forgotten.
+    /// When the record may be dropped.
     pub forget: Time,
 }
 
-/// Why a front sends an id to its home.
+/// A request about an id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ask {
-    /// Says how it stands, without waiting.
+    /// Requests the answer if there is one, without waiting.
     Fetch,
-    /// Stops what has not finished.
+    /// Cancels the submission unless it has ended.
     Cancel,
 }
 
 /// A message between two incarnations of entry hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
-    /// Front to home: run this, or attach me to it.
+    /// Front to home: run a submission, or attach the call to it if it was started before.
     Submit {
         /// The front's number for the call.
         call: u64,
-        /// What to run.
+        /// The submission.
         submission: Arc<Submission>,
-        /// Hosts that have passed it on; bounded, so that two stale views end.
+        /// Number of times it was forwarded; limited, so that hosts with stale views do not forward
+        /// it in a loop.
         hops: u8,
-        /// Whether the home has the id recorded as the receiver's own.
+        /// Whether the id is recorded with the receiver as its runner.
         recorded: bool,
     },
-    /// Front to home: how does it stand, or stop it.
+    /// Front to home: query or cancel an id.
     Ask {
         /// The front's number for the call.
         call: u64,
         /// The id.
         id: SubmissionId,
-        /// What is asked.
+        /// The request.
         ask: Ask,
-        /// Hosts that have passed it on.
+        /// Number of times it was forwarded.
         hops: u8,
     },
-    /// Home to front.
+    /// Home to front: the answer to a call.
     Reply {
         /// The front's number for the call.
         call: u64,
         /// The answer.
         answer: Arc<Answer>,
     },
-    /// Home to placer.
+    /// Home to placer: run a task.
     Place(PlaceRequest),
-    /// Home to placer: drop the task, or stop it if it runs.
+    /// Home to placer: drop a task, or stop it if it runs.
     Drop(TaskKey),
-    /// Placer to home.
+    /// Placer to home: a task ended.
     Placed {
         /// Key at the home.
         key: TaskKey,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
     },
-    /// Home to witness: remember these ids; none is a question whether the home may go on.
+    /// Home to witness: record these ids. Without ids it only checks whether the epoch is still in
+    /// force.
     Record {
         /// Shard.
         shard: u32,
@@ -87,7 +89,7 @@
         /// The ids.
         ids: Vec<KnownId>,
     },
-    /// Witness to home: remembered under the epoch.
+    /// Witness to home: the batch is recorded under the epoch.
     Recorded {
         /// Shard.
         shard: u32,
@@ -96,14 +98,14 @@
         /// Number of the batch.
         batch: u64,
     },
-    /// Witness to home: refused, a later epoch is in force or under way.
+    /// Witness to home: the batch is refused, since a later epoch is in force or being established.
     Fenced {
         /// Shard.
         shard: u32,
         /// The witness's epoch.
         epoch: u64,
     },
-    /// Home to new witness: part of the table of the shard.
+    /// Home to new witness: part of the shard's id table.
     Sync {
         /// Shard.
         shard: u32,
@@ -114,37 +116,38 @@
         /// Whether this is the last part.
         last: bool,
     },
-    /// New witness to home: the whole table arrived.
+    /// New witness to home: the whole table was received.
     Synced {
         /// Shard.
         shard: u32,
         /// Epoch.
         epoch: u64,
     },
-    /// Home to synced witness: take the shard over, I am leaving or have too many.
+    /// Home to synced witness: take over the shard, because the home is leaving or has too many
+    /// shards.
     Yield {
         /// Shard.
         shard: u32,
         /// Epoch.
         epoch: u64,
     },
-    /// Asks for a configuration later than this revision.
+    /// Requests a configuration later than this revision.
     WantConfig(u64),
     /// A configuration, in canonical form.
     Config {
         /// Revision.
         revision: u64,
-        /// Text.
+        /// Canonical text.
         text: Bytes,
     },
-    /// Between hosts that serve jobs.
+    /// Message between hosts that serve jobs.
     Job(JobMsg),
-    /// Between owners of workers.
+    /// Direct transfer of pools between owners.
     DirectTransfer(DirectTransfer),
 }
 
 impl Msg {
-    /// Returns the bytes of work and results that the message carries.
+    /// Returns the size of the work and results in the message, in bytes.
     pub fn payload(&self) -> usize {
         match self {
             Self::Submit { submission, .. } => {
@@ -159,7 +162,7 @@
         }
     }
 
-    /// Moves every deadline from a clock that reads `theirs` to one that reads `ours`.
+    /// Converts every instant from a clock that reads `theirs` to one that reads `ours`.
     pub fn rebase(&mut self, theirs: Time, ours: Time) {
         match self {
             Self::Submit { submission, .. } => {
@@ -188,13 +191,13 @@
 
 /// A batch of messages on the link between two incarnations.
 ///
-/// Frames are numbered, acknowledged and sent again until acknowledged, so
-/// that between two incarnations every message arrives once and in order.
+/// Messages are numbered and resent until acknowledged, so that between two incarnations each is
+/// delivered once and in order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// Sender.
     pub from: Peer,
-    /// The incarnation meant; another one drops the frame.
+    /// Receiver; another incarnation drops the frame.
     pub to: Peer,
     /// Number of the first message; 0 when the frame carries none.
     pub seq: u64,
@@ -206,12 +209,12 @@
     pub revision: u64,
     /// Whether the sender is leaving.
     pub leaving: bool,
-    /// Load of the sender's share, when it changed enough to tell.
+    /// Load of the sender's share, if a report is due.
     pub load: Option<Arc<[TargetLoad]>>,
-    /// Receiver's clock at the sending of the latest of its frames that the
-    /// sender has had; zero when it echoes none.
+    /// Receiver's clock when it sent the latest frame that the sender has received; zero for no
+    /// echo.
     pub echo: Time,
-    /// What a sender that serves jobs tells of itself.
+    /// Report of a sender that serves jobs.
     pub report: Option<Arc<HostReport>>,
     /// The messages.
     pub msgs: Vec<Msg>,
--- a/endivestile_kernel/src/peer.rs
+++ b/endivestile_kernel/src/peer.rs
@@ -10,12 +10,12 @@
 pub struct Peer {
     /// Name of the host in the inventory.
     pub host: Name,
-    /// Grows with every start of the host's process.
+    /// Number of the incarnation, which grows with every start of the host's process.
     pub birth: u64,
 }
 
 impl Peer {
-    /// Names the incarnation of `host` born as `birth`.
+    /// Creates the identity of incarnation `birth` of `host`.
     pub fn new(host: impl Into<Name>, birth: u64) -> Self {
         Self { host: host.into(), birth }
     }
--- a/endivestile_kernel/src/placement.rs
+++ b/endivestile_kernel/src/placement.rs
@@ -1,4 +1,4 @@
-//! Tasks on their way to a back end.
+//! Placement of tasks: requests to placers, calls to backends and their outcomes.
 
 use std::sync::Arc;
 
@@ -8,21 +8,21 @@
 
 use crate::{Cause, Target, Task, Time};
 
-/// Names a task at the entry host that runs its submission.
+/// Identifies one attempt of a task at the entry host that runs its submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskKey {
-    /// Number of the run at its host, never used twice by one incarnation.
+    /// Number of the run at its host, unique within one incarnation.
     pub run: u64,
     /// Index of the task in the submission.
     pub index: u16,
-    /// Number of the try, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u8,
 }
 
-/// Asks a placer to run a task on a back end of its share.
+/// Request to a placer to run a task on a backend of its share.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlaceRequest {
-    /// Key at the host that asks.
+    /// Key at the requesting host.
     pub key: TaskKey,
     /// Team on whose behalf it runs.
     pub team: Name,
@@ -30,66 +30,67 @@
     pub deadline: Time,
     /// When the submission arrived; older submissions go first within a team.
     pub arrived: Time,
-    /// Tasks of the submission not yet finished; a job with fewer left goes first.
+    /// Unfinished tasks of the submission; jobs with fewer go first.
     pub remaining: u16,
     /// The task.
     pub task: Arc<Task>,
 }
 
-/// How an order ended.
+/// Outcome of a [`PlaceRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The back end answered.
+    /// The backend answered.
     Done(Bytes),
     /// The task was not started and will not be.
     NotRun(Cause),
-    /// The back end answered with an error status.
+    /// The backend answered with an error status.
     Rejected {
-        /// Back end.
+        /// Backend.
         peer: Name,
         /// HTTP status.
         status: u16,
     },
     /// The task may have run; its answer is lost.
     Lost {
-        /// Back end.
+        /// Backend.
         peer: Name,
     },
 }
 
-/// How one call to a back end ended, as the edge saw it.
+/// Result of one call to a backend.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// An answer, whole.
+    /// A complete answer.
     Answered(Bytes),
-    /// An error status: the back end took the task and refused or failed it.
+    /// An error status: the backend accepted the task and rejected or failed it.
     Rejected(u16),
-    /// The back end said that it is full and did not start the task.
+    /// The backend is full and did not start the task.
     Busy,
-    /// The back end said that it is leaving and did not start the task.
+    /// The backend is leaving and did not start the task.
     Leaving,
-    /// No connection was made, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     Unreachable,
-    /// Bytes were sent and no whole answer came back: the task may have run.
+    /// Data was sent and no complete answer was received: the task may have run.
     Lost,
 }
 
-/// Number of a call to a back end, never used twice by one process.
+/// Number of a call to a backend, unique within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// What a placer tells others of its share for one target.
+/// Load of a placer's share for one target, as reported to other hosts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetLoad {
-    /// Service, or the class of need with the most demanding team of its queue.
+    /// Service, or the class of needs, given as the largest need in its queue.
     pub target: Target,
-    /// Slots, taken or free, of usable back ends.
+    /// Slots of usable backends, occupied or free.
     pub slots: u32,
     /// Free slots.
     pub free: u32,
     /// Tasks waiting.
     pub waiting: u32,
-    /// Expected time of one task on the fastest free back end, or the fastest, in microseconds.
+    /// Expected run time of a task on the fastest free backend, or on the fastest if none is free,
+    /// in microseconds.
     pub service_us: u32,
     /// Expected wait of a task that arrives now, in microseconds.
     pub wait_us: u32,
--- a/endivestile_kernel/src/retry_budget.rs
+++ b/endivestile_kernel/src/retry_budget.rs
@@ -1,14 +1,14 @@
-//! Budget of retries.
+//! Limit on retries as a share of first attempts.
 
-/// Tokens of one first try: a retry takes this many hundredths.
+/// Tokens that a retry consumes; a first attempt earns the configured percentage.
 const RETRY_COST: u32 = 100;
-/// Retries that may be saved up.
-const SAVED: u32 = 20;
+/// Maximum number of accumulated retries.
+const MAX_SAVED_RETRIES: u32 = 20;
 
-/// Bounds retries to a share of first tries.
+/// Token bucket that limits retries to a percentage of first attempts.
 ///
-/// When all back ends fail, every request retried would double the load just
-/// when it hurts most. A retry is paid for by first tries instead.
+/// When all backends fail, retrying every request would double the load while they can handle it
+/// least. Retries therefore consume tokens that first attempts have earned.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     percent: u32,
@@ -16,23 +16,23 @@
 }
 
 impl RetryBudget {
-    /// Starts with a few retries saved up.
+    /// Creates a full budget.
     pub(crate) fn new() -> Self {
-        Self { percent: 10, tokens: SAVED * RETRY_COST }
+        Self { percent: 10, tokens: MAX_SAVED_RETRIES * RETRY_COST }
     }
 
-    /// Sets the retries allowed per hundred first tries.
+    /// Sets the number of retries allowed per hundred first attempts.
     pub(crate) fn configure(&mut self, percent: u32) {
         self.percent = percent;
     }
 
-    /// Notes a first try.
-    pub(crate) fn first(&mut self) {
-        self.tokens = (self.tokens + self.percent).min(SAVED * RETRY_COST);
+    /// Records a first attempt.
+    pub(crate) fn record_first_attempt(&mut self) {
+        self.tokens = (self.tokens + self.percent).min(MAX_SAVED_RETRIES * RETRY_COST);
     }
 
-    /// Takes a retry, if one may be made.
-    pub(crate) fn retry(&mut self) -> bool {
+    /// Consumes the tokens of a retry and returns true if the budget allows one.
+    pub(crate) fn try_retry(&mut self) -> bool {
         if self.percent == 0 || self.tokens < RETRY_COST {
             return false;
         }
--- a/endivestile_kernel/src/routes.rs
+++ b/endivestile_kernel/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which host's share a task goes to.
+//! Choice of the host whose share runs a task.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -7,75 +7,75 @@
 
 use crate::{HostState, Need, Peer, Target, TargetLoad, Time, View};
 
-/// Expected time of a task when nothing is known, in microseconds.
-const GUESS_US: u64 = 200_000;
-/// Age after which figures are only a hint that the share exists, in milliseconds.
-const STALE_MS: u64 = 3_000;
+/// Assumed time until a task ends in a share that has reported no load, in microseconds.
+const UNREPORTED_TASK_US: u64 = 200_000;
+/// Age after which a load report only shows that the share exists, in milliseconds.
+const STALE_REPORT_MS: u64 = 3_000;
 
-/// A share as its owner last described it.
+/// Load of a host's share as last reported.
 #[derive(Debug, Default)]
 struct Share {
-    told: Time,
-    figures: Arc<[TargetLoad]>,
-    // Handed over since the figures were told.
-    assumed: HashMap<Target, u32>,
+    reported_at: Time,
+    loads: Arc<[TargetLoad]>,
+    // Tasks sent since the report.
+    tasks_sent: HashMap<Target, u32>,
 }
 
 impl Share {
-    /// Returns when a task of a class would end here if the share were in the own zone.
-    fn end(&self, now: Time, rules: &Rules, class: &Target) -> Option<Time> {
-        let figure = find(&self.figures, class)?;
-        if figure.slots == 0 {
+    /// Returns when a task of a class would end in this share, without the distance to its zone.
+    fn expected_end(&self, now: Time, rules: &Rules, class: &Target) -> Option<Time> {
+        let load = find_load(&self.loads, class)?;
+        if load.slots == 0 {
             return None;
         }
-        let assumed = self.assumed.get(class).copied().unwrap_or(0);
-        let stale = self.told.after_ms(STALE_MS) < now;
-        let wait = if stale { u64::from(figure.service_us) } else { wait_us(figure, assumed) };
-        // An order and its outcome are two messages.
-        let price = 2 * rules.price_us;
-        Some(now.after_us(wait + u64::from(figure.service_us) + price))
+        let sent = self.tasks_sent.get(class).copied().unwrap_or(0);
+        let stale = self.reported_at.after_ms(STALE_REPORT_MS) < now;
+        let wait = if stale { u64::from(load.service_us) } else { wait_us(load, sent) };
+        // A request and its outcome are two messages.
+        let messages_us = 2 * rules.price_us;
+        Some(now.after_us(wait + u64::from(load.service_us) + messages_us))
     }
 }
 
-/// What is known of the other hosts' shares.
+/// Reported load of the other hosts' shares.
 ///
-/// Figures ride on frames that are sent anyway, so they are old when they are
-/// used. What was handed over since counts on top: otherwise every host would
-/// pour its tasks onto the share that looked best at the last frame.
+/// Reports are piggybacked on frames that are sent anyway, so they are old when they are used.
+/// Tasks sent since the report are added: otherwise every host would send all its tasks to the
+/// share that looked best in the last report.
 #[derive(Debug, Default)]
 pub(crate) struct Routes {
     shares: BTreeMap<Peer, Share>,
 }
 
-/// A share and when a task would end there.
+/// A share and the expected end of a task there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Route {
-    /// Owner of the share.
+    /// Host of the share.
     pub(crate) peer: Peer,
-    /// Expected end, the messages' price included.
+    /// Expected end, including the cost of the messages.
     pub(crate) end: Time,
 }
 
 impl Routes {
-    /// Takes in the figures of a share.
-    pub(crate) fn update(&mut self, now: Time, peer: &Peer, figures: Arc<[TargetLoad]>) {
-        let share = Share { told: now, figures, assumed: HashMap::new() };
+    /// Replaces the reported load of a share.
+    pub(crate) fn update(&mut self, now: Time, peer: &Peer, loads: Arc<[TargetLoad]>) {
+        let share = Share { reported_at: now, loads, tasks_sent: HashMap::new() };
         self.shares.insert(peer.clone(), share);
     }
 
-    /// Forgets the share of an incarnation that is gone.
+    /// Removes the share of an incarnation that is gone.
     pub(crate) fn forget(&mut self, peer: &Peer) {
         self.shares.remove(peer);
     }
 
-    /// Notes that a task was handed to a share.
+    /// Records that a task was sent to a share.
     pub(crate) fn record_handoff(&mut self, peer: &Peer, target: &Target) {
         if let Some(share) = self.shares.get_mut(peer) {
-            *share.assumed.entry(class(target)).or_default() += 1;
+            *share.tasks_sent.entry(class(target)).or_default() += 1;
         }
     }
 
-    /// Returns the best share of another host, none of `avoid`.
+    /// Returns the share of another host, except `avoid`, with the earliest expected end.
     pub(crate) fn best(
         &self,
         now: Time,
@@ -90,9 +90,9 @@
             if avoid.contains(peer) {
                 continue;
             }
-            let Some(near) = share.end(now, rules, &class) else { continue };
-            // Looking a host up costs more than the rest, and few shares come into question.
-            if best.is_some_and(|(end, _)| end <= near) {
+            let Some(local_end) = share.expected_end(now, rules, &class) else { continue };
+            // Looking up the host is the expensive step, and few shares can still be the best.
+            if best.is_some_and(|(end, _)| end <= local_end) {
                 continue;
             }
             let Some(host) = view.hosts.get(&peer.host) else { continue };
@@ -100,73 +100,76 @@
                 continue;
             }
             let distance = if host.zone == view.zone { 0 } else { 2 * rules.distance_us };
-            let end = near.after_us(distance);
-            if best.is_none_or(|(first, _)| end < first) {
+            let end = local_end.after_us(distance);
+            if best.is_none_or(|(earliest, _)| end < earliest) {
                 best = Some((end, peer));
             }
         }
         best.map(|(end, peer)| Route { peer: peer.clone(), end })
     }
 
-    /// Returns the microseconds between the ends of two tasks of a job that is
-    /// spread over this host's share and those of the live hosts known.
+    /// Returns the expected time between the ends of two tasks of a job that is spread over this
+    /// host's share and the reported shares of live hosts, in microseconds.
     pub(crate) fn task_interval_us(&self, view: &View, own: &[TargetLoad], target: &Target) -> u64 {
         let class = class(target);
         let live = self.shares.iter().filter(|(peer, _)| view.state(peer) == HostState::Live);
-        let others: f64 = live.map(|(_, share)| rate(&share.figures, &class)).sum();
+        let others: f64 = live.map(|(_, share)| rate(&share.loads, &class)).sum();
         let rate = others + rate(own, &class);
         if rate > 0.0 { (1.0 / rate) as u64 } else { 0 }
     }
 
-    /// Returns some live host that counts the slots of a back end for the
-    /// target, for when no share has told of one.
+    /// Returns a host whose share has a backend for the target, used if no share has reported one.
     pub(crate) fn fallback(
         now: Time,
         view: &View,
         config: &Config,
         target: &Target,
     ) -> Option<Route> {
-        let home = |zone: &Name, name: &Name| {
+        let share_host = |zone: &Name, name: &Name| {
             let host = view.placer_of(zone, name)?;
             (host.peer != view.me).then(|| host.peer.clone())
         };
         let peer = match target {
             Target::Service(name) => config.services.get(name)?.servers.iter().find_map(|name| {
                 let server = config.servers.get(name)?;
-                home(&server.zone, name)
+                share_host(&server.zone, name)
             }),
             Target::Need(need) => config
                 .workers
                 .iter()
                 .filter(|(_, worker)| fits(need, worker))
-                .find_map(|(name, worker)| home(&worker.zone, name)),
+                .find_map(|(name, worker)| share_host(&worker.zone, name)),
         };
-        Some(Route { peer: peer?, end: now.after_us(GUESS_US + 2 * config.rules.distance_us) })
+        Some(Route {
+            peer: peer?,
+            end: now.after_us(UNREPORTED_TASK_US + 2 * config.rules.distance_us),
+        })
     }
 }
 
-/// Returns the figure of a class of tasks.
-fn find<'a>(figures: &'a [TargetLoad], class: &Target) -> Option<&'a TargetLoad> {
-    figures.iter().find(|figure| self::class(&figure.target) == *class)
+/// Returns the load for a class of tasks.
+fn find_load<'a>(loads: &'a [TargetLoad], class: &Target) -> Option<&'a TargetLoad> {
+    loads.iter().find(|load| self::class(&load.target) == *class)
 }
 
-/// Returns the tasks that a share ends in a microsecond.
-fn rate(figures: &[TargetLoad], class: &Target) -> f64 {
-    let rate = |figure: &TargetLoad| f64::from(figure.slots) / f64::from(figure.service_us.max(1));
-    find(figures, class).map_or(0.0, rate)
+/// Returns the throughput of a share, in tasks per microsecond.
+fn rate(loads: &[TargetLoad], class: &Target) -> f64 {
+    let rate = |load: &TargetLoad| f64::from(load.slots) / f64::from(load.service_us.max(1));
+    find_load(loads, class).map_or(0.0, rate)
 }
 
-/// Returns the wait expected at a share after `assumed` more tasks.
-fn wait_us(figure: &TargetLoad, assumed: u32) -> u64 {
-    if assumed < figure.free {
-        return u64::from(figure.wait_us);
+/// Returns the expected wait in a share after `sent` more tasks, in microseconds.
+fn wait_us(load: &TargetLoad, sent: u32) -> u64 {
+    if sent < load.free {
+        return u64::from(load.wait_us);
     }
-    let over = u64::from(assumed - figure.free + 1);
-    let turn = u64::from(figure.service_us) / u64::from(figure.slots);
-    u64::from(figure.wait_us) + over * turn.max(1)
+    let excess = u64::from(sent - load.free + 1);
+    let interval_us = u64::from(load.service_us) / u64::from(load.slots);
+    u64::from(load.wait_us) + excess * interval_us.max(1)
 }
 
-/// Returns the class under which figures are told: needs fall into two.
+/// Returns the class under which load is reported: there are two classes of needs, with and without
+/// accelerators.
 fn class(target: &Target) -> Target {
     match target {
         Target::Service(_) => target.clone(),
--- a/endivestile_kernel/src/run.rs
+++ b/endivestile_kernel/src/run.rs
@@ -7,78 +7,78 @@
 
 use crate::{CallId, Peer, Submission, Time};
 
-/// Who waits for an answer.
+/// Recipient of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Waiter {
     /// An open call at this host.
     Call(CallId),
-    /// A front that passed a call on, and its number there.
+    /// A front that forwarded a call, and its number there.
     Front(Peer, u64),
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// Not handed to a placer yet.
+    /// Not sent to a placer yet.
     Ready,
-    /// At the placer of a host.
+    /// Sent to the placer of a host.
     Placed(Peer),
-    /// Answered.
+    /// Ended with this result.
     Done(Bytes),
-    /// Given up: never started, or its end does not matter any more.
+    /// Given up: never started, or its end is irrelevant.
     Abandoned,
 }
 
 /// One task of a run.
 #[derive(Debug, Clone)]
 pub(crate) struct RunTask {
-    /// Where it stands.
+    /// State.
     pub(crate) state: TaskState,
-    /// Number of the current try.
+    /// Number of the current attempt.
     pub(crate) attempt: u8,
 }
 
-/// Where a run stands.
+/// State of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RunState {
-    /// Waits until the shard's witness lets it start.
+    /// Waits for the grant of its shard, which needs the witness.
     AwaitingWitness,
-    /// Refused for this cause, once the shard's witness confirms that this
-    /// host may speak for the id.
+    /// To be refused for this cause, once the shard's witness confirms that this host is still the
+    /// home of the id.
     ConfirmingRefusal(crate::Cause),
-    /// Its tasks are under way.
+    /// Its tasks are being placed and run.
     Running,
 }
 
 /// A submission at the host that runs it.
 #[derive(Debug)]
 pub(crate) struct Run {
-    /// What is run.
+    /// The submission.
     pub(crate) submission: Arc<Submission>,
     /// Its digest.
     pub(crate) digest: u64,
     /// When it arrived.
     pub(crate) arrived: Time,
-    /// When the next step is due: giving up, or forgetting.
+    /// When to give up.
     pub(crate) due: Time,
     /// Until when the id may be resubmitted.
     pub(crate) keep_until: Time,
-    /// Who waits.
+    /// Recipients of the answer.
     pub(crate) waiters: Vec<Waiter>,
     /// The tasks, in the submission's order.
     pub(crate) tasks: Vec<RunTask>,
-    /// Tasks without an answer.
+    /// Number of tasks without a result.
     pub(crate) remaining: u16,
-    /// Where it stands.
+    /// State.
     pub(crate) state: RunState,
-    /// Placers at which the team holds as much work as it may.
+    /// Hosts at whose placers the team has reached its limit.
     pub(crate) full_placers: Vec<Peer>,
-    /// Tasks that may have run and are not under way any more.
+    /// Number of task attempts that may have run and ended without a result.
     pub(crate) ambiguous_ends: u8,
 }
 
 impl Run {
-    /// Takes a submission in.
+    /// Creates the run of a submission.
     pub(crate) fn new(now: Time, submission: Arc<Submission>, state: RunState) -> Self {
         let task = RunTask { state: TaskState::Ready, attempt: 0 };
         let tasks = vec![task; submission.tasks.len()];
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the results in order, once every task has answered.
+    /// Returns the results in order, once every task has one.
     pub(crate) fn results(&self) -> Option<Vec<Bytes>> {
         let result = |task: &RunTask| match &task.state {
             TaskState::Done(result) => Some(result.clone()),
@@ -106,20 +106,20 @@
         self.tasks.iter().map(result).collect()
     }
 
-    /// Returns whether no task ran, is with a placer or may have run.
+    /// Returns whether no task has run, may have run or is at a placer.
     pub(crate) fn never_started(&self) -> bool {
         let at_rest =
             |task: &RunTask| matches!(task.state, TaskState::Ready | TaskState::Abandoned);
         self.ambiguous_ends == 0 && self.tasks.iter().all(at_rest)
     }
 
-    /// Returns whether the same tasks may be started again after an ambiguous
-    /// failure. An id asks for at most one start, whatever else is marked.
-    pub(crate) fn may_repeat(&self) -> bool {
+    /// Returns whether tasks may be started again after an ambiguous failure. A submission with an
+    /// id starts at most once, even if it is marked as idempotent.
+    pub(crate) fn may_retry(&self) -> bool {
         self.submission.idempotent && self.submission.id.is_none()
     }
 
-    /// Returns the id as log lines show it.
+    /// Returns the id for log lines.
     pub(crate) fn log_id(&self) -> Option<Name> {
         self.submission.id.as_ref().map(|id| id.text().clone())
     }
--- a/endivestile_kernel/src/runs.rs
+++ b/endivestile_kernel/src/runs.rs
@@ -1,4 +1,4 @@
-//! The table of runs, with what it may forget and when.
+//! Table of the runs of this host and of the answers of ended ones.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use crate::run::Run;
 use crate::{Answer, SubmissionId, Time};
 
-/// Runs by number and by id, ordered by what is due.
+/// Runs by number, by id and by due time.
 #[derive(Debug, Default)]
 pub(crate) struct Runs {
     runs: BTreeMap<u64, Run>,
@@ -35,7 +35,7 @@
         self.runs.get(&number)
     }
 
-    /// Returns a run to change; its due instant changes by [`Self::set_due`] only.
+    /// Returns a run to modify; `due` may only be changed with [`Self::set_due`].
     pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut Run> {
         self.runs.get_mut(&number)
     }
@@ -45,7 +45,7 @@
         self.ids.get(id).copied()
     }
 
-    /// Sets when the next step of a run is due.
+    /// Sets when to give up a run.
     pub(crate) fn set_due(&mut self, number: u64, due: Time) {
         if let Some(run) = self.runs.get_mut(&number) {
             self.due.remove(&(run.due, number));
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Ends a run: its answer is kept while the id may be resubmitted.
+    /// Ends a run and keeps its answer while the id may be resubmitted.
     pub(crate) fn end(&mut self, number: u64, answer: Arc<Answer>) {
         let Some(run) = self.remove(number) else { return };
         let Some(id) = &run.submission.id else { return };
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes a run out.
+    /// Removes and returns a run.
     pub(crate) fn remove(&mut self, number: u64) -> Option<Run> {
         let run = self.runs.remove(&number)?;
         self.due.remove(&(run.due, number));
@@ -78,41 +78,41 @@
         Some(run)
     }
 
-    /// Returns the submissions that have ended.
+    /// Returns the answers of ended submissions.
     pub(crate) fn answers(&self) -> &AnswerCache {
         &self.answers
     }
 
-    /// Returns the submissions that have ended, to change.
+    /// Returns the answers of ended submissions, to modify.
     pub(crate) fn answers_mut(&mut self) -> &mut AnswerCache {
         &mut self.answers
     }
 
-    /// Returns the next run that is due.
+    /// Returns the number of a run that is due.
     pub(crate) fn next_due(&mut self, now: Time) -> Option<u64> {
         let &(due, number) = self.due.first()?;
         (due <= now).then_some(number)
     }
 
-    /// Returns when the next step is due.
+    /// Returns when the next run is due or the next answer expires.
     pub(crate) fn deadline(&self) -> Option<Time> {
         let due = self.due.first().map(|&(due, _)| due);
         due.into_iter().chain(self.answers.deadline()).min()
     }
 
-    /// Returns the runs that have not ended.
+    /// Returns the number of runs that have not ended.
     pub(crate) fn active(&self) -> usize {
         self.runs.len()
     }
 
-    /// Returns all submissions known, ended ones among them.
+    /// Returns the number of all submissions on record, including ended ones.
     pub(crate) fn len(&self) -> usize {
         self.runs.len() + self.answers.len()
     }
 
-    /// Returns the numbers of the runs that have not ended and that `pick` picks.
-    pub(crate) fn select(&self, pick: impl Fn(&Run) -> bool) -> Vec<u64> {
-        let picked = self.runs.iter().filter(|(_, run)| pick(run));
-        picked.map(|(number, _)| *number).collect()
+    /// Returns the numbers of the runs that match `predicate` and have not ended.
+    pub(crate) fn select(&self, predicate: impl Fn(&Run) -> bool) -> Vec<u64> {
+        let matching = self.runs.iter().filter(|(_, run)| predicate(run));
+        matching.map(|(number, _)| *number).collect()
     }
 }
--- a/endivestile_kernel/src/submission.rs
+++ b/endivestile_kernel/src/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions: requests and jobs as callers hand them in.
+//! Submissions: requests and jobs of callers.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 
 use crate::{SubmissionId, Time};
 
-/// Most tasks of one job.
+/// Maximum number of tasks in one job.
 pub const MAX_TASKS: usize = 200;
 
-/// What a task takes of a worker.
+/// Resources that a task needs on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Need {
     /// Processor time in thousandths of a core.
@@ -28,7 +28,7 @@
 pub enum Target {
     /// On a backend server of this service.
     Service(Name),
-    /// On a worker with this much to spare.
+    /// On a worker with these free resources.
     Need(Need),
 }
 
@@ -37,9 +37,9 @@
 pub struct Task {
     /// Where it may run.
     pub target: Target,
-    /// The work, handed to the back end as it is.
+    /// The work, sent to the backend unchanged.
     pub work: Bytes,
-    /// Declared run time in milliseconds, 0 when not declared; a hint only.
+    /// Declared run time in milliseconds, 0 if not declared; only a hint.
     pub declared_ms: u32,
 }
 
@@ -50,7 +50,7 @@
     pub id: Option<SubmissionId>,
     /// Team on whose behalf it runs.
     pub team: Name,
-    /// When its answer is worth nothing any more.
+    /// When an answer is no longer of use.
     pub deadline: Time,
     /// Whether its tasks may be started again after an ambiguous failure.
     pub idempotent: bool,
@@ -59,8 +59,8 @@
 }
 
 impl Submission {
-    /// Returns a digest of what is asked, by which a resubmission is told from
-    /// another submission under the same id.
+    /// Returns a digest of the team and the tasks, which distinguishes a resubmission from a
+    /// different submission with the same id.
     pub fn digest(&self) -> u64 {
         let mut hash = Xxh3::new();
         hash.update(self.team.as_bytes());
--- a/endivestile_kernel/src/time.rs
+++ b/endivestile_kernel/src/time.rs
@@ -1,4 +1,4 @@
-//! Instants on one host's own clock.
+//! Instants on the clock of one host.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 
 /// An instant, in microseconds since the process started.
 ///
-/// Clocks of two hosts have nothing in common: a frame carries its sender's
-/// instant, and the receiver moves every deadline in it to its own clock.
+/// Clocks of different hosts are unrelated: a frame carries the time of its sender, and the
+/// receiver converts every instant in it to its own clock.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -19,7 +19,7 @@
     /// Later than every instant in use.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// Makes an instant from microseconds since the process started.
+    /// Creates an instant from microseconds since the process started.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
@@ -49,7 +49,7 @@
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Moves an instant from a clock that reads `theirs` to one that reads `ours`.
+    /// Converts an instant from a clock that reads `theirs` to one that reads `ours`.
     pub const fn rebase(self, theirs: Self, ours: Self) -> Self {
         if self.0 == u64::MAX {
             return self;
--- a/endivestile_kernel/tests/channel.rs
+++ b/endivestile_kernel/tests/channel.rs
@@ -1,4 +1,4 @@
-//! The channel between two incarnations, through one kernel.
+//! Resending on the channel between two incarnations, tested through one kernel.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
     Ask, CallId, Effect, Event, Frame, Kernel, Peer, Registration, Setup, SubmissionId, Time,
 };
 
-/// A kernel of host `a` that knows host `b`.
-struct Pair {
+/// The kernel of host `a`, with `b` as its only peer.
+struct Fixture {
     kernel: Kernel,
     now: Time,
     calls: u64,
 }
 
-impl Pair {
+impl Fixture {
     fn new() -> Self {
         let setup = Setup {
             me: Peer::new("a", 1),
@@ -25,7 +25,7 @@
             seed: 1,
             seed_hosts: Vec::new(),
         };
-        let mut pair = Self { kernel: Kernel::new(setup), now: Time::ZERO, calls: 0 };
+        let mut fixture = Self { kernel: Kernel::new(setup), now: Time::ZERO, calls: 0 };
         let mut config = Config { revision: 1, ..Config::default() };
         config.zones.insert(Name::from("z"), Zone { region: Name::from("r") });
         for name in ["a", "b"] {
@@ -33,33 +33,33 @@
                 Host { zone: Name::from("z"), address: Name::from("127.0.0.1:2"), weight: 1 };
             config.hosts.insert(Name::from(name), host);
         }
-        pair.handle(Event::Config { config: Arc::new(config), text: Bytes::new() });
+        fixture.handle(Event::Config { config: Arc::new(config), text: Bytes::new() });
         let registration = Registration {
             peer: Peer::new("b", 1),
             zone: Name::from("z"),
             address: Name::from("127.0.0.1:2"),
             leaving: false,
         };
-        pair.handle(Event::HostRegistration {
+        fixture.handle(Event::HostRegistration {
             host: Name::from("b"),
             registration: Some(registration),
         });
-        pair.flush();
-        pair
+        fixture.flush();
+        fixture
     }
 
     fn handle(&mut self, event: Event) {
         self.kernel.handle(self.now, event, &mut Vec::new());
     }
 
-    /// Asks for an id that only `b` can answer, so that a message goes there.
-    fn ask(&mut self) {
+    /// Queries an id that only `b` can answer, so that a message is queued for it.
+    fn send_query(&mut self) {
         self.calls += 1;
         let id = SubmissionId::mint(&Peer::new("b", 1), self.calls);
         self.handle(Event::Ask { call: CallId(self.calls), id, ask: Ask::Fetch });
     }
 
-    /// Takes the acknowledgement of the messages up to `ack` in.
+    /// Handles an acknowledgement of the messages up to `ack`.
     fn acknowledge(&mut self, ack: u64) {
         self.handle(Event::Frame(Frame {
             from: Peer::new("b", 1),
@@ -76,7 +76,7 @@
         }));
     }
 
-    /// Returns the numbers of the first and the messages of the frames sent now.
+    /// Returns the first message number and the number of messages of each frame sent now.
     fn flush(&mut self) -> Vec<(u64, usize)> {
         let mut out = Vec::new();
         self.kernel.flush(self.now, &mut out);
@@ -88,33 +88,32 @@
     }
 }
 
-/// Under load a host takes in several events before it sends frames. One of
-/// them queues a message, the next acknowledges all that was sent before. The
-/// timer for sending again was then started although nothing was under way,
-/// and the message waited for it: callers saw answers half a second late.
+/// One event of a batch queues a message, and the next acknowledges all messages sent before. The
+/// resend timer was then started although nothing was in flight, and the message waited for it:
+/// answers to callers were half a second late.
 #[test]
 fn frame_queued_before_acknowledgement() {
-    let mut pair = Pair::new();
-    pair.ask();
-    assert_eq!(pair.flush(), [(1, 1)]);
-    pair.now = pair.now.after_ms(1);
-    pair.ask();
-    pair.acknowledge(1);
-    assert_eq!(pair.flush(), [(2, 1)]);
+    let mut fixture = Fixture::new();
+    fixture.send_query();
+    assert_eq!(fixture.flush(), [(1, 1)]);
+    fixture.now = fixture.now.after_ms(1);
+    fixture.send_query();
+    fixture.acknowledge(1);
+    assert_eq!(fixture.flush(), [(2, 1)]);
 }
 
-/// A frame is lost and an earlier one acknowledged; what is still under way has
-/// to be sent again, or its callers would wait until their deadline.
+/// A frame is lost and an earlier one is acknowledged: the lost messages have to be resent, or
+/// their callers would wait until their deadline.
 #[test]
 fn frame_lost_after_acknowledgement() {
-    let mut pair = Pair::new();
-    pair.ask();
-    assert_eq!(pair.flush(), [(1, 1)]);
-    pair.ask();
-    assert_eq!(pair.flush(), [(2, 1)]);
-    pair.acknowledge(1);
-    assert_eq!(pair.flush(), []);
-    pair.now = pair.now.after_ms(500);
-    pair.handle(Event::Tick);
-    assert_eq!(pair.flush(), [(2, 1)]);
+    let mut fixture = Fixture::new();
+    fixture.send_query();
+    assert_eq!(fixture.flush(), [(1, 1)]);
+    fixture.send_query();
+    assert_eq!(fixture.flush(), [(2, 1)]);
+    fixture.acknowledge(1);
+    assert_eq!(fixture.flush(), []);
+    fixture.now = fixture.now.after_ms(500);
+    fixture.handle(Event::Tick);
+    assert_eq!(fixture.flush(), [(2, 1)]);
 }
--- a/endivestile_kernel/tests/channel_batch.rs
+++ b/endivestile_kernel/tests/channel_batch.rs
@@ -1,4 +1,4 @@
-//! Two kernels whose events come in batches, as on a busy host.
+//! Two kernels that handle events in batches, as on a busy host.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     Arc::new(endivestile_config::parse(CONFIG, "test").expect("config"))
 }
 
-/// A host that serves and knows its peer.
+/// Returns the kernel of a host with a configuration, a store and its peer.
 fn kernel(host: &str, zone: &str, address: &str) -> Kernel {
     let me = Peer::new(host, 1);
     let (zone, address) = (Name::from(zone), Name::from(address));
@@ -58,7 +58,7 @@
     Event::Submitted { call: CallId(number), submission }
 }
 
-/// Ends a batch; returns the frames and the effects.
+/// Flushes a kernel after a batch; returns the frames and all effects of the batch.
 fn flush(kernel: &mut Kernel, now: Time, mut out: Vec<Effect>) -> (Vec<Frame>, Vec<Effect>) {
     kernel.flush(now, &mut out);
     let frames = out.iter().filter_map(|effect| match effect {
@@ -68,16 +68,15 @@
     (frames.collect(), out)
 }
 
-fn take(kernel: &mut Kernel, now: Time, frames: Vec<Frame>, out: &mut Vec<Effect>) {
+fn deliver(kernel: &mut Kernel, now: Time, frames: Vec<Frame>, out: &mut Vec<Effect>) {
     for frame in frames {
         kernel.handle(now, Event::Frame(frame), out);
     }
 }
 
-/// A host takes a call and, before it has sent what follows from it, hears that
-/// all its earlier messages arrived. If it took the new ones for held back
-/// behind a broken link, the caller would wait half a second for nothing; on a
-/// busy host nearly all callers did.
+/// A host handles a call and, before it has sent the resulting message, an acknowledgement of all
+/// earlier ones. If the message counted as waiting for the resend timer, the caller would wait half
+/// a second; on a busy host nearly all callers did.
 #[test]
 fn flush_call_before_acknowledgement() {
     let mut front = kernel("e1", "a", "127.0.0.1:1");
@@ -90,7 +89,7 @@
 
     let now = now.after_ms(1);
     let mut out = Vec::new();
-    take(&mut placer, now, frames, &mut out);
+    deliver(&mut placer, now, frames, &mut out);
     let start = out.iter().find_map(|effect| match effect {
         Effect::Start { attempt, .. } => Some(*attempt),
         _ => None,
@@ -103,7 +102,7 @@
     let now = now.after_ms(1);
     let mut out = Vec::new();
     front.handle(now, call(2, now), &mut out);
-    take(&mut front, now, frames, &mut out);
+    deliver(&mut front, now, frames, &mut out);
     let (frames, out) = flush(&mut front, now, out);
     assert!(out.iter().any(|effect| matches!(effect, Effect::Answer { .. })), "the first answer");
     assert!(frames.iter().any(|frame| !frame.msgs.is_empty()), "the second call is sent on");
--- a/endivestile_kernel/tests/suspect.rs
+++ b/endivestile_kernel/tests/suspect.rs
@@ -1,4 +1,4 @@
-//! Which hosts count as live while they cannot be heard.
+//! State of hosts that send no frames.
 
 use std::sync::Arc;
 
@@ -16,8 +16,8 @@
     [rules]\nshards=1\n[configuration]\nrevision=1\n";
 const HOSTS: [(&str, &str, &str); 3] =
     [("e1", "a", "127.0.0.1:1"), ("e2", "b", "127.0.0.1:2"), ("e3", "b", "127.0.0.1:3")];
-/// Time between two turns of the kernels, in milliseconds.
-const TURN_MS: u64 = 50;
+/// Interval between two steps of the kernels, in milliseconds.
+const STEP_MS: u64 = 50;
 
 fn peer(host: &str) -> Peer {
     Peer::new(host, 1)
@@ -45,15 +45,15 @@
     kernel
 }
 
-/// The only shard: `e1` is its home, another host its witness.
+/// Returns the record of the only shard: `e1` is its home, `witness` its witness.
 fn record(epoch: u64, witness: &str) -> Event {
     let witness = Some(peer(witness));
     let record = ShardRecord { home: peer("e1"), witness, epoch, floor: 0, write: epoch };
     Event::ShardRecordChange { shard: 0, revision: epoch, value: record.encode() }
 }
 
-/// Lets a kernel do what is due; returns its frames.
-fn turn(kernel: &mut Kernel, now: Time) -> Vec<Frame> {
+/// Ticks and flushes a kernel; returns its frames.
+fn step(kernel: &mut Kernel, now: Time) -> Vec<Frame> {
     let mut out = Vec::new();
     kernel.handle(now, Event::Tick, &mut out);
     kernel.flush(now, &mut out);
@@ -64,15 +64,15 @@
     frames.collect()
 }
 
-/// Carries frames between two kernels for a while; returns the time after it.
-fn talk(one: &mut Kernel, other: &mut Kernel, from_ms: u64, to_ms: u64) -> Time {
-    for ms in (from_ms..to_ms).step_by(TURN_MS as usize) {
+/// Exchanges frames between two kernels during a period; returns the end of the period.
+fn exchange_frames(one: &mut Kernel, other: &mut Kernel, from_ms: u64, to_ms: u64) -> Time {
+    for ms in (from_ms..to_ms).step_by(STEP_MS as usize) {
         let now = Time::ZERO.after_ms(ms);
         for _ in 0..3 {
-            for frame in turn(one, now) {
+            for frame in step(one, now) {
                 other.handle(now, Event::Frame(frame), &mut Vec::new());
             }
-            for frame in turn(other, now) {
+            for frame in step(other, now) {
                 one.handle(now, Event::Frame(frame), &mut Vec::new());
             }
         }
@@ -80,10 +80,10 @@
     Time::ZERO.after_ms(to_ms)
 }
 
-/// Lets a kernel run alone for a while.
-fn alone(kernel: &mut Kernel, from: Time, millis: u64) -> Time {
-    for ms in (0..millis).step_by(TURN_MS as usize) {
-        turn(kernel, from.after_ms(ms));
+/// Runs a kernel without any frame for a period; returns the end of the period.
+fn run_isolated(kernel: &mut Kernel, from: Time, millis: u64) -> Time {
+    for ms in (0..millis).step_by(STEP_MS as usize) {
+        step(kernel, from.after_ms(ms));
     }
     from.after_ms(millis)
 }
@@ -92,39 +92,38 @@
     kernel.status(now).hosts[host].state.clone()
 }
 
-/// A zone is cut off. Its host falls silent, and another host becomes the witness of the
-/// shard that the two shared, so that it is not watched any more. It is still registered
-/// for a moment. If it counted as live then, work would be placed there, and its caller
-/// told at the deadline that it may have run.
+/// A host in a partitioned zone is suspect. Another host replaces it as the witness of the shared
+/// shard, so that it is no longer monitored, but it is still registered. If it counted as live,
+/// work would be placed there and end at its deadline as possibly run.
 #[test]
-fn suspect_not_shared_any_more() {
+fn suspect_after_witness_change() {
     let (mut e1, mut e2) = (kernel("e1"), kernel("e2"));
     for kernel in [&mut e1, &mut e2] {
         kernel.handle(Time::ZERO, record(1, "e2"), &mut Vec::new());
     }
-    let now = talk(&mut e1, &mut e2, 0, 2_000);
+    let now = exchange_frames(&mut e1, &mut e2, 0, 2_000);
     assert_eq!(state(&e1, now, "e2"), "live");
-    let now = alone(&mut e1, now, 2_500);
+    let now = run_isolated(&mut e1, now, 2_500);
     assert_eq!(state(&e1, now, "e2"), "suspect");
     e1.handle(now, record(2, "e3"), &mut Vec::new());
-    let now = alone(&mut e1, now, 2_000);
+    let now = run_isolated(&mut e1, now, 2_000);
     assert_eq!(state(&e1, now, "e2"), "suspect");
 }
 
-/// The cut heals. The host is heard again though nothing is shared with it any more, and
-/// counts as live; otherwise its servers would be lost to the other zones for good.
+/// The partition heals. The host counts as live again although no shard is shared with it any more;
+/// otherwise its servers would be lost to the other zones permanently.
 #[test]
-fn suspect_heard_again() {
+fn live_after_partition_heals() {
     let (mut e1, mut e2) = (kernel("e1"), kernel("e2"));
     for kernel in [&mut e1, &mut e2] {
         kernel.handle(Time::ZERO, record(1, "e2"), &mut Vec::new());
     }
-    let now = talk(&mut e1, &mut e2, 0, 2_000);
-    let now = alone(&mut e1, now, 2_500);
+    let now = exchange_frames(&mut e1, &mut e2, 0, 2_000);
+    let now = run_isolated(&mut e1, now, 2_500);
     e1.handle(now, record(2, "e3"), &mut Vec::new());
     e2.handle(now, record(2, "e3"), &mut Vec::new());
-    let now = alone(&mut e1, now, 1_500);
+    let now = run_isolated(&mut e1, now, 1_500);
     assert_eq!(state(&e1, now, "e2"), "suspect");
-    let now = talk(&mut e1, &mut e2, 6_000, 10_000);
+    let now = exchange_frames(&mut e1, &mut e2, 6_000, 10_000);
     assert_eq!(state(&e1, now, "e2"), "live");
 }
