--- a/endivestile_kernel/src/channel.rs
+++ b/endivestile_kernel/src/channel.rs
@@ -117,7 +117,7 @@
     }
 
     /// Schedules a heartbeat at `at` unless one is scheduled; a frame sent before replaces it.
-    pub(crate) fn schedule_heartbeat_by(&mut self, at: Time) {
+    pub(crate) fn ensure_heartbeat(&mut self, at: Time) {
         self.heartbeat_due.get_or_insert(at);
     }
 
--- a/endivestile_kernel/src/fleet/hosts/frames.rs
+++ b/endivestile_kernel/src/fleet/hosts/frames.rs
@@ -144,7 +144,7 @@
             };
             let channel = self.channels.entry(member.peer.clone());
             let channel = channel.or_insert_with(|| Channel::new(member.peer.clone()));
-            channel.schedule_heartbeat_by(now.after_ms(interval));
+            channel.ensure_heartbeat(now.after_ms(interval));
             let limit = if member.zone == self.setup.zone {
                 ECHO_TIMEOUT_MS
             } else {
