--- a/endivestile_kernel/src/channel.rs
+++ b/endivestile_kernel/src/channel.rs
@@ -110,13 +110,15 @@
         Some(load.clone())
     }
 
-    /// Schedules a heartbeat at `at`, or leaves one that is due earlier.
+    /// Schedules a heartbeat at `at`, or earlier if one is due before. Any frame that is sent
+    /// earlier cancels it.
     pub(crate) fn schedule_heartbeat(&mut self, at: Time) {
         let due = self.heartbeat_due.map_or(at, |due| due.min(at));
         self.heartbeat_due = Some(due);
     }
 
-    /// Schedules a heartbeat at `at` unless one is scheduled; a frame sent before replaces it.
+    /// Schedules a heartbeat at `at` unless one is scheduled. Any frame that is sent earlier
+    /// cancels it.
     pub(crate) fn ensure_heartbeat(&mut self, at: Time) {
         self.heartbeat_due.get_or_insert(at);
     }
--- a/endivestile_kernel/src/event.rs
+++ b/endivestile_kernel/src/event.rs
@@ -119,14 +119,14 @@
     },
     /// The platform's list changed for a host or backend.
     PlatformChange {
-        /// Name of the host or back end.
+        /// Name of the host or backend.
         name: Name,
         /// State; none if it is no longer listed.
         state: Option<PlatformState>,
     },
     /// An operator planned a stop of a host or backend, or cancelled it.
     PlannedStop {
-        /// Name of the host or back end.
+        /// Name of the host or backend.
         name: Name,
         /// Whether a stop is planned.
         stop: bool,
--- a/endivestile_kernel/src/forwards.rs
+++ b/endivestile_kernel/src/forwards.rs
@@ -8,7 +8,7 @@
 
 /// The request of a forwarded call.
 #[derive(Debug, Clone)]
-pub(crate) enum Forwarded {
+pub(crate) enum ForwardedRequest {
     /// A submission.
     Submission(Arc<Submission>),
     /// A query or a cancellation.
@@ -20,8 +20,8 @@
 pub(crate) struct Forward {
     /// Recipient of the answer.
     pub(crate) waiter: Waiter,
-    /// The request of a forwarded call.
-    pub(crate) request: Forwarded,
+    /// The request.
+    pub(crate) request: ForwardedRequest,
     /// Host to which it was forwarded.
     pub(crate) to: Peer,
     /// When to give up.
@@ -29,7 +29,7 @@
     /// Number of times it was forwarded, including by this host.
     pub(crate) hops: u8,
     /// Until when to wait for another home.
-    pub(crate) until: Time,
+    pub(crate) park_until: Time,
 }
 
 /// A submission waiting for its shard to get a usable home.
@@ -41,8 +41,8 @@
     pub(crate) submission: Arc<Submission>,
     /// Number of times it was forwarded.
     pub(crate) hops: u8,
-    /// Until when to wait.
-    pub(crate) until: Time,
+    /// Until when to wait for a usable home.
+    pub(crate) park_until: Time,
 }
 
 /// All forwarded calls and parked submissions.
--- a/endivestile_kernel/src/kernel.rs
+++ b/endivestile_kernel/src/kernel.rs
@@ -61,13 +61,14 @@
     membership: Membership,
     channels: BTreeMap<Peer, Channel>,
     monitored: BTreeMap<Peer, Time>,
-    check_due: Time,
+    peer_check_due: Time,
+    /// When to recompute the load of the own share, and its last value.
     own_load: (Time, Arc<[crate::TargetLoad]>),
     shards: Shards,
     placer: Placer,
     runs: Runs,
     forwards: Forwards,
-    retries: BTreeSet<(Time, TaskKey)>,
+    backing_off: BTreeSet<(Time, TaskKey)>,
     mint: Mint,
     budget: RetryBudget,
     routes: Routes,
@@ -102,13 +103,13 @@
             ),
             channels: BTreeMap::new(),
             monitored: BTreeMap::new(),
-            check_due: Time::ZERO,
+            peer_check_due: Time::ZERO,
             own_load: (Time::ZERO, Arc::from([])),
             shards: Shards::new(shard_setup),
             placer: Placer::new(PlacerSetup { me: me.clone(), seed: setup.seed }),
             runs: Runs::default(),
             forwards: Forwards::default(),
-            retries: BTreeSet::new(),
+            backing_off: BTreeSet::new(),
             mint: Mint::new(me),
             budget: RetryBudget::new(),
             routes: Routes::default(),
@@ -146,10 +147,10 @@
             drain,
             self.runs.deadline(),
             self.forwards.deadline(),
-            self.retries.first().map(|&(due, _)| due),
+            self.backing_off.first().map(|&(due, _)| due),
             self.shards.deadline(),
             self.placer.next_timer(),
-            Some(self.check_due),
+            Some(self.peer_check_due),
         ]
         .into_iter()
         .flatten()
@@ -209,7 +210,7 @@
     fn tick(&mut self, now: Time) {
         self.check_peers(now);
         self.resume_forwards(now);
-        self.retry_due_tasks(now);
+        self.place_due_tasks(now);
         let view = self.membership.view();
         self.shards.tick(now, view, &mut self.shard_effects);
         self.placer.tick(now, &mut self.place_effects);
--- a/endivestile_kernel/src/kernel/forward.rs
+++ b/endivestile_kernel/src/kernel/forward.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::forwards::{Forward, Forwarded, Parked};
+use crate::forwards::{Forward, ForwardedRequest, Parked};
 use crate::kernel::reply::RETRY_AFTER_MS;
 use crate::kernel::submit::{Arrival, MAX_HOPS, MAX_PARK_MS};
 use crate::run::Waiter;
@@ -33,10 +33,10 @@
         let forward = Forward {
             waiter: arrival.waiter,
             due: submission.deadline.after_ms(RETRY_AFTER_MS),
-            request: Forwarded::Submission(submission.clone()),
+            request: ForwardedRequest::Submission(submission.clone()),
             to: to.clone(),
             hops: arrival.hops + 1,
-            until: arrival.until.max(now.after_ms(MAX_PARK_MS)),
+            park_until: arrival.park_until.max(now.after_ms(MAX_PARK_MS)),
         };
         let hops = forward.hops;
         let call = self.forwards.add(forward);
@@ -65,13 +65,14 @@
 
     /// Returns whether there is time for another attempt of a submission.
     pub(super) fn may_park(now: Time, arrival: &Arrival) -> bool {
-        now.after_ms(PARK_RETRY_MS) < arrival.until
+        now.after_ms(PARK_RETRY_MS) < arrival.park_until
     }
 
     /// Schedules another attempt of a submission.
     pub(super) fn park(&mut self, now: Time, arrival: Arrival) {
-        let Arrival { waiter, submission, hops, until } = arrival;
-        self.forwards.park(now.after_ms(PARK_RETRY_MS), Parked { waiter, submission, hops, until });
+        let Arrival { waiter, submission, hops, park_until } = arrival;
+        self.forwards
+            .park(now.after_ms(PARK_RETRY_MS), Parked { waiter, submission, hops, park_until });
     }
 
     pub(super) fn handle_reply(&mut self, call: u64, answer: Arc<Answer>) {
@@ -91,8 +92,8 @@
 
     fn reroute_forward(&mut self, now: Time, forward: Forward) {
         let gone = self.membership.view().state(&forward.to) == HostState::Gone;
-        let Forward { waiter, request, hops, until, .. } = forward;
-        let Forwarded::Submission(submission) = request else {
+        let Forward { waiter, request, hops, park_until, .. } = forward;
+        let ForwardedRequest::Submission(submission) = request else {
             self.refuse(now, &waiter, Class::Unknown, Cause::HomeAway);
             return;
         };
@@ -104,24 +105,24 @@
             self.refuse(now, &waiter, Class::Unknown, Cause::HomeAway);
         } else {
             let hops = hops.saturating_sub(1);
-            let until = until.max(now.after_ms(MAX_PARK_MS)).min(submission.deadline);
-            let arrival = Arrival { waiter, submission, hops, until };
+            let park_until = park_until.max(now.after_ms(MAX_PARK_MS)).min(submission.deadline);
+            let arrival = Arrival { waiter, submission, hops, park_until };
             self.park_or_refuse(now, arrival, Class::Unknown, Cause::HomeAway);
         }
     }
 
     pub(super) fn resume_forwards(&mut self, now: Time) {
         while let Some(parked) = self.forwards.pop_parked(now) {
-            let Parked { waiter, submission, hops, until } = parked;
-            self.submit(now, Arrival { waiter, submission, hops, until });
+            let Parked { waiter, submission, hops, park_until } = parked;
+            self.submit(now, Arrival { waiter, submission, hops, park_until });
         }
         while let Some(forward) = self.forwards.pop_late(now) {
             match forward.request {
-                Forwarded::Submission(_) => {
+                ForwardedRequest::Submission(_) => {
                     let answer = Answer::Failed(Failure::Deadline);
                     self.reply(&forward.waiter, Arc::new(answer));
                 }
-                Forwarded::Ask => {
+                ForwardedRequest::Ask => {
                     self.refuse(now, &forward.waiter, Class::Unknown, Cause::HomeAway);
                 }
             }
--- a/endivestile_kernel/src/kernel/frames.rs
+++ b/endivestile_kernel/src/kernel/frames.rs
@@ -94,7 +94,7 @@
     /// everything until the store is back. A greeting to an address from the settings identifies
     /// both to each other.
     ///
-    /// A registered host that is suspect for its silence is targets too: once no shard is shared
+    /// A registered host that is suspect for its silence is greeted too: once no shard is shared
     /// with it, no other frame would show that it is back.
     pub(super) fn send_greetings(&mut self, now: Time) {
         let unconfigured = self.config.is_none();
--- a/endivestile_kernel/src/kernel/liveness.rs
+++ b/endivestile_kernel/src/kernel/liveness.rs
@@ -12,13 +12,13 @@
 impl Kernel {
     /// Checks every peer once per [`HEARTBEAT_MS`].
     pub(super) fn check_peers(&mut self, now: Time) {
-        if self.check_due > now {
+        if self.peer_check_due > now {
             return;
         }
-        if self.check_due.after_ms(PAUSED_CHECKS * HEARTBEAT_MS) < now {
+        if self.peer_check_due.after_ms(PAUSED_CHECKS * HEARTBEAT_MS) < now {
             self.reset_silence(now);
         }
-        self.check_due = now.after_ms(HEARTBEAT_MS);
+        self.peer_check_due = now.after_ms(HEARTBEAT_MS);
         self.send_greetings(now);
         self.select_monitored(now);
         for (peer, channel) in &self.channels {
@@ -33,17 +33,17 @@
         self.lose_tasks_of_unreachable(now);
     }
 
-    /// Restarts the silence of all monitored peers after a pause of this process. They seem silent
-    /// though this host did not read their frames: without the reset it would resume and try to
-    /// take over every shard of which it is the witness.
+    /// Restarts the measurement of silence of all monitored peers after a pause of this process.
+    /// They seem silent only because this host has not read their frames: without the reset it
+    /// would try to take over every shard of which it is the witness.
     fn reset_silence(&mut self, now: Time) {
         for since in self.monitored.values_mut() {
             *since = now;
         }
     }
 
-    /// Monitors the hosts of the own zone and the partners of shared shards: a number that does not
-    /// grow with the deployment.
+    /// Monitors the hosts of this host's zone and the partners in its shards: a number that does
+    /// not grow with the deployment.
     fn select_monitored(&mut self, now: Time) {
         let view = self.membership.view();
         let known = |peer: &Peer| peer.birth != 0 && view.state(peer) != HostState::Gone;
--- a/endivestile_kernel/src/kernel/query.rs
+++ b/endivestile_kernel/src/kernel/query.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::forwards::{Forward, Forwarded};
+use crate::forwards::{Forward, ForwardedRequest};
 use crate::kernel::submit::MAX_HOPS;
 use crate::run::Waiter;
 use crate::{
@@ -72,8 +72,14 @@
         hops: u8,
     ) {
         let due = now.after_ms(QUERY_TIMEOUT_MS);
-        let forward =
-            Forward { waiter, request: Forwarded::Ask, to: to.clone(), due, hops, until: due };
+        let forward = Forward {
+            waiter,
+            request: ForwardedRequest::Ask,
+            to: to.clone(),
+            due,
+            hops,
+            park_until: due,
+        };
         let call = self.forwards.add(forward);
         self.send(&to, Msg::Ask { call, id, ask, hops });
     }
--- a/endivestile_kernel/src/kernel/shard_effect.rs
+++ b/endivestile_kernel/src/kernel/shard_effect.rs
@@ -44,10 +44,10 @@
         let Some(run) = self.runs.get_mut(ticket) else { return };
         let submission = run.submission.clone();
         let waiters = std::mem::take(&mut run.waiters);
-        let until = run.arrived.after_ms(MAX_PARK_MS).min(submission.deadline);
+        let park_until = run.arrived.after_ms(MAX_PARK_MS).min(submission.deadline);
         self.runs.remove(ticket);
         for waiter in waiters {
-            let arrival = Arrival { waiter, submission: submission.clone(), hops: 0, until };
+            let arrival = Arrival { waiter, submission: submission.clone(), hops: 0, park_until };
             self.park_or_refuse(now, arrival, class, cause);
         }
     }
--- a/endivestile_kernel/src/kernel/shutdown.rs
+++ b/endivestile_kernel/src/kernel/shutdown.rs
@@ -13,14 +13,17 @@
 #[derive(Debug)]
 pub(super) struct DrainState {
     /// Earliest time at which the process may exit.
-    until: Time,
+    earliest_exit: Time,
     /// When to check again whether all work is drained.
     next_check: Time,
 }
 
 impl DrainState {
     fn new(now: Time) -> Self {
-        Self { until: now.after_ms(MIN_SHUTDOWN_MS), next_check: now.after_ms(DRAIN_POLL_MS) }
+        Self {
+            earliest_exit: now.after_ms(MIN_SHUTDOWN_MS),
+            next_check: now.after_ms(DRAIN_POLL_MS),
+        }
     }
 
     /// Schedules the next check, and returns whether the process has to wait in any case.
@@ -29,10 +32,10 @@
     /// unread, and exiting now would cut them off.
     fn schedule_check(&mut self, now: Time) -> bool {
         if self.next_check.after_ms(PAUSED_MS) < now {
-            self.until = now.after_ms(MIN_SHUTDOWN_MS);
+            self.earliest_exit = now.after_ms(MIN_SHUTDOWN_MS);
         }
         self.next_check = now.after_ms(DRAIN_POLL_MS);
-        self.until > now
+        self.earliest_exit > now
     }
 }
 
@@ -86,7 +89,7 @@
     /// Returns whether new calls are refused: the load balancer has had time to notice the stop,
     /// and callers that continue to call would keep the process from exiting.
     pub(super) fn is_closing(&self, now: Time) -> bool {
-        self.stopping.as_ref().is_some_and(|stopping| stopping.until <= now)
+        self.stopping.as_ref().is_some_and(|stopping| stopping.earliest_exit <= now)
     }
 
     pub(super) fn drain_due(&self) -> Option<Time> {
--- a/endivestile_kernel/src/kernel/submit.rs
+++ b/endivestile_kernel/src/kernel/submit.rs
@@ -25,14 +25,14 @@
     /// Number of times it was forwarded.
     pub(super) hops: u8,
     /// Until when to wait for a usable home.
-    pub(super) until: Time,
+    pub(super) park_until: Time,
 }
 
 impl Kernel {
     pub(super) fn handle_submit(&mut self, now: Time, call: CallId, submission: Submission) {
-        let until = submission.deadline.min(now.after_ms(MAX_PARK_MS));
+        let park_until = submission.deadline.min(now.after_ms(MAX_PARK_MS));
         let submission = Arc::new(submission);
-        self.submit(now, Arrival { waiter: Waiter::Call(call), submission, hops: 0, until });
+        self.submit(now, Arrival { waiter: Waiter::Call(call), submission, hops: 0, park_until });
     }
 
     pub(super) fn handle_forwarded_submit(
@@ -43,8 +43,8 @@
         hops: u8,
         recorded: bool,
     ) {
-        let until = submission.deadline.min(now.after_ms(MAX_PARK_MS));
-        let arrival = Arrival { waiter, submission, hops, until };
+        let park_until = submission.deadline.min(now.after_ms(MAX_PARK_MS));
+        let arrival = Arrival { waiter, submission, hops, park_until };
         match arrival.submission.id.clone() {
             Some(id) if recorded => self.submit_recorded(now, &id, arrival),
             _ => self.submit(now, arrival),
@@ -151,7 +151,7 @@
         // as "not run" would be wrong.
         let needs_grant = state == RunState::AwaitingWitness || self.shards.lookup(id).is_some();
         let mut run = Run::new(now, arrival.submission.clone(), state);
-        run.due = arrival.until;
+        run.due = arrival.park_until;
         run.waiters.push(arrival.waiter.clone());
         let ticket = self.runs.add(run);
         let (view, out) = (self.membership.view(), &mut self.shard_effects);
--- a/endivestile_kernel/src/kernel/task.rs
+++ b/endivestile_kernel/src/kernel/task.rs
@@ -28,13 +28,13 @@
 
 impl Kernel {
     /// Runs a submission that needs no grant of a shard.
-    pub(super) fn start_run(&mut self, now: Time, arrival: Arrival, keep: Time) {
+    pub(super) fn start_run(&mut self, now: Time, arrival: Arrival, keep_until: Time) {
         if let Err(cause) = self.check_admission(now, &arrival.submission) {
             self.refuse(now, &arrival.waiter, Class::NotRun, cause);
             return;
         }
         let mut run = Run::new(now, arrival.submission, RunState::Running);
-        run.keep_until = keep;
+        run.keep_until = keep_until;
         run.waiters.push(arrival.waiter);
         let number = self.runs.add(run);
         self.start(now, number);
@@ -242,16 +242,16 @@
         task.state = TaskState::Ready;
         let backoff_ms = (PLACE_BACKOFF_MS << key.attempt.min(6)).min(MAX_PLACE_BACKOFF_MS);
         let next = TaskKey { attempt: key.attempt + 1, ..key };
-        self.retries.insert((now.after_ms(backoff_ms), next));
+        self.backing_off.insert((now.after_ms(backoff_ms), next));
     }
 
     /// Places the returned tasks whose backoff has ended.
-    pub(super) fn retry_due_tasks(&mut self, now: Time) {
-        while let Some(&(due, key)) = self.retries.first() {
+    pub(super) fn place_due_tasks(&mut self, now: Time) {
+        while let Some(&(due, key)) = self.backing_off.first() {
             if due > now {
                 return;
             }
-            self.retries.pop_first();
+            self.backing_off.pop_first();
             self.place(now, key);
         }
     }
@@ -334,19 +334,20 @@
         }
     }
 
-    /// Ends tasks at a placer that is gone, or silent for too long, as lost: they may have run.
+    /// Handles the tasks at a placer that is gone, or silent for too long, as lost: they may have
+    /// run.
     pub(super) fn lose_tasks(&mut self, now: Time, lost: &Peer) {
-        self.end_tasks_as_lost(now, lost, |_| true);
+        self.handle_lost_tasks(now, lost, |_| true);
     }
 
     /// Retries requests at a suspect placer if that is allowed: their callers would wait until the
     /// deadline, though another backend could answer at once. Other requests wait, since the placer
     /// may recover and send their answers.
     pub(super) fn retry_tasks(&mut self, now: Time, suspect: &Peer) {
-        self.end_tasks_as_lost(now, suspect, Run::may_retry);
+        self.handle_lost_tasks(now, suspect, Run::may_retry);
     }
 
-    fn end_tasks_as_lost(&mut self, now: Time, lost: &Peer, predicate: impl Fn(&Run) -> bool) {
+    fn handle_lost_tasks(&mut self, now: Time, lost: &Peer, predicate: impl Fn(&Run) -> bool) {
         let at_peer = |task: &RunTask| task.state == TaskState::Placed(lost.clone());
         let runs = self.runs.select(|run| predicate(run) && run.tasks.iter().any(at_peer));
         for number in runs {
--- a/endivestile_kernel/src/membership.rs
+++ b/endivestile_kernel/src/membership.rs
@@ -10,7 +10,7 @@
 pub(crate) const HEARTBEAT_MS: u64 = 500;
 /// Silence after which a monitored host is suspect, in milliseconds.
 pub(crate) const SUSPECT_MS: u64 = 1_500;
-/// Time for which a broken link makes a host suspect that is not monitored, in milliseconds.
+/// Time for which a broken link makes an unmonitored host suspect, in milliseconds.
 const LINK_DOWN_MS: u64 = 5_000;
 
 /// A host from which a starting process may request the configuration.
@@ -170,8 +170,8 @@
         self.refresh(now)
     }
 
-    /// Returns whether operators or the platform want this host to stop, or it is not in the
-    /// inventory any more.
+    /// Returns whether operators or the platform require this host to stop, or it is no longer in
+    /// the inventory.
     pub(crate) fn stop_requested(&self) -> bool {
         let Some(own) = self.observed.get(&self.view.me.host) else { return false };
         let platform_stop =
@@ -240,8 +240,8 @@
             let Some(observed) = self.observed.get(name) else { continue };
             let own = host.peer == self.view.me;
             let state = if own { observed.own_state() } else { observed.state(now) };
-            let newer = host.peer.birth != observed.birth;
-            changed |= newer || host.state != state;
+            let new_incarnation = host.peer.birth != observed.birth;
+            changed |= new_incarnation || host.state != state;
             host.state = state;
             host.peer.birth = observed.birth;
         }
--- a/endivestile_kernel/src/mint.rs
+++ b/endivestile_kernel/src/mint.rs
@@ -48,8 +48,7 @@
         let first = self.next;
         self.next += count as u64;
         let expires = now.after_ms(window_s * 1_000);
-        // Ids of one second share a block: ids are issued with answers, and a block for each would
-        // use too much memory.
+        // Ids of one second share a block, or every answer that carries ids would add one.
         if self.blocks.back().is_none_or(|last| last.expires.after_ms(MERGE_MS) < expires) {
             self.blocks.push_back(Block { first, expires });
         }
