--- a/endivestile_kernel/src/answer.rs
+++ b/endivestile_kernel/src/answer.rs
@@ -11,7 +11,7 @@
 pub enum Class {
     /// No task ran, and none will.
     NotRun,
-    /// No reachable host has a record of whether tasks ran.
+    /// Whether tasks ran cannot be determined from the reachable hosts.
     Unknown,
 }
 
