--- a/endivestile_kernel/src/kernel/forward.rs
+++ b/endivestile_kernel/src/kernel/forward.rs
@@ -1,15 +1,15 @@
-//! Calls passed on to another host, or waiting for one.
+//! Forwarding of calls to other hosts, and parking of submissions until one is usable.
 
 use std::sync::Arc;
 
-use crate::forwards::{Forward, Forwarded, Parked};
+use crate::forwards::{Forward, ForwardedRequest, Parked};
 use crate::kernel::reply::RETRY_AFTER_MS;
 use crate::kernel::submit::{Arrival, MAX_HOPS, MAX_PARK_MS};
 use crate::run::Waiter;
 use crate::{Answer, Cause, Class, Failure, HostState, IdForm, Kernel, Metric, Msg, Peer, Time};
 
-/// Wait before a parked submission is tried again, in milliseconds.
-const PARK_MS: u64 = 100;
+/// Delay of the next attempt of a parked submission, in milliseconds.
+const PARK_RETRY_MS: u64 = 100;
 
 impl Kernel {
     pub(super) fn forward_to_home(&mut self, now: Time, arrival: Arrival, home: Peer) {
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Passes a submission on; `recorded` says that it is recorded as the receiver's own.
+    /// Forwards a submission; `recorded` means that its id is recorded with the receiver as its
+    /// runner.
     pub(super) fn forward(&mut self, now: Time, arrival: Arrival, to: Peer, recorded: bool) {
         if self.is_closing(now) && matches!(arrival.waiter, Waiter::Call(_)) {
             self.refuse(now, &arrival.waiter, Class::Unknown, Cause::Stopping);
@@ -32,10 +33,10 @@
         let forward = Forward {
             waiter: arrival.waiter,
             due: submission.deadline.after_ms(RETRY_AFTER_MS),
-            request: Forwarded::Submission(submission.clone()),
+            request: ForwardedRequest::Submission(submission.clone()),
             to: to.clone(),
             hops: arrival.hops + 1,
-            until: arrival.until.max(now.after_ms(MAX_PARK_MS)),
+            park_until: arrival.park_until.max(now.after_ms(MAX_PARK_MS)),
         };
         let hops = forward.hops;
         let call = self.forwards.add(forward);
@@ -43,8 +44,7 @@
         self.send(&to, Msg::Submit { call, submission, hops, recorded });
     }
 
-    /// Waits for the shard to get a usable home while that can be hoped for;
-    /// otherwise refuses at once.
+    /// Parks a submission while its shard may still get a usable home, otherwise refuses it.
     pub(super) fn park_or_refuse(
         &mut self,
         now: Time,
@@ -52,25 +52,27 @@
         class: Class,
         cause: Cause,
     ) {
-        let passing = matches!(cause, Cause::HomeAway | Cause::WitnessAway | Cause::ShardMoving);
-        // At the start the store may not have answered yet.
-        let hope = self.membership.view().store_available || now < Time::ZERO.after_ms(MAX_PARK_MS);
-        if passing && hope && Self::may_park(now, &arrival) {
+        let transient = matches!(cause, Cause::HomeAway | Cause::WitnessAway | Cause::ShardMoving);
+        // Shortly after the start the store may not have answered yet.
+        let may_recover =
+            self.membership.view().store_available || now < Time::ZERO.after_ms(MAX_PARK_MS);
+        if transient && may_recover && Self::may_park(now, &arrival) {
             self.park(now, arrival);
         } else {
             self.refuse(now, &arrival.waiter, class, cause);
         }
     }
 
-    /// Returns whether there is time to try a submission once more.
+    /// Returns whether there is time for another attempt of a submission.
     pub(super) fn may_park(now: Time, arrival: &Arrival) -> bool {
-        now.after_ms(PARK_MS) < arrival.until
+        now.after_ms(PARK_RETRY_MS) < arrival.park_until
     }
 
-    /// Has a submission tried again soon.
+    /// Schedules another attempt of a submission.
     pub(super) fn park(&mut self, now: Time, arrival: Arrival) {
-        let Arrival { waiter, submission, hops, until } = arrival;
-        self.forwards.park(now.after_ms(PARK_MS), Parked { waiter, submission, hops, until });
+        let Arrival { waiter, submission, hops, park_until } = arrival;
+        self.forwards
+            .park(now.after_ms(PARK_RETRY_MS), Parked { waiter, submission, hops, park_until });
     }
 
     pub(super) fn handle_reply(&mut self, call: u64, answer: Arc<Answer>) {
@@ -78,19 +80,20 @@
         self.reply(&forward.waiter, answer);
     }
 
-    /// Takes back what was passed on to hosts that went silent or are gone.
-    pub(super) fn retry_unreachable(&mut self, now: Time) {
+    /// Reroutes the calls forwarded to hosts that are suspect or gone.
+    pub(super) fn reroute_forwards(&mut self, now: Time) {
         let view = self.membership.view();
-        let away = |peer: &Peer| matches!(view.state(peer), HostState::Suspect | HostState::Gone);
-        for forward in self.forwards.take_to(away) {
-            self.retry_forward(now, forward);
+        let unreachable =
+            |peer: &Peer| matches!(view.state(peer), HostState::Suspect | HostState::Gone);
+        for forward in self.forwards.take_to(unreachable) {
+            self.reroute_forward(now, forward);
         }
     }
 
-    fn retry_forward(&mut self, now: Time, forward: Forward) {
+    fn reroute_forward(&mut self, now: Time, forward: Forward) {
         let gone = self.membership.view().state(&forward.to) == HostState::Gone;
-        let Forward { waiter, request, hops, until, .. } = forward;
-        let Forwarded::Submission(submission) = request else {
+        let Forward { waiter, request, hops, park_until, .. } = forward;
+        let ForwardedRequest::Submission(submission) = request else {
             self.refuse(now, &waiter, Class::Unknown, Cause::HomeAway);
             return;
         };
@@ -102,24 +105,24 @@
             self.refuse(now, &waiter, Class::Unknown, Cause::HomeAway);
         } else {
             let hops = hops.saturating_sub(1);
-            let until = until.max(now.after_ms(MAX_PARK_MS)).min(submission.deadline);
-            let arrival = Arrival { waiter, submission, hops, until };
+            let park_until = park_until.max(now.after_ms(MAX_PARK_MS)).min(submission.deadline);
+            let arrival = Arrival { waiter, submission, hops, park_until };
             self.park_or_refuse(now, arrival, Class::Unknown, Cause::HomeAway);
         }
     }
 
     pub(super) fn resume_forwards(&mut self, now: Time) {
         while let Some(parked) = self.forwards.pop_parked(now) {
-            let Parked { waiter, submission, hops, until } = parked;
-            self.submit(now, Arrival { waiter, submission, hops, until });
+            let Parked { waiter, submission, hops, park_until } = parked;
+            self.submit(now, Arrival { waiter, submission, hops, park_until });
         }
         while let Some(forward) = self.forwards.pop_late(now) {
             match forward.request {
-                Forwarded::Submission(_) => {
+                ForwardedRequest::Submission(_) => {
                     let answer = Answer::Failed(Failure::Deadline);
                     self.reply(&forward.waiter, Arc::new(answer));
                 }
-                Forwarded::Ask => {
+                ForwardedRequest::Ask => {
                     self.refuse(now, &forward.waiter, Class::Unknown, Cause::HomeAway);
                 }
             }
