--- a/endivestile_testkit/src/fleet/check.rs
+++ b/endivestile_testkit/src/fleet/check.rs
@@ -16,7 +16,7 @@
     pub(crate) starts: BTreeMap<Name, u64>,
     /// Lease renewals sent since the story last printed the count.
     pub(crate) renewals: u64,
-    /// Breaches of guarantees, in the request in which they were detected.
+    /// Breaches of guarantees, in the order in which they were detected.
     pub(crate) breaches: Vec<String>,
 }
 
