--- a/endivestile/src/engine.rs
+++ b/endivestile/src/engine.rs
@@ -36,7 +36,7 @@
     /// Number of fresh ids to return with the reply.
     ids: usize,
     /// Format of the answer.
-    shape: ReplyFormat,
+    reply_format: ReplyFormat,
 }
 
 /// Everything needed to start an engine.
@@ -146,14 +146,14 @@
     fn handle_call(&mut self, cx: CX![], call: Call) {
         let Call { request, ids, operation } = call;
         match operation {
-            Operation::Submit(submission, shape) => {
-                let call = self.open_call(cx, OpenCall { request, ids, shape });
+            Operation::Submit(submission, reply_format) => {
+                let call = self.open_call(cx, OpenCall { request, ids, reply_format });
                 self.handle_event(cx, Event::Submitted { call, submission });
             }
             Operation::Ask(id, ask) => {
                 let cancel = ask == endivestile_kernel::Ask::Cancel;
-                let shape = if cancel { ReplyFormat::Cancel } else { ReplyFormat::Json };
-                let call = self.open_call(cx, OpenCall { request, ids, shape });
+                let reply_format = if cancel { ReplyFormat::Cancel } else { ReplyFormat::Json };
+                let call = self.open_call(cx, OpenCall { request, ids, reply_format });
                 self.handle_event(cx, Event::Ask { call, id, ask });
             }
             Operation::MintIds(count) => {
@@ -209,7 +209,7 @@
     /// Answers an open call. A second answer to the same call is dropped.
     fn answer_call(&mut self, cx: CX![], call: CallId, answer: &Answer) {
         let Some(open) = self.calls.remove(&call) else { return };
-        let reply = Reply::from_answer(answer, open.shape, self.clock.to_time(cx.now()));
+        let reply = Reply::from_answer(answer, open.reply_format, self.clock.to_time(cx.now()));
         self.send_reply(open.request, open.ids, reply);
     }
 
--- a/endivestile/src/fleet/engine.rs
+++ b/endivestile/src/fleet/engine.rs
@@ -35,7 +35,7 @@
 const REFUSE_AFTER_PERCENT: u64 = 40;
 /// Part of the grace period after which a stopping host ends, in percent. Calls
 /// that are still open are answered first, since a closed connection would not
-/// tell callers how their jobs ended.
+/// show callers how their jobs ended.
 const END_AFTER_PERCENT: u64 = 92;
 /// Time for open connections to close and for the last responses, in milliseconds.
 const CLOSE_MS: u64 = 40;
@@ -154,8 +154,8 @@
     /// Handles a call.
     fn handle_call(&mut self, now: Time, call: HttpCall) {
         let table = self.fleet.route_table().map(AsRef::as_ref);
-        let demand = (self.parts.adapter.decode_call)(&call.head, &call.body, table, now);
-        let answer = match demand {
+        let request = (self.parts.adapter.decode_call)(&call.head, &call.body, table, now);
+        let answer = match request {
             CallerRequest::Submit(_) if self.refusing_jobs => {
                 let reason = Reason::NoPlacer;
                 log::info!("event=call_refused path={} reason=stopping", call.head.uri.path());
