--- a/endivestile_config/src/settings/log.rs
+++ b/endivestile_config/src/settings/log.rs
@@ -16,7 +16,7 @@
 pub struct LogSettings {
     /// Least severe level that is written: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: Name,
-    /// File that events are appended to; `None` for standard error.
+    /// File that events are appended to; `None` for standard output.
     pub file: Option<PathBuf>,
 }
 
