--- a/endivestile_kernel/src/kernel/frames.rs
+++ b/endivestile_kernel/src/kernel/frames.rs
@@ -100,7 +100,7 @@
         let unconfigured = self.config.is_none();
         let targets = self.membership.view().hosts.values().filter(|host| {
             (unconfigured && host.peer.birth == 0)
-                || self.membership.suspected_for_silence(&host.peer)
+                || self.membership.suspected_as_unresponsive(&host.peer)
         });
         let targets: Vec<(Name, Name)> =
             targets.map(|host| (host.peer.host.clone(), host.address.clone())).collect();
--- a/endivestile_kernel/src/kernel/liveness.rs
+++ b/endivestile_kernel/src/kernel/liveness.rs
@@ -16,7 +16,7 @@
             return;
         }
         if self.peer_check_due.after_ms(PAUSED_CHECKS * HEARTBEAT_MS) < now {
-            self.reset_silence(now);
+            self.reset_monitoring(now);
         }
         self.peer_check_due = now.after_ms(HEARTBEAT_MS);
         self.send_greetings(now);
@@ -26,17 +26,17 @@
             let no_frame_since = monitored_since
                 .map(|since| channel.last_frame().map_or(since, |frame| frame.max(since)))
                 .or_else(|| channel.unanswered_since());
-            self.membership.set_silent_since(peer, no_frame_since);
+            self.membership.set_unresponsive_since(peer, no_frame_since);
         }
         let changed = self.membership.refresh(now);
         self.apply_view_change(now, changed);
         self.lose_tasks_of_unreachable(now);
     }
 
-    /// Restarts the measurement of silence of all monitored peers after a pause of this process.
-    /// They seem silent only because this host has not read their frames: without the reset it
+    /// Restarts the monitoring of all monitored peers after a pause of this process.
+    /// They seem unresponsive only because this host has not read their frames: without the reset it
     /// would try to take over every shard of which it is the witness.
-    fn reset_silence(&mut self, now: Time) {
+    fn reset_monitoring(&mut self, now: Time) {
         for since in self.monitored.values_mut() {
             *since = now;
         }
@@ -110,7 +110,7 @@
     fn lose_tasks_of_unreachable(&mut self, now: Time) {
         let limit_ms = SUSPECT_MS + TASKS_LOST_MS;
         let unreachable = |peer: &&Peer| {
-            let since = self.membership.silent_since(peer);
+            let since = self.membership.unresponsive_since(peer);
             since.is_some_and(|since| since.after_ms(limit_ms) <= now)
         };
         let lost: Vec<Peer> = self.channels.keys().filter(unreachable).cloned().collect();
--- a/endivestile_kernel/src/kernel/submit.rs
+++ b/endivestile_kernel/src/kernel/submit.rs
@@ -224,7 +224,7 @@
             self.forward(now, arrival, known.runner.clone(), true);
             return;
         }
-        // A host that is briefly silent may still run it, or have the answer.
+        // A host that is briefly unresponsive may still run it, or have the answer.
         if state == HostState::Suspect && Self::may_park(now, &arrival) {
             self.park(now, arrival);
             return;
--- a/endivestile_kernel/src/kernel/task.rs
+++ b/endivestile_kernel/src/kernel/task.rs
@@ -334,8 +334,8 @@
         }
     }
 
-    /// Handles the tasks at a placer that is gone, or silent for too long, as lost: they may have
-    /// run.
+    /// Handles the tasks at a placer that is gone, or unresponsive for too long, as lost: they may
+    /// have run.
     pub(super) fn lose_tasks(&mut self, now: Time, lost: &Peer) {
         self.handle_lost_tasks(now, lost, |_| true);
     }
--- a/endivestile_kernel/src/membership.rs
+++ b/endivestile_kernel/src/membership.rs
@@ -45,7 +45,7 @@
     platform_state: Option<PlatformState>,
     last_frame: Option<Time>,
     link_down_at: Option<Time>,
-    silent_since: Option<Time>,
+    unresponsive_since: Option<Time>,
     address: Option<Name>,
 }
 
@@ -190,7 +190,7 @@
         observed.reset_if_newer(peer.birth);
         observed.last_frame = Some(now);
         observed.link_down_at = None;
-        observed.silent_since = None;
+        observed.unresponsive_since = None;
         observed.leaving = leaving;
         Some(self.refresh(now))
     }
@@ -205,32 +205,33 @@
         self.refresh(now)
     }
 
-    /// Records since when a peer owes an answer, or has been silent while monitored.
+    /// Records since when a peer owes an answer, or has sent no frame while monitored.
     ///
-    /// A peer that is suspect for its silence stays so until its next frame, even if it owes no
+    /// A peer that is suspect because it is unresponsive stays so until its next frame, even if it owes no
     /// answer and is no longer monitored. In a network partition its shards are taken over at once;
     /// if it counted as live until its registration ends, calls that must not be retried would be
     /// sent there and lost.
-    pub(crate) fn set_silent_since(&mut self, peer: &Peer, since: Option<Time>) {
-        let suspected = self.suspected_for_silence(peer);
+    pub(crate) fn set_unresponsive_since(&mut self, peer: &Peer, since: Option<Time>) {
+        let suspected = self.suspected_as_unresponsive(peer);
         if let Some(observed) = self.observed.get_mut(&peer.host) {
-            observed.silent_since = since.or(observed.silent_since.filter(|_| suspected));
+            observed.unresponsive_since =
+                since.or(observed.unresponsive_since.filter(|_| suspected));
         }
     }
 
-    /// Returns whether a registered peer is suspect because of its silence.
-    pub(crate) fn suspected_for_silence(&self, peer: &Peer) -> bool {
+    /// Returns whether a registered peer is suspect because it is unresponsive.
+    pub(crate) fn suspected_as_unresponsive(&self, peer: &Peer) -> bool {
         let Some(observed) = self.observed.get(&peer.host) else { return false };
         let registered =
             observed.registered && observed.platform_state != Some(PlatformState::Gone);
-        let silent = observed.silent_since.is_some() && observed.birth == peer.birth;
-        registered && silent && self.view.state(peer) == HostState::Suspect
+        let unresponsive = observed.unresponsive_since.is_some() && observed.birth == peer.birth;
+        registered && unresponsive && self.view.state(peer) == HostState::Suspect
     }
 
-    /// Returns since when a peer has been silent.
-    pub(crate) fn silent_since(&self, peer: &Peer) -> Option<Time> {
+    /// Returns since when a peer has been unresponsive.
+    pub(crate) fn unresponsive_since(&self, peer: &Peer) -> Option<Time> {
         let observed = self.observed.get(&peer.host)?;
-        observed.silent_since.filter(|_| observed.birth == peer.birth)
+        observed.unresponsive_since.filter(|_| observed.birth == peer.birth)
     }
 
     /// Recomputes all states, and returns whether the view changed.
@@ -271,10 +272,11 @@
         if self.platform_state == Some(PlatformState::Gone) && !responsive {
             return HostState::Suspect;
         }
-        let silent = self.silent_since.is_some_and(|since| since.after_ms(SUSPECT_MS) <= now);
+        let overdue =
+            self.unresponsive_since.is_some_and(|since| since.after_ms(SUSPECT_MS) <= now);
         let link_down = recent(self.link_down_at, LINK_DOWN_MS);
         if self.birth == 0
-            || silent
+            || overdue
             || (link_down && !responsive)
             || !(responsive || self.registered)
         {
--- a/endivestile_kernel/src/view.rs
+++ b/endivestile_kernel/src/view.rs
@@ -14,7 +14,7 @@
     Live,
     /// Responds, but accepts no new work.
     Leaving,
-    /// Silent for longer than the suspicion limit, or refuses connections.
+    /// Unresponsive for longer than the suspicion limit, or refuses connections.
     Suspect,
     /// This incarnation has ended: a later one is known, which could not have bound the address
     /// otherwise, or operators removed the host from the inventory.
