--- a/endivestile/tests/explain_failure.rs
+++ b/endivestile/tests/explain_failure.rs
@@ -32,7 +32,7 @@
 }
 
 /// The workers are busy for longer than a caller waits, and its job is refused.
-/// The caller's host logs the placer; the placer logs that nothing had started
+/// The caller's host logs the owner; the owner logs that nothing had started
 /// and how long the job waited; the metrics count a refusal.
 #[test]
 fn failure_refused_under_load() {
@@ -60,7 +60,7 @@
 }
 
 /// A worker makes no progress with its tasks, and the job is run elsewhere. The
-/// placer's log lines with the job's id name that worker.
+/// owner's log lines with the job's id name that worker.
 #[test]
 fn failure_worker_hangs() {
     let platform = PlatformStandIn::start(&["a"], 2);
@@ -76,7 +76,7 @@
     assert!(value(&stalled, "slower=").parse::<f64>().unwrap() > 1.0, "{stalled}");
 }
 
-/// The placer of a job is killed. The caller's host logs the loss of the placer,
+/// The owner that schedules a job is killed. The caller's host logs the loss,
 /// the new owner of the workers, and how the job ended.
 #[test]
 fn failure_placer_lost() {
