--- a/endivestile_kernel/src/fleet/front.rs
+++ b/endivestile_kernel/src/fleet/front.rs
@@ -28,8 +28,8 @@
     pub(crate) tries: u32,
     /// Until when the job may wait for an owner.
     pub(crate) assign_deadline: Time,
-    /// Whether a former owner may have started tasks of the job, in which case the caller
-    /// must not be told that the job has not run.
+    /// Whether a former owner may have started tasks of the job, in which case the
+    /// response must not say that the job has not run.
     pub(crate) may_have_run: bool,
 }
 
--- a/endivestile_kernel/src/shard/pending.rs
+++ b/endivestile_kernel/src/shard/pending.rs
@@ -25,7 +25,7 @@
 }
 
 impl Replica {
-    /// Returns the cause if a ticket would wait in vain, else none.
+    /// Returns the cause if a ticket would wait to no effect, else none.
     pub(crate) fn blocked_cause(&self, cx: &Context<'_>) -> Option<Cause> {
         if cx.view.store_available || self.fencing.may_start(None) {
             return None;
--- a/endivestile_kernel/tests/place_health.rs
+++ b/endivestile_kernel/tests/place_health.rs
@@ -111,7 +111,7 @@
 }
 
 // All backends refuse connections. The tasks are returned as not run at once
-// instead of being retried in vain.
+// instead of being retried to no effect.
 #[test]
 fn end_all_unreachable() {
     let mut sim = Simulation::new(servers(3, 2));
--- a/endivestile_kernel/tests/place_queue.rs
+++ b/endivestile_kernel/tests/place_queue.rs
@@ -80,7 +80,7 @@
 }
 
 // The queue holds more work than the time that a task has left. The task is
-// refused on arrival, not after it has waited in vain.
+// refused on arrival, not after a wait until its deadline.
 #[test]
 fn queue_refuses_hopeless_arrival() {
     let mut sim = Simulation::new(servers(1, 1));
--- a/endivestile_testkit/src/fleet/story.rs
+++ b/endivestile_testkit/src/fleet/story.rs
@@ -164,8 +164,8 @@
     fn submit(&mut self, step: &Step<'_>) -> Result<(), String> {
         let times = step.number("times", 1)?;
         let every = step.duration_ms("every", 0)?;
-        for turn in 0..times {
-            let suffix = if times == 1 { String::new() } else { format!("-{turn}") };
+        for number in 0..times {
+            let suffix = if times == 1 { String::new() } else { format!("-{number}") };
             self.submit_one(step, &suffix)?;
             self.world.run(every);
         }
--- a/endivestile_testkit/src/fleet/world.rs
+++ b/endivestile_testkit/src/fleet/world.rs
@@ -292,7 +292,7 @@
         );
     }
 
-    /// Writes a host's registration, or retries later if the store is out of reach.
+    /// Writes a host's registration, or retries later if the store is unreachable.
     fn register(&mut self, entry: &HostEntry) {
         let host = &entry.peer.host;
         if self.store.down || !self.net.reaches(host, STORE) {
--- a/endivestile_testkit/src/world/story.rs
+++ b/endivestile_testkit/src/world/story.rs
@@ -334,7 +334,7 @@
         if times == 1 {
             return Ok(vec![String::new()]);
         }
-        Ok((0..times).map(|turn| format!("-{turn}")).collect())
+        Ok((0..times).map(|number| format!("-{number}")).collect())
     }
 
     /// Returns the resources that a task needs; `None` for a task of the service.
