--- a/endivestile_testkit/src/caller.rs
+++ b/endivestile_testkit/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of an entry host.
+//! HTTP client for the caller interface of an entry host.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -9,47 +9,47 @@
 use ureq::http::Response;
 use ureq::{Agent, Body};
 
-/// Milliseconds that a caller waits longer than its deadline.
-const PATIENCE_MS: u64 = 5_000;
+/// Time that the client waits for an answer after the deadline, in milliseconds.
+const DEADLINE_GRACE_MS: u64 = 5_000;
 
 /// An entry host's answer to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Seconds after which to come back, if the host named them.
+    /// Value of the `Retry-After` header in seconds, if present.
     pub retry_s: Option<u64>,
-    /// Body.
+    /// Response body.
     pub body: String,
 }
 
 impl Reply {
-    /// Reads the body as that of a job's answer or a refusal.
+    /// Parses the body as a job's answer or a refusal.
     pub fn answer(&self) -> Option<AnswerBody> {
         serde_json::from_str(&self.body).ok()
     }
 
-    /// Returns the status word of the body, empty when it has none.
+    /// Returns the status field of the body, or an empty string without one.
     pub fn status_text(&self) -> String {
         self.answer().map(|answer| answer.status).unwrap_or_default()
     }
 }
 
-/// Calls one entry host on behalf of one team.
+/// Client that calls one entry host on behalf of one team.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// Agent, shared by clones.
+    /// HTTP agent with its connection pool, shared by clones.
     agent: Agent,
-    /// URL of the host.
+    /// Base URL of the host.
     base: String,
-    /// Team.
+    /// Team named in each call.
     team: String,
-    /// Time left until the deadline of each call, in milliseconds.
+    /// Deadline of each call, in milliseconds from sending it.
     deadline_ms: u64,
 }
 
 impl Caller {
-    /// Makes a caller of the host at `address`, with a deadline of 30 seconds.
+    /// Creates a client of the host at `address` with a deadline of 30 seconds.
     pub fn new(address: impl std::fmt::Display, team: &str) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -61,25 +61,25 @@
         Self { agent, base: format!("http://{address}"), team, deadline_ms: 30_000 }
     }
 
-    /// Calls another host through the same agent.
+    /// Returns a client of another host that shares the connection pool.
     pub fn with_address(&self, address: impl std::fmt::Display) -> Self {
         Self { base: format!("http://{address}"), ..self.clone() }
     }
 
-    /// Calls on behalf of another team through the same agent.
+    /// Sets the team.
     pub fn team(self, team: &str) -> Self {
         Self { team: team.to_owned(), ..self }
     }
 
-    /// Sets the deadline of each call from its sending.
+    /// Sets the deadline of each call, in milliseconds from sending it.
     pub fn deadline_ms(self, deadline_ms: u64) -> Self {
         Self { deadline_ms, ..self }
     }
 
-    /// Sends a request; without an id it is idempotent.
+    /// Sends a single request. A request without an id is marked as idempotent.
     ///
     /// # Errors
-    /// A connection that failed or broke.
+    /// Returns an error when the connection fails or closes early.
     pub fn request(
         &self,
         service: &str,
@@ -90,7 +90,7 @@
         self.post(&url, id, id.is_none(), work)
     }
 
-    /// Submits a job of tasks for one service.
+    /// Submits a job whose tasks all call one service.
     ///
     /// # Errors
     /// As [`Self::request`].
@@ -109,22 +109,22 @@
         self.submit_tasks(id, works.iter().map(task).collect())
     }
 
-    /// Submits a job of any tasks.
+    /// Submits a job with the given tasks.
     ///
     /// # Errors
     /// As [`Self::request`].
     pub fn submit_tasks(&self, id: &str, tasks: Vec<TaskBody>) -> Result<Reply, ureq::Error> {
-        // A struct of strings and numbers always has a JSON form.
+        // Serializing a struct of strings and numbers cannot fail.
         let body = serde_json::to_string(&JobBody { tasks }).unwrap_or_default();
         self.post(&format!("{}/v1/jobs", self.base), Some(id), false, &body)
     }
 
-    /// Asks for the answer to an id.
+    /// Fetches the answer of an earlier submission.
     ///
     /// # Errors
     /// As [`Self::request`].
     pub fn fetch_answer(&self, id: &str) -> Result<Reply, ureq::Error> {
-        reply(self.agent.get(self.submission(id)).call()?)
+        read_reply(self.agent.get(self.submission_url(id)).call()?)
     }
 
     /// Cancels a submission.
@@ -132,10 +132,10 @@
     /// # Errors
     /// As [`Self::request`].
     pub fn cancel(&self, id: &str) -> Result<Reply, ureq::Error> {
-        reply(self.agent.delete(self.submission(id)).call()?)
+        read_reply(self.agent.delete(self.submission_url(id)).call()?)
     }
 
-    /// Fetches ids that this host minted, up to 1,000.
+    /// Fetches up to 1,000 submission ids generated by the host.
     ///
     /// # Errors
     /// As [`Self::request`].
@@ -147,16 +147,16 @@
         Ok(ids.iter().filter_map(|id| id.as_str().map(str::to_owned)).collect())
     }
 
-    /// Reads the state of the host.
+    /// Fetches the status page of the host.
     ///
     /// # Errors
     /// As [`Self::request`].
     pub fn status(&self) -> Result<Value, ureq::Error> {
-        let body = reply(self.agent.get(format!("{}/status", self.base)).call()?)?.body;
+        let body = read_reply(self.agent.get(format!("{}/status", self.base)).call()?)?.body;
         Ok(serde_json::from_str(&body).unwrap_or_default())
     }
 
-    fn submission(&self, id: &str) -> String {
+    fn submission_url(&self, id: &str) -> String {
         format!("{}/v1/submissions/{id}", self.base)
     }
 
@@ -167,7 +167,7 @@
         idempotent: bool,
         body: &str,
     ) -> Result<Reply, ureq::Error> {
-        let wait = Duration::from_millis(self.deadline_ms + PATIENCE_MS);
+        let wait = Duration::from_millis(self.deadline_ms + DEADLINE_GRACE_MS);
         let mut call = self.agent.post(url).config().timeout_global(Some(wait)).build();
         call = call.header(TEAM_HEADER, &self.team);
         call = call.header(DEADLINE_HEADER, self.deadline_ms.to_string());
@@ -175,17 +175,17 @@
         if let Some(id) = id {
             call = call.header(ID_HEADER, id);
         }
-        reply(call.send(body)?)
+        read_reply(call.send(body)?)
     }
 
-    /// Makes an id of the caller's own, dated now.
+    /// Creates a caller-generated submission id: the current time and `key`.
     pub fn own_id(key: &str) -> String {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         format!("{}:{key}", since.as_secs())
     }
 }
 
-fn reply(mut response: Response<Body>) -> Result<Reply, ureq::Error> {
+fn read_reply(mut response: Response<Body>) -> Result<Reply, ureq::Error> {
     let status = response.status().as_u16();
     let header = response.headers().get("Retry-After").and_then(|value| value.to_str().ok());
     let retry_s = header.and_then(|text| text.parse().ok());
--- a/endivestile_testkit/src/deploy/mod.rs
+++ b/endivestile_testkit/src/deploy/mod.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as processes against the stand-ins.
+//! Runs entry hosts as processes against the stand-ins.
 
 mod address;
 mod deployment;
@@ -13,19 +13,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at a condition, in milliseconds.
-const LOOK_MS: u64 = 5;
+/// Interval between two checks of a condition, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 5;
 
-/// Waits until a condition holds; returns whether it did within `limit_s` seconds.
-pub fn wait_for(limit_s: u64, mut holds: impl FnMut() -> bool) -> bool {
+/// Polls a condition for up to `limit_s` seconds and returns whether it became true.
+pub fn wait_for(limit_s: u64, mut condition: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs(limit_s);
     loop {
-        if holds() {
+        if condition() {
             return true;
         }
         if Instant::now() >= end {
             return false;
         }
-        thread::sleep(Duration::from_millis(LOOK_MS));
+        thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
     }
 }
--- a/endivestile_testkit/src/deploy/plan.rs
+++ b/endivestile_testkit/src/deploy/plan.rs
@@ -1,15 +1,15 @@
-//! What a deployment consists of.
+//! Description of a deployment to start.
 
 use endivestile_config::model::{Host, Name, Rules, Server, Service, Team, Worker, Zone};
 
 use crate::MachineSpec;
 
-/// Service that [`Plan::new`] sets up on all backend servers.
+/// Name of the service that [`Plan::new`] sets up on all backend servers.
 const SERVICE: &str = "orders";
-/// Team that [`Plan::new`] sets up.
+/// Name of the team that [`Plan::new`] sets up.
 const TEAM: &str = "m1";
-/// Tasks that this team may hold.
-const LIMIT: u32 = 100_000;
+/// Limit of that team, in tasks admitted at the same time.
+const TEAM_LIMIT: u32 = 100_000;
 
 /// Topology, hosts, machines and rules of a deployment to start.
 #[derive(Debug, Clone, Default)]
@@ -26,10 +26,10 @@
 }
 
 impl Plan {
-    /// Makes a plan with service `orders` on all backend servers and team `m1`.
+    /// Creates a plan with service `orders` on all backend servers and team `m1`.
     pub fn new() -> Self {
         let service = Service { servers: vec![], path: Name::from("/order") };
-        let team = Team { limit: LIMIT, weight: 1 };
+        let team = Team { limit: TEAM_LIMIT, weight: 1 };
         Self {
             services: vec![(Name::from(SERVICE), service)],
             teams: vec![(Name::from(TEAM), team)],
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adds an entry host, and its availability zone if that is new.
+    /// Adds an entry host and, if it is new, its availability zone.
     pub fn host(mut self, name: &str, zone: &str, weight: u32) -> Self {
         self.add_zone(zone);
         let host = Host { zone: Name::from(zone), address: Name::from(""), weight };
@@ -59,7 +59,7 @@
         self
     }
 
-    /// Adds a worker of `cores` cores, `memory_mb` MiB and accelerators.
+    /// Adds a worker with the given cores, memory in MiB and accelerators.
     pub fn worker(
         mut self,
         spec: MachineSpec,
@@ -80,7 +80,7 @@
         self
     }
 
-    /// Adds a service on these backend servers, all when none are named.
+    /// Adds a service on the given backend servers, or on all when `servers` is empty.
     pub fn service(mut self, name: &str, path: &str, servers: &[&str]) -> Self {
         let servers = servers.iter().map(|server| Name::from(*server)).collect();
         self.services.push((Name::from(name), Service { servers, path: Name::from(path) }));
@@ -93,20 +93,20 @@
         self
     }
 
-    /// Changes the rules.
+    /// Changes the rules of the configuration.
     pub fn rules(mut self, change: impl FnOnce(&mut Rules)) -> Self {
         change(&mut self.rules);
         self
     }
 
-    /// Sets a setting of every entry host, as `section.key=value`.
+    /// Adds a setting for every entry host, as `section.key=value`.
     pub fn setting(mut self, assignment: &str) -> Self {
         self.settings.push(assignment.to_owned());
         self
     }
 
-    /// Puts a network between the zones that delays by `us` microseconds one way
-    /// and can be cut.
+    /// Puts relays between the zones that delay traffic by `us` microseconds one
+    /// way and that can disconnect zones from each other.
     pub fn distance_us(mut self, us: u64) -> Self {
         self.distance_us = Some(us);
         self.rules.distance_us = us;
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Returns the zones in the model's form.
+    /// Returns the zones as entries of the configuration.
     pub(crate) fn zones(&self) -> impl Iterator<Item = (Name, Zone)> {
         self.zones.iter().map(|name| (Name::clone(name), Zone { region: Name::from("r") }))
     }
--- a/endivestile_testkit/src/deploy/process.rs
+++ b/endivestile_testkit/src/deploy/process.rs
@@ -1,4 +1,4 @@
-//! One entry host as a process.
+//! Starts, observes and stops the process of one entry host.
 
 use std::ffi::OsString;
 use std::io::{self, BufRead, BufReader};
@@ -15,22 +15,22 @@
 use crate::lock::lock;
 use crate::net::Topology;
 
-/// How a daemon is started, before its own arguments.
+/// Command line that starts the daemon, without the daemon's own arguments.
 #[derive(Debug, Clone)]
 pub struct DaemonCommand {
-    /// Executable.
+    /// Path of the executable.
     pub program: PathBuf,
-    /// First arguments.
+    /// Arguments that precede those of the daemon.
     pub args: Vec<OsString>,
 }
 
 impl DaemonCommand {
-    /// Names an executable that takes the daemon's arguments itself.
+    /// Creates a command for an executable that accepts the daemon's arguments directly.
     pub fn new(program: impl Into<PathBuf>) -> Self {
         Self { program: program.into(), args: vec![] }
     }
 
-    /// Starts the daemon with settings given as `section.key=value`.
+    /// Starts the daemon with settings of the form `section.key=value`.
     fn spawn(&self, settings: &[String]) -> io::Result<Child> {
         let mut command = Command::new(&self.program);
         command.args(&self.args);
@@ -41,22 +41,22 @@
     }
 }
 
-/// An entry host's process; dropping it kills the process.
+/// The process of one entry host. Dropping it kills the process.
 #[derive(Debug)]
 pub struct HostProcess {
     /// Name of the host.
     name: String,
-    /// Address for callers.
+    /// Address of the caller interface.
     http: SocketAddr,
-    /// How it is started.
+    /// Command that starts the process.
     daemon: DaemonCommand,
-    /// Its settings.
+    /// Settings of the form `section.key=value`.
     settings: Vec<String>,
-    /// The process.
+    /// The current process.
     child: Child,
-    /// Topology, which are told each new process.
-    zones: Arc<Topology>,
-    /// What it logged, over all restarts.
+    /// Topology in which the id of each new process is registered.
+    topology: Arc<Topology>,
+    /// Log lines of all incarnations.
     log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -64,19 +64,19 @@
     /// Starts the process.
     ///
     /// # Errors
-    /// Those of the start, and a daemon that ended before it listened.
+    /// Returns an error when the process cannot be started.
     pub(crate) fn start(
         name: &str,
         http: SocketAddr,
         daemon: &DaemonCommand,
         settings: Vec<String>,
-        zones: &Arc<Topology>,
+        topology: &Arc<Topology>,
     ) -> io::Result<Self> {
         let log = Arc::default();
-        let child = follow(daemon.spawn(&settings)?, &log);
-        zones.set_host_pid(name, child.id());
-        let (name, zones) = (name.to_owned(), Arc::clone(zones));
-        Ok(Self { name, http, daemon: daemon.clone(), settings, child, zones, log })
+        let child = collect_log(daemon.spawn(&settings)?, &log);
+        topology.set_host_pid(name, child.id());
+        let (name, topology) = (name.to_owned(), Arc::clone(topology));
+        Ok(Self { name, http, daemon: daemon.clone(), settings, child, topology, log })
     }
 
     /// Returns the name of the host.
@@ -84,27 +84,27 @@
         &self.name
     }
 
-    /// Returns the address for callers.
+    /// Returns the address of the caller interface.
     pub fn address(&self) -> SocketAddr {
         self.http
     }
 
-    /// Returns the URL of a path at the host.
+    /// Returns the URL of a path on the host.
     pub fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.http)
     }
 
-    /// Returns the process's id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Returns the lines that it logged, over all restarts.
+    /// Returns the log lines of all incarnations.
     pub fn log(&self) -> Vec<String> {
         lock(&self.log).clone()
     }
 
-    /// Tells whether a path answers with status 200 now.
+    /// Returns whether a GET of the path succeeds within one second.
     pub fn responds(&self, path: &str) -> bool {
         let agent: Agent = Agent::config_builder()
             .timeout_global(Some(std::time::Duration::from_secs(1)))
@@ -113,49 +113,50 @@
         agent.get(self.url(path)).call().is_ok()
     }
 
-    /// Tells whether the process runs.
+    /// Returns whether the process is running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits until the host takes work; false when it ended or took too long.
+    /// Waits until the host reports ready. Returns false when its process ends
+    /// or `limit_s` seconds pass first.
     pub fn wait_ready(&mut self, limit_s: u64) -> bool {
-        let mut ended = false;
-        let ready = wait_for(limit_s, || {
-            ended = !self.is_running();
-            ended || self.responds("/ready")
+        let mut exited = false;
+        let done = wait_for(limit_s, || {
+            exited = !self.is_running();
+            exited || self.responds("/ready")
         });
-        ready && !ended
+        done && !exited
     }
 
-    /// Kills the process at once, as a crash does.
+    /// Kills the process without a shutdown, like a crash.
     pub fn kill(&mut self) {
-        // A process that has ended already needs neither.
+        // Both calls fail when the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Pauses the process.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self) {
         Signal::Stop.send(self.pid());
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     pub fn resume(&self) {
         Signal::Continue.send(self.pid());
     }
 
-    /// Asks the process for a graceful shutdown.
+    /// Requests a graceful shutdown.
     pub fn terminate(&self) {
         Signal::Terminate.send(self.pid());
     }
 
-    /// Tells the process that its settings have changed.
+    /// Requests that the process reload its settings.
     pub fn reload(&self) {
         Signal::Reload.send(self.pid());
     }
 
-    /// Waits for the end of the process; none when it took too long.
+    /// Waits up to `limit_s` seconds for the process to exit. Returns `None` on timeout.
     pub fn wait_exit(&mut self, limit_s: u64) -> Option<ExitStatus> {
         let mut status = None;
         wait_for(limit_s, || {
@@ -165,19 +166,19 @@
         status
     }
 
-    /// Adds a setting, in force from the next start on.
+    /// Adds a setting that takes effect at the next start.
     pub fn add_setting(&mut self, assignment: &str) {
         self.settings.push(assignment.to_owned());
     }
 
-    /// Starts the process anew after its end; it is another incarnation.
+    /// Kills the process if it is running and starts a new incarnation.
     ///
     /// # Errors
-    /// Those of the start.
+    /// Returns an error when the process cannot be started.
     pub fn restart(&mut self) -> io::Result<()> {
         self.kill();
-        self.child = follow(self.daemon.spawn(&self.settings)?, &self.log);
-        self.zones.set_host_pid(&self.name, self.child.id());
+        self.child = collect_log(self.daemon.spawn(&self.settings)?, &self.log);
+        self.topology.set_host_pid(&self.name, self.child.id());
         Ok(())
     }
 }
@@ -195,8 +196,8 @@
     }
 }
 
-/// Collects what a process logs.
-fn follow(mut child: Child, log: &Arc<Mutex<Vec<String>>>) -> Child {
+/// Collects the lines of a process's standard output on a thread.
+fn collect_log(mut child: Child, log: &Arc<Mutex<Vec<String>>>) -> Child {
     if let Some(output) = child.stdout.take() {
         let log = Arc::clone(log);
         thread::spawn(move || {
--- a/endivestile_testkit/src/deploy/signal.rs
+++ b/endivestile_testkit/src/deploy/signal.rs
@@ -1,22 +1,22 @@
-//! Signals to processes of the rig.
+//! Signals sent to host processes.
 
 use std::process::Command;
 
-/// A signal to one process.
+/// A POSIX signal to a host process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Signal {
-    /// Pauses it.
+    /// Pauses the process.
     Stop,
-    /// Lets it go on.
+    /// Resumes the process.
     Continue,
-    /// Asks for a graceful shutdown.
+    /// Requests a graceful shutdown.
     Terminate,
-    /// Says that the settings have changed.
+    /// Requests a reload of the settings.
     Reload,
 }
 
 impl Signal {
-    /// Sends the signal by the shell's `kill`, as the standard library has only SIGKILL.
+    /// Sends the signal through the shell's `kill`, as the standard library supports only SIGKILL.
     pub(crate) fn send(self, pid: u32) {
         let name = match self {
             Self::Stop => "STOP",
--- a/endivestile_testkit/src/event_queue.rs
+++ b/endivestile_testkit/src/event_queue.rs
@@ -1,31 +1,30 @@
-//! What is going to happen in a world of virtual time, in order.
+//! Event queue of a discrete-event simulation.
 
 use std::collections::BTreeMap;
 
-/// Happenings by instant; those of one instant come in the order in which they
-/// were planned.
+/// Events ordered by virtual time. Events of the same time keep their insertion order.
 #[derive(Debug)]
 pub(crate) struct EventQueue<T> {
-    planned: BTreeMap<(u64, u64), T>,
-    order: u64,
+    events: BTreeMap<(u64, u64), T>,
+    last_number: u64,
 }
 
 impl<T> EventQueue<T> {
-    /// Starts with nothing planned.
+    /// Creates an empty queue.
     pub(crate) fn new() -> Self {
-        Self { planned: BTreeMap::new(), order: 0 }
+        Self { events: BTreeMap::new(), last_number: 0 }
     }
 
-    /// Plans a happening.
-    pub(crate) fn push(&mut self, at: u64, happening: T) {
-        self.order += 1;
-        self.planned.insert((at, self.order), happening);
+    /// Adds an event at virtual time `at`.
+    pub(crate) fn push(&mut self, at: u64, event: T) {
+        self.last_number += 1;
+        self.events.insert((at, self.last_number), event);
     }
 
-    /// Takes the next happening that comes no later than `end`.
+    /// Removes and returns the earliest event, unless it is later than `end`.
     pub(crate) fn pop_until(&mut self, end: u64) -> Option<(u64, T)> {
-        let entry = self.planned.first_entry().filter(|entry| entry.key().0 <= end)?;
-        let ((at, _), happening) = entry.remove_entry();
-        Some((at, happening))
+        let entry = self.events.first_entry().filter(|entry| entry.key().0 <= end)?;
+        let ((at, _), event) = entry.remove_entry();
+        Some((at, event))
     }
 }
--- a/endivestile_testkit/src/lib.rs
+++ b/endivestile_testkit/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for the platform: its store, backend servers and workers, and the
-//! rig that runs entry hosts as processes against them.
+//! Test kit for the workspace: stand-ins for the platform's store, backend servers
+//! and workers, runners that start entry hosts as processes against them, and
+//! simulated worlds in virtual time.
 //!
-//! Tests, the quickstart and the experiments use them; no product binary does.
+//! Used by tests, examples and experiments only, not by the product's binaries.
 
 mod caller;
 mod deploy;
--- a/endivestile_testkit/src/machine/connection.rs
+++ b/endivestile_testkit/src/machine/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to a machine and the tasks that arrive on them.
+//! Serves the connections to a machine and runs the tasks received on them.
 
 use std::io;
 use std::sync::Arc;
@@ -18,23 +18,24 @@
 use crate::lock::lock;
 use crate::timer;
 
-/// Pause between two looks whether a cut has ended, in milliseconds.
-const CUT_LOOK_MS: u64 = 20;
+/// Interval between two checks whether a partition has healed, in milliseconds.
+const PARTITION_POLL_MS: u64 = 20;
 
-/// What a connection carries back.
-enum Carry {
-    /// The whole answer.
-    Whole(Reply),
-    /// Half of the answer, then the end of the connection.
-    Half(Reply),
-    /// The end of the connection.
-    Nothing,
-    /// Nothing, with the connection left open.
+/// How a call is answered on its connection.
+enum Delivery {
+    /// Send the complete reply.
+    Complete(Reply),
+    /// Send the reply with half of its body, then close the connection.
+    Truncated(Reply),
+    /// Close the connection.
+    Disconnect,
+    /// Send nothing and keep the connection open.
     Silence,
 }
 
-/// Serves a machine's port, closing and opening it as its faults say.
-pub(crate) async fn serve(machine: Arc<Machine>, first: TcpListener, birth: Instant) {
+/// Serves a machine's port, and closes and reopens it according to the fault.
+/// Start times are relative to `origin`.
+pub(crate) async fn serve(machine: Arc<Machine>, first: TcpListener, origin: Instant) {
     let mut port = machine.port.subscribe();
     let mut listener = Some(first);
     loop {
@@ -48,14 +49,14 @@
         tokio::select! {
             changed = port.changed() => if changed.is_err() { return },
             Some(stream) = accept(listener.as_ref()) => {
-                let cut = machine.port.subscribe();
-                tokio::spawn(serve_connection(Arc::clone(&machine), stream, cut, birth));
+                let port_changes = machine.port.subscribe();
+                tokio::spawn(serve_connection(Arc::clone(&machine), stream, port_changes, origin));
             }
         }
     }
 }
 
-/// Accepts a connection; never, without a listener.
+/// Accepts a connection, or waits forever without a listener.
 async fn accept(listener: Option<&TcpListener>) -> Option<TcpStream> {
     match listener {
         Some(listener) => listener.accept().await.ok().map(|(stream, _)| stream),
@@ -66,121 +67,122 @@
 async fn serve_connection(
     machine: Arc<Machine>,
     stream: TcpStream,
-    mut cut: watch::Receiver<(u64, bool)>,
-    birth: Instant,
+    mut port_changes: watch::Receiver<(u64, bool)>,
+    origin: Instant,
 ) {
-    let over = {
+    let over_limit = {
         let mut state = lock(&machine.state);
         state.connections += 1;
         state.connections > machine.spec.connections
     };
-    if !over {
-        // An error ends the connection, and that is all that a caller sees of it.
+    if !over_limit {
+        // Errors only close the connection.
         tokio::select! {
-            _ = calls(&machine, stream, birth) => {}
-            _ = cut.changed() => {}
+            _ = serve_calls(&machine, stream, origin) => {}
+            _ = port_changes.changed() => {}
         }
     }
     lock(&machine.state).connections -= 1;
 }
 
-async fn calls(machine: &Arc<Machine>, stream: TcpStream, birth: Instant) -> io::Result<()> {
+async fn serve_calls(machine: &Arc<Machine>, stream: TcpStream, origin: Instant) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut stream = BufReader::new(stream);
     while let Some(call) = http::read(&mut stream).await? {
-        // Written at once, so that no second packet waits for the first one's acknowledgement.
-        match answer(machine, call, birth).await {
-            Carry::Whole(reply) => stream.get_mut().write_all(&reply.bytes()).await?,
-            Carry::Half(reply) => {
-                let bytes = reply.bytes();
+        // One write per reply, so that no second packet waits for the first one's acknowledgement.
+        match handle_call(machine, call, origin).await {
+            Delivery::Complete(reply) => stream.get_mut().write_all(&reply.to_bytes()).await?,
+            Delivery::Truncated(reply) => {
+                let bytes = reply.to_bytes();
                 let half = bytes.len() - reply.body.len().div_ceil(2);
                 return stream.get_mut().write_all(&bytes[..half]).await;
             }
-            Carry::Nothing => return Ok(()),
-            Carry::Silence => std::future::pending().await,
+            Delivery::Disconnect => return Ok(()),
+            Delivery::Silence => std::future::pending().await,
         }
     }
     Ok(())
 }
 
-async fn answer(machine: &Arc<Machine>, call: Call, birth: Instant) -> Carry {
+async fn handle_call(machine: &Arc<Machine>, call: Call, origin: Instant) -> Delivery {
     if let Some(reply) = worker::control(machine, &call) {
-        return Carry::Whole(reply);
+        return Delivery::Complete(reply);
     }
     if call.method != "POST" {
-        return Carry::Whole(Reply::new(404, "no such path"));
+        return Delivery::Complete(Reply::new(404, "no such path"));
     }
     let text = call.text();
     let key = call.header(TASK_HEADER).unwrap_or_default().to_owned();
     let caller = key.split(':').next().unwrap_or_default();
-    pass(machine, caller).await;
-    let carry = work(machine, &call, &key, text, birth).await;
-    pass(machine, caller).await;
-    carry
+    cross_network(machine, caller).await;
+    let delivery = start_task(machine, &call, &key, text, origin).await;
+    cross_network(machine, caller).await;
+    delivery
 }
 
-/// Waits for what lies between an entry host and the machine: a cut, then the distance.
-async fn pass(machine: &Machine, caller: &str) {
-    while machine.is_cut_off_from(caller) {
-        timer::sleep_until(Instant::now() + Duration::from_millis(CUT_LOOK_MS)).await;
+/// Waits until no partition separates an entry host from the machine, then for the
+/// one-way latency.
+async fn cross_network(machine: &Machine, caller: &str) {
+    while machine.is_disconnected_from(caller) {
+        timer::sleep_until(Instant::now() + Duration::from_millis(PARTITION_POLL_MS)).await;
     }
     timer::sleep_until(Instant::now() + machine.distance_from(caller)).await;
 }
 
-/// Runs the task of a call, or denies it, with the machine's fault.
-async fn work(
+/// Starts the task of a call, or rejects it, and applies the machine's fault.
+async fn start_task(
     machine: &Arc<Machine>,
     call: &Call,
     key: &str,
     text: String,
-    birth: Instant,
-) -> Carry {
+    origin: Instant,
+) -> Delivery {
     let lease_ms = call.header(LEASE_HEADER).and_then(|text| text.parse().ok());
-    let (number, fault) = match machine.start(birth, key, &text, lease_ms) {
+    let (number, fault) = match machine.start(origin, key, &text, lease_ms) {
         Ok(started) => started,
-        Err(deny) => return Carry::Whole(denial(deny)),
+        Err(rejection) => return Delivery::Complete(rejection_reply(rejection)),
     };
-    // The task runs on when its caller goes away, as on a real machine.
-    let task = tokio::spawn(run(Arc::clone(machine), number, text));
+    // As on a real machine, the task continues when its caller disconnects.
+    let task = tokio::spawn(run_task(Arc::clone(machine), number, text));
     match fault {
-        MachineFault::Close => return Carry::Nothing,
-        MachineFault::Silent => return Carry::Silence,
+        MachineFault::Close => return Delivery::Disconnect,
+        MachineFault::Silent => return Delivery::Silence,
         _ => {}
     }
-    let Ok(reply) = task.await else { return Carry::Nothing };
+    let Ok(reply) = task.await else { return Delivery::Disconnect };
     match fault {
-        MachineFault::Status(status) => Carry::Whole(Reply::new(status, "failed")),
-        MachineFault::Truncate => Carry::Half(reply),
+        MachineFault::Status(status) => Delivery::Complete(Reply::new(status, "failed")),
+        MachineFault::Truncate => Delivery::Truncated(reply),
         MachineFault::Delay(ms) => {
             timer::sleep_until(Instant::now() + Duration::from_millis(ms)).await;
-            Carry::Whole(reply)
+            Delivery::Complete(reply)
         }
-        _ => Carry::Whole(reply),
+        _ => Delivery::Complete(reply),
     }
 }
 
-/// Runs a task to its end, its stop or the end of its lease.
-async fn run(machine: Arc<Machine>, number: u64, text: String) -> Reply {
+/// Waits until a task completes, is stopped or its lease expires.
+async fn run_task(machine: Arc<Machine>, number: u64, text: String) -> Reply {
     while let Some(running) = machine.running(number) {
-        let next = running.next_event();
-        if running.stopped || next <= Instant::now() {
+        let until = running.run_until();
+        if running.stop_requested || until <= Instant::now() {
             break;
         }
         tokio::select! {
-            () = timer::sleep_until(next) => {}
+            () = timer::sleep_until(until) => {}
             () = running.changed.notified() => {}
         }
     }
-    let ended = machine.finish(number);
-    match ended {
-        Some(running) if running.stopped => Reply::new(410, "stopped"),
-        Some(running) if running.next_event() < running.ends => Reply::new(410, "lease ended"),
+    let finished = machine.finish(number);
+    match finished {
+        Some(running) if running.stop_requested => Reply::new(410, "stopped"),
+        Some(running) if running.run_until() < running.ends_at => Reply::new(410, "lease ended"),
         _ => Reply::new(200, echo(&text)),
     }
 }
 
-fn denial(deny: Rejection) -> Reply {
-    let reason = match deny {
+fn rejection_reply(rejection: Rejection) -> Reply {
+    let reason = match rejection {
         Rejection::Busy => "busy",
         Rejection::Leaving => "leaving",
     };
--- a/endivestile_testkit/src/machine/fault.rs
+++ b/endivestile_testkit/src/machine/fault.rs
@@ -1,30 +1,30 @@
-//! Faults of one machine.
+//! Injectable faults of a machine.
 
-/// What goes wrong at a machine, until another fault is set.
+/// Fault of a machine, in effect until another one is set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum MachineFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The port is closed and open connections are cut; running tasks go on.
+    /// Closes the port and all connections. Running tasks continue.
     Refuse,
-    /// Takes the task, closes the connection after reading the request, and runs it.
+    /// Reads the request, closes the connection and runs the task.
     Close,
-    /// Runs the task, sends half of the answer and closes the connection.
+    /// Runs the task, sends half of the answer's body and closes the connection.
     Truncate,
-    /// Runs the task and answers this many milliseconds late.
+    /// Runs the task and delays the answer by this many milliseconds.
     Delay(u64),
-    /// Takes the task and fails it at once with this status.
+    /// Accepts the task and fails it at once with this HTTP status.
     Status(u16),
-    /// Says that it is full and starts nothing.
+    /// Rejects tasks as if all slots were in use.
     Busy,
-    /// Says that it is leaving and starts nothing.
+    /// Rejects tasks because the machine is leaving.
     Leaving,
-    /// Runs this many in a hundred tasks ten times slower.
+    /// Runs this percentage of the tasks ten times slower.
     Straggle(u8),
-    /// Runs tasks and never answers.
+    /// Runs tasks, never answers and keeps the connection open.
     Silent,
 }
 
-/// Factor by which a straggling task takes longer.
-pub(crate) const STRAGGLE: f64 = 10.0;
+/// Factor by which the run time of a straggler increases.
+pub(crate) const STRAGGLER_FACTOR: f64 = 10.0;
--- a/endivestile_testkit/src/machine/machine_set.rs
+++ b/endivestile_testkit/src/machine/machine_set.rs
@@ -1,4 +1,4 @@
-//! The machines of one stand-in and the thread that serves them.
+//! The machines of a stand-in and the thread that serves them.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub(crate) struct MachineSet {
     machines: BTreeMap<String, Arc<Machine>>,
-    end: Option<oneshot::Sender<()>>,
+    stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -28,9 +28,9 @@
     /// Starts the machines, each on an ephemeral port.
     ///
     /// # Errors
-    /// Those of the listeners and the thread.
+    /// Returns an error when a listener or the thread cannot be started.
     pub(crate) fn start(specs: Vec<MachineSpec>) -> io::Result<Self> {
-        let birth = Instant::now();
+        let origin = Instant::now();
         let mut machines = BTreeMap::new();
         let mut ports = Vec::new();
         for (seed, spec) in specs.into_iter().enumerate() {
@@ -41,14 +41,14 @@
             ports.push((Arc::clone(&machine), listener));
             machines.insert(name, machine);
         }
-        let (end, ended) = oneshot::channel();
+        let (stop, stopped) = oneshot::channel();
         let thread = thread::Builder::new().name("machines".into()).spawn(move || {
-            // Machines that can't be served show at callers as closed ports.
-            if let Err(err) = serve(ports, birth, ended) {
+            // Callers see machines that fail to serve as closed ports.
+            if let Err(err) = serve(ports, origin, stopped) {
                 eprintln!("event=machines_failed error={err:?}");
             }
         })?;
-        Ok(Self { machines, end: Some(end), thread: Some(thread) })
+        Ok(Self { machines, stop: Some(stop), thread: Some(thread) })
     }
 
     /// Returns the names of the machines.
@@ -61,92 +61,92 @@
         self.machine(name).address
     }
 
-    /// Returns a machine.
+    /// Returns the machine of the given name.
     pub(crate) fn machine(&self, name: &str) -> &Machine {
         match self.machines.get(name) {
             Some(machine) => machine,
-            None => panic!("no machine {name}, there are {:?}", self.names()),
+            None => panic!("unknown machine {name}, known are {:?}", self.names()),
         }
     }
 
-    /// Tells a machine where it stands among the zones.
-    pub(crate) fn set_zone(&self, name: &str, zone: &str, zones: &Arc<Topology>) {
-        // Told once, by the deployment that owns the zones.
-        let _ = self.machine(name).site.set((zone.to_owned(), Arc::clone(zones)));
+    /// Sets the zone of a machine and the topology that contains it.
+    pub(crate) fn set_zone(&self, name: &str, zone: &str, topology: &Arc<Topology>) {
+        // Set once, by the deployment that owns the topology.
+        let _ = self.machine(name).location.set((zone.to_owned(), Arc::clone(topology)));
     }
 
-    /// Sets a fault.
+    /// Sets the fault of a machine.
     pub(crate) fn set_fault(&self, name: &str, fault: MachineFault) {
         self.machine(name).set_fault(fault);
     }
 
-    /// Sets the speed of tasks that start from now on.
+    /// Sets the speed for tasks that start from now on.
     pub(crate) fn set_speed(&self, name: &str, speed: f64) {
         lock(&self.machine(name).state).speed = speed;
     }
 
-    /// Returns all starts in the order of time.
+    /// Returns all recorded starts, ordered by time.
     pub(crate) fn starts(&self) -> Vec<TaskStart> {
-        let each = self.machines.values().map(|machine| lock(&machine.state).starts.clone());
-        let mut starts: Vec<TaskStart> = each.flatten().collect();
+        let per_machine = self.machines.values().map(|machine| lock(&machine.state).starts.clone());
+        let mut starts: Vec<TaskStart> = per_machine.flatten().collect();
         starts.sort_by_key(|start| start.at_us);
         starts
     }
 
-    /// Forgets the starts so far.
+    /// Clears the recorded starts.
     pub(crate) fn clear_starts(&self) {
         for machine in self.machines.values() {
             lock(&machine.state).starts.clear();
         }
     }
 
-    /// Returns how often the work of this key was started.
+    /// Returns the number of recorded starts of the work with a key.
     pub(crate) fn starts_of(&self, work: &str) -> usize {
-        let each = self.machines.values().map(|machine| {
+        let per_machine = self.machines.values().map(|machine| {
             lock(&machine.state).starts.iter().filter(|start| start.work == work).count()
         });
-        each.sum()
+        per_machine.sum()
     }
 
-    /// Returns the works that were started more than once, with their counts.
+    /// Returns the keys of works that were started more than once, with their counts.
     pub(crate) fn duplicate_starts(&self) -> Vec<(String, usize)> {
         repeated(self.starts().iter().map(|start| start.work.as_str()))
     }
 
-    /// Returns the starts of one machine.
+    /// Returns the number of recorded starts on a machine.
     pub(crate) fn starts_at(&self, name: &str) -> usize {
         lock(&self.machine(name).state).starts.len()
     }
 
-    /// Returns the starts at all machines, forgotten ones included.
+    /// Returns the number of starts on all machines, including cleared ones.
     pub(crate) fn total_starts(&self) -> u64 {
-        self.machines.values().map(|machine| lock(&machine.state).total).sum()
+        self.machines.values().map(|machine| lock(&machine.state).start_count).sum()
     }
 
-    /// Returns the most tasks that ran at once on a machine.
+    /// Returns the largest number of tasks that ran on a machine at the same time.
     pub(crate) fn peak_running(&self, name: &str) -> usize {
-        lock(&self.machine(name).state).peak
+        lock(&self.machine(name).state).peak_tasks
     }
 
-    /// Returns the tasks that run now on all machines.
+    /// Returns the number of tasks running on all machines.
     pub(crate) fn running(&self) -> usize {
         self.machines.values().map(|machine| lock(&machine.state).tasks.len()).sum()
     }
 
-    /// Returns the calls refused as busy or leaving on all machines.
+    /// Returns the number of calls that all machines rejected as busy or leaving.
     pub(crate) fn rejections(&self) -> u64 {
-        self.machines.values().map(|machine| lock(&machine.state).denied).sum()
+        self.machines.values().map(|machine| lock(&machine.state).rejected_calls).sum()
     }
 }
 
 impl Drop for MachineSet {
     fn drop(&mut self) {
-        if let Some(end) = self.end.take() {
-            // A thread that has failed already needs no sign.
-            let _ = end.send(());
+        if let Some(stop) = self.stop.take() {
+            // Sending fails when the thread has already ended.
+            let _ = stop.send(());
         }
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread has already been printed.
+            // The panic hook has already printed a panic of the thread.
             let _ = thread.join();
         }
     }
@@ -154,17 +154,17 @@
 
 fn serve(
     ports: Vec<(Arc<Machine>, TcpListener)>,
-    birth: Instant,
-    ended: oneshot::Receiver<()>,
+    origin: Instant,
+    stopped: oneshot::Receiver<()>,
 ) -> io::Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async move {
         for (machine, listener) in ports {
             let listener = tokio::net::TcpListener::from_std(listener)?;
-            tokio::spawn(connection::serve(machine, listener, birth));
+            tokio::spawn(connection::serve(machine, listener, origin));
         }
-        // Both the sign and a dropped sender mean the end.
-        let _ = ended.await;
+        // Both a message and a dropped sender mean stop.
+        let _ = stopped.await;
         Ok(())
     })
 }
--- a/endivestile_testkit/src/machine/mod.rs
+++ b/endivestile_testkit/src/machine/mod.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for the machines that run tasks: backend servers and workers.
 //!
-//! One thread serves the ports of all machines of a stand-in. It speaks HTTP
-//! over plain sockets, since a library's server hides the socket that a fault
-//! has to close in the middle of an answer.
+//! One thread serves the ports of all machines of a stand-in. It implements HTTP
+//! on plain sockets, since HTTP server libraries hide the socket that some
+//! faults close in the middle of an answer.
 
 mod backend;
 mod connection;
--- a/endivestile_testkit/src/machine/start.rs
+++ b/endivestile_testkit/src/machine/start.rs
@@ -1,29 +1,29 @@
-//! Starts of tasks, as tests count them.
+//! Records of started tasks.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use serde::Deserialize;
 
-/// One start of a task at a machine.
+/// Record of one task start on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskStart {
     /// Name of the machine.
     pub machine: Arc<str>,
-    /// Key of the task as the system named it, empty when the call carried none.
+    /// Task key sent by the entry host, empty when the call had none.
     pub task: String,
-    /// Key inside the work, or the whole work when it has none.
+    /// Key given in the task's work, or the whole work when it has no key.
     pub work: String,
-    /// When it started, in microseconds since the stand-in started.
+    /// Start time, in microseconds since the stand-in started.
     pub at_us: u64,
-    /// How long the machine takes for it, in microseconds.
+    /// Run time on this machine, in microseconds.
     pub service_us: u64,
 }
 
-/// What the stand-in reads of a task's work: `{"key":"k1","ms":120}`.
+/// Work of a task in the form that the stand-in interprets: `{"key":"k1","ms":120}`.
 #[derive(Debug, Default, Deserialize)]
 pub(crate) struct Work {
-    /// Key by which the test names the task.
+    /// Key by which a test identifies the task.
     #[serde(default)]
     pub(crate) key: Option<String>,
     /// Run time on a machine of speed 1, in milliseconds.
@@ -32,13 +32,14 @@
 }
 
 impl Work {
-    /// Reads the work; other text than JSON has neither key nor run time.
+    /// Parses the work. Text in any other form has neither key nor run time.
     pub(crate) fn parse(text: &str) -> Self {
         serde_json::from_str(text).unwrap_or_default()
     }
 }
 
-/// Returns the answer of every stand-in to `work`, by which a caller knows its own.
+/// Returns the answer of every stand-in to `work`. It contains the work, so that a
+/// caller can check that an answer belongs to its own task.
 pub fn echo(work: &str) -> String {
     format!("done {work}")
 }
@@ -49,6 +50,6 @@
     for key in keys {
         *counts.entry(key).or_default() += 1;
     }
-    let many = counts.into_iter().filter(|(_, count)| *count > 1);
-    many.map(|(key, count)| (key.to_owned(), count)).collect()
+    let duplicates = counts.into_iter().filter(|(_, count)| *count > 1);
+    duplicates.map(|(key, count)| (key.to_owned(), count)).collect()
 }
--- a/endivestile_testkit/src/machine/worker.rs
+++ b/endivestile_testkit/src/machine/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: tasks under leases, usage with a lag, control of running tasks.
+//! Stand-in for workers: tasks with leases, control of running tasks and delayed usage reports.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,18 +14,18 @@
 use super::{MachineFault, MachineSpec, TaskStart};
 use crate::net::Topology;
 
-/// How old the usage is that a worker reports, in milliseconds.
+/// Age of the usage that a worker reports, in milliseconds.
 const USAGE_LAG_MS: u64 = 500;
 /// Prefix of the paths that control a running task.
-const TASKS: &str = "/v1/tasks/";
+const TASKS_PREFIX: &str = "/v1/tasks/";
 
 /// Workers on ephemeral ports of 127.0.0.1.
 ///
-/// `POST /v1/run` with `Lease-Ms` runs a task until its end or the end of the
-/// lease, whichever comes first. `POST /v1/tasks/<key>/lease` renews the lease,
-/// `DELETE /v1/tasks/<key>` stops the task, `POST /v1/tasks/<key>/throttle`
-/// with a percentage as body slows it down, `POST /v1/tasks/<key>/checkpoint`
-/// tells how far it is, and `GET /v1/usage` tells the slots taken half a second ago.
+/// `POST /v1/run` with `Lease-Ms` runs a task until it completes or its lease
+/// expires. `POST /v1/tasks/<key>/lease` renews the lease, `DELETE /v1/tasks/<key>`
+/// stops the task, `POST /v1/tasks/<key>/throttle` with a percentage as body slows
+/// it down, `POST /v1/tasks/<key>/checkpoint` returns its progress, and
+/// `GET /v1/usage` returns the slots in use half a second ago.
 #[derive(Debug)]
 pub struct WorkerStandIn {
     machines: MachineSet,
@@ -35,7 +35,7 @@
     /// Starts the workers.
     ///
     /// # Errors
-    /// Those of the listeners and the thread.
+    /// Returns an error when a listener or the thread cannot be started.
     pub fn start(specs: Vec<MachineSpec>) -> io::Result<Self> {
         Ok(Self { machines: MachineSet::start(specs)? })
     }
@@ -48,70 +48,71 @@
     /// Returns the address of a worker.
     ///
     /// # Panics
-    /// As every call that names a worker, when there is none of that name.
+    /// Like every method that takes a worker's name, panics when no worker has that name.
     pub fn address(&self, name: &str) -> SocketAddr {
         self.machines.address(name)
     }
 
-    /// Tells a machine where it stands among the zones.
-    pub(crate) fn set_zone(&self, name: &str, zone: &str, zones: &Arc<Topology>) {
-        self.machines.set_zone(name, zone, zones);
+    /// Sets the zone of a worker and the topology that contains it.
+    pub(crate) fn set_zone(&self, name: &str, zone: &str, topology: &Arc<Topology>) {
+        self.machines.set_zone(name, zone, topology);
     }
 
-    /// Sets a worker's fault.
+    /// Sets the fault of a worker.
     pub fn set_fault(&self, name: &str, fault: MachineFault) {
         self.machines.set_fault(name, fault);
     }
 
-    /// Sets the speed of tasks that start from now on.
+    /// Sets the speed for tasks that start from now on.
     pub fn set_speed(&self, name: &str, speed: f64) {
         self.machines.set_speed(name, speed);
     }
 
-    /// Cuts the open connections of a worker, its idle ones too.
+    /// Closes all connections of a worker, including idle ones.
     pub fn close_connections(&self, name: &str) {
         self.machines.machine(name).close_connections();
     }
 
-    /// Returns all starts in the order of time.
+    /// Returns all recorded starts, ordered by time.
     pub fn starts(&self) -> Vec<TaskStart> {
         self.machines.starts()
     }
 
-    /// Returns how often the work of this key was started.
+    /// Returns the number of recorded starts of the work with a key.
     pub fn starts_of(&self, work: &str) -> usize {
         self.machines.starts_of(work)
     }
 
-    /// Returns the works that were started more than once, with their counts.
+    /// Returns the keys of works that were started more than once, with their counts.
     pub fn duplicate_starts(&self) -> Vec<(String, usize)> {
         self.machines.duplicate_starts()
     }
 
-    /// Returns the most tasks that ran at once on a worker.
+    /// Returns the largest number of tasks that ran on a worker at the same time.
     pub fn peak_running(&self, name: &str) -> usize {
         self.machines.peak_running(name)
     }
 
-    /// Returns the tasks that run now on all workers.
+    /// Returns the number of tasks running on all workers.
     pub fn running(&self) -> usize {
         self.machines.running()
     }
 }
 
-/// Answers a call that controls a running task or asks for usage.
+/// Answers calls for usage and calls that control a running task. Returns `None`
+/// for other calls.
 pub(crate) fn control(machine: &Machine, call: &Call) -> Option<Reply> {
     if call.method == "GET" && call.path == "/v1/usage" {
         return Some(usage(machine));
     }
-    let rest = call.path.strip_prefix(TASKS)?;
-    let (key, verb) = rest.split_once('/').unwrap_or((rest, ""));
-    let found = match (call.method.as_str(), verb) {
-        ("DELETE", "") => machine.update(key, |running| running.stopped = true),
+    let rest = call.path.strip_prefix(TASKS_PREFIX)?;
+    let (key, action) = rest.split_once('/').unwrap_or((rest, ""));
+    let found = match (call.method.as_str(), action) {
+        ("DELETE", "") => machine.update(key, |running| running.stop_requested = true),
         ("POST", "lease") => {
             let ms = call.header(LEASE_HEADER)?.parse().ok()?;
-            let lease = Instant::now() + Duration::from_millis(ms);
-            machine.update(key, |running| running.lease = Some(lease))
+            let expires_at = Instant::now() + Duration::from_millis(ms);
+            machine.update(key, |running| running.lease_expires_at = Some(expires_at))
         }
         ("POST", "throttle") => {
             let percent: u32 = call.text().trim().parse().ok()?;
@@ -134,22 +135,24 @@
     )
 }
 
-/// Lets what is left of a task run at `percent` of its speed.
+/// Slows the rest of a task down to `percent` of its current speed.
 fn throttle(running: &mut RunningTask, percent: u32) {
     let now = Instant::now();
-    let left = running.ends.saturating_duration_since(now);
-    running.ends = now + left * 100 / percent.clamp(1, 100);
+    let remaining = running.ends_at.saturating_duration_since(now);
+    running.ends_at = now + remaining * 100 / percent.clamp(1, 100);
 }
 
+/// Returns the progress of a running task.
 fn checkpoint(machine: &Machine, key: &str) -> Reply {
     let now = Instant::now();
-    let mut done = None;
+    let mut done_percent = None;
     machine.update(key, |running| {
-        let whole = running.ends.saturating_duration_since(running.began).as_micros().max(1);
-        let ran = now.saturating_duration_since(running.began).as_micros();
-        done = Some((ran * 100 / whole).min(100) as u64);
+        let total =
+            running.ends_at.saturating_duration_since(running.started_at).as_micros().max(1);
+        let elapsed = now.saturating_duration_since(running.started_at).as_micros();
+        done_percent = Some((elapsed * 100 / total).min(100) as u64);
     });
-    match done {
+    match done_percent {
         Some(percent) => Reply::new(200, json!({ "done_percent": percent }).to_string()),
         None => Reply::new(404, "no such task"),
     }
--- a/endivestile_testkit/src/net/mod.rs
+++ b/endivestile_testkit/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The network between availability zones: distances and cuts.
+//! Simulated network between availability zones: latency and partitions.
 
 mod client_process;
 mod relay;
--- a/endivestile_testkit/src/net/relay.rs
+++ b/endivestile_testkit/src/net/relay.rs
@@ -1,4 +1,4 @@
-//! A relay before one host's links, which delays and cuts by zones.
+//! TCP relay that applies the latency and partitions between zones.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -11,118 +11,123 @@
 use super::Topology;
 use super::client_process::client_pid;
 
-/// Bytes read at once.
-const CHUNK: usize = 64 << 10;
+/// Size of the read buffer, in bytes.
+const BUFFER_LEN: usize = 64 << 10;
 
-/// Bytes and the instant at which they arrive.
-type Parcel = (Instant, Vec<u8>);
+/// Bytes and the time at which to deliver them.
+type Delivery = (Instant, Vec<u8>);
 
-/// Carries connections to one host.
+/// Relays connections to one target.
 ///
-/// While a cut lasts, connections stay open and nothing passes, as on a network
-/// that drops packets; what was sent passes after the cut.
+/// During a partition connections stay open and no data passes, as on a network
+/// that drops packets. Data sent meanwhile is delivered after the partition heals.
 #[derive(Debug)]
 pub(crate) struct ZoneRelay {
-    /// Address to dial instead of the host's.
+    /// Address to connect to instead of the target's.
     address: SocketAddr,
-    /// Whether its end has come.
-    ended: Arc<AtomicBool>,
+    /// Set when the relay is dropped.
+    stopped: Arc<AtomicBool>,
 }
 
 impl ZoneRelay {
-    /// Starts a relay on `listener` to `target`, which is in `zone`.
+    /// Starts a relay on `listener` to a `target` in `zone`.
     ///
     /// # Errors
-    /// Those of the thread.
+    /// Returns an error when the listener has no address or the thread cannot be started.
     pub(crate) fn start(
         listener: TcpListener,
         target: SocketAddr,
         zone: &str,
-        zones: &Arc<Topology>,
+        topology: &Arc<Topology>,
     ) -> io::Result<Self> {
         let address = listener.local_addr()?;
-        let ended = Arc::new(AtomicBool::new(false));
-        let line = Line {
+        let stopped = Arc::new(AtomicBool::new(false));
+        let route = Route {
             target,
             zone: zone.to_owned(),
-            zones: Arc::clone(zones),
-            ended: Arc::clone(&ended),
+            topology: Arc::clone(topology),
+            stopped: Arc::clone(&stopped),
         };
-        thread::Builder::new().name("relay".into()).spawn(move || accept(&listener, &line))?;
-        Ok(Self { address, ended })
+        thread::Builder::new().name("relay".into()).spawn(move || accept(&listener, &route))?;
+        Ok(Self { address, stopped })
     }
 }
 
 impl Drop for ZoneRelay {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::Relaxed);
-        // Wakes the thread that accepts; if that fails, it has ended already.
+        self.stopped.store(true, Ordering::Relaxed);
+        // Unblocks the accepting thread. Connecting fails only if it has already ended.
         let _ = TcpStream::connect(self.address);
     }
 }
 
-/// What the threads of one relay share.
+/// Target of a relay and state shared by its threads.
 #[derive(Debug, Clone)]
-struct Line {
+struct Route {
     target: SocketAddr,
     zone: String,
-    zones: Arc<Topology>,
-    ended: Arc<AtomicBool>,
+    topology: Arc<Topology>,
+    stopped: Arc<AtomicBool>,
 }
 
-fn accept(listener: &TcpListener, line: &Line) {
+fn accept(listener: &TcpListener, route: &Route) {
     for stream in listener.incoming().flatten() {
-        if line.ended.load(Ordering::Relaxed) {
+        if route.stopped.load(Ordering::Relaxed) {
             return;
         }
-        let line = line.clone();
+        let route = route.clone();
         thread::spawn(move || {
-            // A connection that fails is closed, which is what both ends see.
-            let _ = connect(&line, stream);
+            // An error closes the connection, which both ends notice.
+            let _ = connect(&route, stream);
         });
     }
 }
 
-fn connect(line: &Line, near: TcpStream) -> io::Result<()> {
-    let from = client_pid(near.peer_addr()?, near.local_addr()?, &line.zones.pids());
-    let zone =
-        from.and_then(|pid| line.zones.process_zone(pid)).unwrap_or_else(|| line.zone.clone());
-    if !line.zones.wait_connected(&zone, &line.zone, || line.ended.load(Ordering::Relaxed)) {
+/// Connects to the target once the client's zone can reach it. A client that is
+/// no known host counts as in the target's zone.
+fn connect(route: &Route, client: TcpStream) -> io::Result<()> {
+    let process = client_pid(client.peer_addr()?, client.local_addr()?, &route.topology.pids());
+    let zone = process
+        .and_then(|pid| route.topology.process_zone(pid))
+        .unwrap_or_else(|| route.zone.clone());
+    if !route.topology.wait_connected(&zone, &route.zone, || route.stopped.load(Ordering::Relaxed))
+    {
         return Ok(());
     }
-    let far = TcpStream::connect(line.target)?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    pump(line.clone(), &zone, near.try_clone()?, far.try_clone()?);
-    pump(line.clone(), &zone, far, near);
+    let upstream = TcpStream::connect(route.target)?;
+    client.set_nodelay(true)?;
+    upstream.set_nodelay(true)?;
+    forward(route.clone(), &zone, client.try_clone()?, upstream.try_clone()?);
+    forward(route.clone(), &zone, upstream, client);
     Ok(())
 }
 
-/// Carries one direction with one thread that reads and one that delays and writes.
-fn pump(line: Line, zone: &str, from: TcpStream, to: TcpStream) {
+/// Forwards one direction, with one thread that reads and one that delays and writes.
+fn forward(route: Route, zone: &str, from: TcpStream, to: TcpStream) {
     let (sender, receiver) = channel();
-    let delay = Duration::from_micros(line.zones.zone_distance_us(zone, &line.zone));
+    let delay = Duration::from_micros(route.topology.zone_distance_us(zone, &route.zone));
     let zone = zone.to_owned();
     thread::spawn(move || read(from, &sender, delay));
-    thread::spawn(move || write(&line, &zone, to, &receiver));
+    thread::spawn(move || write(&route, &zone, to, &receiver));
 }
 
-fn read(mut from: TcpStream, sender: &Sender<Parcel>, delay: Duration) {
-    let mut chunk = vec![0; CHUNK];
-    while let Ok(count) = from.read(&mut chunk) {
-        if count == 0 || sender.send((Instant::now() + delay, chunk[..count].to_vec())).is_err() {
+fn read(mut from: TcpStream, sender: &Sender<Delivery>, delay: Duration) {
+    let mut buffer = vec![0; BUFFER_LEN];
+    while let Ok(count) = from.read(&mut buffer) {
+        if count == 0 || sender.send((Instant::now() + delay, buffer[..count].to_vec())).is_err() {
             break;
         }
     }
-    // The other direction of a broken connection breaks too.
+    // When one direction fails, the connection must close in the other one too.
     let _ = from.shutdown(Shutdown::Read);
 }
 
-fn write(line: &Line, zone: &str, mut to: TcpStream, receiver: &Receiver<Parcel>) {
+fn write(route: &Route, zone: &str, mut to: TcpStream, receiver: &Receiver<Delivery>) {
     for (at, bytes) in receiver {
         thread::sleep(at.saturating_duration_since(Instant::now()));
-        let open =
-            line.zones.wait_connected(zone, &line.zone, || line.ended.load(Ordering::Relaxed));
+        let open = route
+            .topology
+            .wait_connected(zone, &route.zone, || route.stopped.load(Ordering::Relaxed));
         if !open || to.write_all(&bytes).is_err() {
             break;
         }
--- a/endivestile_testkit/src/net/topology.rs
+++ b/endivestile_testkit/src/net/topology.rs
@@ -1,4 +1,4 @@
-//! Which process is in which availability zone, and what lies between zones.
+//! Zones of hosts and their processes, and latency and partitions between zones.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Condvar, Mutex};
@@ -6,10 +6,10 @@
 
 use crate::lock::lock;
 
-/// How long a stopped relay waits before it looks whether its end has come, in milliseconds.
-const LOOK_MS: u64 = 100;
+/// Interval at which a blocked relay checks whether it was stopped, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 100;
 
-/// Topology of hosts, distances and cuts between zones.
+/// Zones of the hosts, and latency and partitions between zones.
 #[derive(Debug, Default)]
 pub(crate) struct Topology {
     state: Mutex<State>,
@@ -18,36 +18,36 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Topology by host.
+    /// Zones by host name.
     hosts: HashMap<String, String>,
-    /// Hosts by process id.
+    /// Host names by process id.
     pids: HashMap<u32, String>,
-    /// One-way distance between two zones, in microseconds.
+    /// One-way latency between two zones, in microseconds.
     distance_us: u64,
-    /// Pairs of zones that are cut off from each other, in both orders.
-    cuts: HashSet<(String, String)>,
+    /// Pairs of disconnected zones, in both orders.
+    partitions: HashSet<(String, String)>,
 }
 
 impl Topology {
-    /// Makes zones that are `distance_us` microseconds apart, one way.
+    /// Creates a topology with `distance_us` microseconds of one-way latency between zones.
     pub(crate) fn new(distance_us: u64) -> Self {
         let state = State { distance_us, ..State::default() };
         Self { state: Mutex::new(state), healed: Condvar::new() }
     }
 
-    /// Notes the zone of a host.
+    /// Sets the zone of a host.
     pub(crate) fn set_host_zone(&self, host: &str, zone: &str) {
         lock(&self.state).hosts.insert(host.to_owned(), zone.to_owned());
     }
 
-    /// Notes that a host runs as this process now.
+    /// Sets the current process of a host.
     pub(crate) fn set_host_pid(&self, host: &str, pid: u32) {
         let mut state = lock(&self.state);
         state.pids.retain(|_, name| name != host);
         state.pids.insert(pid, host.to_owned());
     }
 
-    /// Returns the ids of the processes.
+    /// Returns the process ids of all hosts.
     pub(crate) fn pids(&self) -> Vec<u32> {
         lock(&self.state).pids.keys().copied().collect()
     }
@@ -58,54 +58,54 @@
         state.pids.get(&pid).and_then(|host| state.hosts.get(host)).cloned()
     }
 
-    /// Returns the one-way distance from a host to a zone, in microseconds.
+    /// Returns the one-way latency from a host to a zone, in microseconds; 0 for an unknown host.
     pub(crate) fn host_distance_us(&self, host: &str, zone: &str) -> u64 {
         let state = lock(&self.state);
-        let near = state.hosts.get(host).is_none_or(|own| own == zone);
-        if near { 0 } else { state.distance_us }
+        let same_zone = state.hosts.get(host).is_none_or(|own| own == zone);
+        if same_zone { 0 } else { state.distance_us }
     }
 
-    /// Returns the one-way distance between two zones, in microseconds.
+    /// Returns the one-way latency between two zones, in microseconds.
     pub(crate) fn zone_distance_us(&self, a: &str, b: &str) -> u64 {
         if a == b { 0 } else { lock(&self.state).distance_us }
     }
 
-    /// Cuts a zone off from all others.
+    /// Disconnects a zone from the zones of all other hosts.
     pub(crate) fn isolate(&self, zone: &str) {
         let mut state = lock(&self.state);
-        let all: HashSet<String> = state.hosts.values().cloned().collect();
-        for other in all.into_iter().filter(|other| other != zone) {
-            state.cut_pair(zone, &other);
+        let zones: HashSet<String> = state.hosts.values().cloned().collect();
+        for other in zones.into_iter().filter(|other| other != zone) {
+            state.disconnect(zone, &other);
         }
     }
 
-    /// Cuts two zones off from each other.
-    pub(crate) fn cut_pair(&self, a: &str, b: &str) {
-        lock(&self.state).cut_pair(a, b);
+    /// Disconnects two zones from each other.
+    pub(crate) fn disconnect(&self, a: &str, b: &str) {
+        lock(&self.state).disconnect(a, b);
     }
 
-    /// Ends all cuts.
+    /// Reconnects all zones.
     pub(crate) fn heal(&self) {
-        lock(&self.state).cuts.clear();
+        lock(&self.state).partitions.clear();
         self.healed.notify_all();
     }
 
-    /// Tells whether a host is cut off from a zone.
-    pub(crate) fn is_cut_off(&self, host: &str, zone: &str) -> bool {
+    /// Returns whether a host's zone is disconnected from another zone.
+    pub(crate) fn is_disconnected(&self, host: &str, zone: &str) -> bool {
         let state = lock(&self.state);
-        let own = state.hosts.get(host).cloned().unwrap_or_default();
-        state.cuts.contains(&(own, zone.to_owned()))
+        let host_zone = state.hosts.get(host).cloned().unwrap_or_default();
+        state.partitions.contains(&(host_zone, zone.to_owned()))
     }
 
-    /// Waits while two zones are cut off from each other; false when `ended` says to give up.
-    pub(crate) fn wait_connected(&self, a: &str, b: &str, ended: impl Fn() -> bool) -> bool {
+    /// Waits until two zones are connected. Returns false when `stopped` returns true first.
+    pub(crate) fn wait_connected(&self, a: &str, b: &str, stopped: impl Fn() -> bool) -> bool {
         let pair = (a.to_owned(), b.to_owned());
         let mut state = lock(&self.state);
-        while state.cuts.contains(&pair) {
-            if ended() {
+        while state.partitions.contains(&pair) {
+            if stopped() {
                 return false;
             }
-            let wait = self.healed.wait_timeout(state, Duration::from_millis(LOOK_MS));
+            let wait = self.healed.wait_timeout(state, Duration::from_millis(POLL_INTERVAL_MS));
             state = wait.unwrap_or_else(std::sync::PoisonError::into_inner).0;
         }
         true
@@ -113,8 +113,8 @@
 }
 
 impl State {
-    fn cut_pair(&mut self, a: &str, b: &str) {
-        self.cuts.insert((a.to_owned(), b.to_owned()));
-        self.cuts.insert((b.to_owned(), a.to_owned()));
+    fn disconnect(&mut self, a: &str, b: &str) {
+        self.partitions.insert((a.to_owned(), b.to_owned()));
+        self.partitions.insert((b.to_owned(), a.to_owned()));
     }
 }
--- a/endivestile_testkit/src/platform/mod.rs
+++ b/endivestile_testkit/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the users' platform over real sockets: its store and its
-//! workers, speaking their protocol on loopback.
+//! Stand-in for the users' platform: its store and workers, which serve their
+//! protocols on loopback sockets.
 
 mod host;
 mod server;
@@ -20,14 +20,14 @@
 use store::Keys;
 use workers::WorkerSet;
 
-/// State that all connections share.
+/// State shared by all connections.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) keys: Mutex<Keys>,
     pub(crate) workers: Mutex<WorkerSet>,
 }
 
-/// The stand-in; it lives until the test's process ends.
+/// Handle of the stand-in, which runs until the test process ends.
 #[derive(Debug)]
 pub struct PlatformStandIn {
     shared: Arc<Shared>,
@@ -35,7 +35,7 @@
 }
 
 impl PlatformStandIn {
-    /// Starts a store and so many workers, of 32 cores each, in each zone.
+    /// Starts a store, and the given number of workers with 32 cores each in every zone.
     pub fn start(zones: &[&str], workers: usize) -> Self {
         let shared = Arc::new(Shared { keys: Mutex::default(), workers: Mutex::default() });
         let store = server::listen(&shared, None);
@@ -48,12 +48,12 @@
         stand_in
     }
 
-    /// Returns the store's address.
+    /// Returns the address of the store.
     pub fn store_address(&self) -> SocketAddr {
         self.store
     }
 
-    /// Puts a configuration with one route in force: any path below `/jobs/`.
+    /// Writes a configuration with a single route, for paths below `/jobs/`.
     pub fn configure(&self, version: u64) {
         let config = json!({
             "Version": version,
@@ -71,12 +71,12 @@
         lock(&self.shared.keys).put("op/config", config.to_string().into_bytes());
     }
 
-    /// Writes a key as another writer of the store would.
+    /// Writes a key as another client of the store would.
     pub fn write(&self, key: &str, value: &[u8]) {
         lock(&self.shared.keys).put(key, value.to_vec());
     }
 
-    /// Has a zone evacuated, or takes it back, as an operator does.
+    /// Starts or ends the evacuation of a zone, as an operator does.
     pub fn set_evacuated(&self, zone: &str, evacuated: bool) {
         let key = format!("op/evacuate/{zone}");
         let mut keys = lock(&self.shared.keys);
@@ -92,57 +92,58 @@
         lock(&self.shared.keys).get(key)
     }
 
-    /// Turns every call to the store away, or serves them again.
+    /// Sets whether the store refuses every call.
     pub fn set_refusing(&self, refuse: bool) {
         lock(&self.shared.keys).refusing = refuse;
     }
 
-    /// Makes a worker misbehave, or behave again.
+    /// Sets the fault of a worker.
     pub fn set_fault(&self, worker: &str, fault: WorkerFault) {
         lock(&self.shared.workers).set_fault(worker, fault);
     }
 
-    /// Returns how many runs each worker has started.
+    /// Returns the number of runs started on each worker.
     pub fn starts(&self) -> Vec<(String, u64)> {
         lock(&self.shared.workers).starts()
     }
 
-    /// Returns how many runs of a job's tasks have started.
+    /// Returns the number of started runs of a job's tasks.
     pub fn starts_of(&self, id: &str) -> u64 {
         lock(&self.shared.workers).starts_of(id)
     }
 
-    /// Returns how many tasks of a job have ended well.
+    /// Returns the number of a job's tasks that have succeeded.
     pub fn tasks_done(&self, id: &str) -> usize {
         lock(&self.shared.workers).tasks_done(id)
     }
 
-    /// Returns the addresses at which the workers listen.
+    /// Returns the listen addresses of the workers by name.
     pub fn worker_addresses(&self) -> Vec<(String, SocketAddr)> {
         lock(&self.shared.workers).addresses()
     }
 
-    /// Registers a worker anew, at another address by which it can be reached.
+    /// Registers a worker with another address, such as that of a relay.
     pub fn set_address(&self, worker: &str, address: SocketAddr) {
         let zone = worker.split('-').next().unwrap_or_default();
         self.register(zone, worker, address, "ready");
     }
 
-    /// Registers a worker anew, as one that leaves or that has changed its mind.
-    pub fn set_leaving(&self, worker: &str, leaves: bool) {
+    /// Registers a worker as leaving, or as ready again.
+    pub fn set_leaving(&self, worker: &str, leaving: bool) {
         let zone = worker.split('-').next().unwrap_or_default();
-        let all = self.worker_addresses();
-        if let Some((_, address)) = all.iter().find(|(id, _)| id == worker) {
-            self.register(zone, worker, *address, if leaves { "draining" } else { "ready" });
+        let registered = self.worker_addresses();
+        if let Some((_, address)) = registered.iter().find(|(id, _)| id == worker) {
+            self.register(zone, worker, *address, if leaving { "draining" } else { "ready" });
         }
     }
 
-    /// Returns how many runs go on at all workers.
+    /// Returns the number of runs in progress on all workers.
     pub fn running(&self) -> usize {
         lock(&self.shared.workers).running()
     }
 
-    /// Returns everything that workers saw broken: room, or a task run twice at once.
+    /// Returns the violations seen by workers: exceeded capacity, or a task with two
+    /// runs at the same time.
     pub fn breaches(&self) -> Vec<String> {
         lock(&self.shared.workers).breaches.clone()
     }
@@ -154,6 +155,7 @@
         self.register(zone, &id, address, "ready");
     }
 
+    /// Writes a worker's entry to the store.
     fn register(&self, zone: &str, id: &str, address: SocketAddr, state: &str) {
         let entry = json!({
             "Service": "service", "Address": address.to_string(), "Zone": zone,
@@ -165,10 +167,10 @@
     }
 }
 
-/// Runs a future on a thread of its own until the process ends.
-pub(crate) fn spawn(work: impl Future<Output = ()> + Send + 'static) {
+/// Runs a future on a thread of its own.
+pub(crate) fn spawn(future: impl Future<Output = ()> + Send + 'static) {
     thread::spawn(move || {
         let runtime = Builder::new_current_thread().enable_all().build();
-        runtime.expect("a runtime of one thread").block_on(work);
+        runtime.expect("a single-threaded runtime").block_on(future);
     });
 }
--- a/endivestile_testkit/src/platform/server.rs
+++ b/endivestile_testkit/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! Sockets of the stand-in: one port for the store, one for each worker.
+//! HTTP server of the stand-in, with one port for the store and one for each worker.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, TcpListener};
@@ -15,45 +15,46 @@
 
 use super::{Shared, spawn, store, workers};
 
-/// A request, read whole.
+/// A request with its complete body.
 pub(crate) struct Call {
     /// Path.
     pub(crate) path: String,
-    /// Pairs of the query.
+    /// Query parameters.
     pub(crate) query: Vec<(String, String)>,
-    /// Body; null when there is none.
+    /// JSON body; null when there is none or it is invalid.
     pub(crate) body: Value,
-    /// Life of a worker that is meant.
-    pub(crate) life: Option<String>,
+    /// Worker instance that the caller expects to reach.
+    pub(crate) expected_instance: Option<String>,
 }
 
 impl Call {
-    /// Returns a value of the query.
+    /// Returns a query parameter.
     pub(crate) fn get(&self, key: &str) -> Option<&str> {
         let pair = self.query.iter().find(|(name, _)| name == key);
         pair.map(|(_, value)| value.as_str())
     }
 
-    /// Returns a number of the query, 0 when it is missing.
+    /// Returns a numeric query parameter, or 0 when it is missing or not a number.
     pub(crate) fn number(&self, key: &str) -> u64 {
         self.get(key).and_then(|text| text.parse().ok()).unwrap_or(0)
     }
 }
 
-/// What is answered; none keeps silent.
+/// Status and body of the answer; `None` sends no answer.
 pub(crate) type Answer = Option<(u16, Value)>;
 
-/// Opens a port for the store, or for a worker.
+/// Opens a port for a worker, or for the store when `worker` is `None`.
 pub(crate) fn listen(shared: &Arc<Shared>, worker: Option<String>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
-    let address = listener.local_addr().expect("a bound socket has an address");
-    listener.set_nonblocking(true).expect("a socket that does not block");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind an ephemeral loopback port");
+    let address = listener.local_addr().expect("address of a bound socket");
+    listener.set_nonblocking(true).expect("make the listener nonblocking");
     spawn(accept(listener, Arc::clone(shared), worker));
     address
 }
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>, worker: Option<String>) {
-    let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
+    let listener = tokio::net::TcpListener::from_std(listener)
+        .expect("register the listener with the runtime");
     while let Ok((stream, _)) = listener.accept().await {
         let (shared, worker) = (Arc::clone(&shared), worker.clone());
         let service =
@@ -71,12 +72,12 @@
     let body = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
     let query = head.uri.query().unwrap_or_default();
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    let life = head.headers.get("x-expect-instance").and_then(|life| life.to_str().ok());
+    let instance = head.headers.get("x-expect-instance").and_then(|header| header.to_str().ok());
     let call = Call {
         path: head.uri.path().to_owned(),
         query: pairs.map(|(key, value)| (key.to_owned(), value.to_owned())).collect(),
         body: serde_json::from_slice(&body).unwrap_or(Value::Null),
-        life: life.map(str::to_owned),
+        expected_instance: instance.map(str::to_owned),
     };
     let answer = match worker {
         Some(worker) => workers::answer(&shared, &worker, &call).await,
--- a/endivestile_testkit/src/platform/store.rs
+++ b/endivestile_testkit/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: keys with revisions, pages, watches, conditions.
+//! The platform's store: keys with revisions, paged reads, watches and conditional writes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 use super::server::{Answer, Call};
 use crate::lock::lock;
 
-/// Pause between two looks of a watch, in milliseconds.
-const LOOK_MS: u64 = 3;
-/// Keys of one page.
-const PAGE: usize = 500;
+/// Interval at which a watch checks for changes, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 3;
+/// Number of keys per page.
+const PAGE_LEN: usize = 500;
 
-/// The keys.
+/// Keys with their revisions and values.
 #[derive(Debug, Default)]
 pub(crate) struct Keys {
     items: BTreeMap<String, (u64, Vec<u8>)>,
-    /// Keys that were deleted, with the revision of that.
+    /// Deleted keys with the revision of their deletion.
     deleted: BTreeMap<String, u64>,
     revision: u64,
-    /// Whether every call is turned away.
+    /// Whether every call is refused.
     pub(crate) refusing: bool,
 }
 
@@ -50,7 +50,8 @@
         self.items.get(key).map(|(_, value)| value.clone())
     }
 
-    fn below<'a>(&'a self, prefix: &'a str, after: &'a str) -> impl Iterator<Item = Value> + 'a {
+    /// Returns the keys with a prefix that follow `after`.
+    fn list<'a>(&'a self, prefix: &'a str, after: &'a str) -> impl Iterator<Item = Value> + 'a {
         let items = self
             .items
             .iter()
@@ -58,11 +59,12 @@
         items.map(|(key, (revision, value))| item(key, *revision, value))
     }
 
+    /// Returns the writes and deletions under a prefix since a revision, in order.
     fn changes(&self, prefix: &str, after: u64) -> Vec<Value> {
-        let new = |key: &str, revision: u64| key.starts_with(prefix) && revision > after;
-        let written = self.items.iter().filter(|(key, (at, _))| new(key, *at));
+        let is_new = |key: &str, revision: u64| key.starts_with(prefix) && revision > after;
+        let written = self.items.iter().filter(|(key, (at, _))| is_new(key, *at));
         let written = written.map(|(key, (at, value))| (*at, item(key, *at, value)));
-        let deleted = self.deleted.iter().filter(|(key, at)| new(key, **at));
+        let deleted = self.deleted.iter().filter(|(key, at)| is_new(key, **at));
         let deleted =
             deleted.map(|(key, at)| (*at, json!({"Key": key, "Revision": at, "Tombstone": true})));
         let mut changes: Vec<(u64, Value)> = written.chain(deleted).collect();
@@ -70,14 +72,16 @@
         changes.into_iter().map(|(_, change)| change).collect()
     }
 
+    /// Runs a compare-and-swap: applies all writes if every key has the revision
+    /// named in the precondition.
     fn swap(&mut self, body: &Value) -> (u16, Value) {
         let rows = |name: &str| body[name].as_array().cloned().unwrap_or_default();
-        let held = |key: &str| self.items.get(key).map_or(0, |(revision, _)| *revision);
+        let current = |key: &str| self.items.get(key).map_or(0, |(revision, _)| *revision);
         let failed: Vec<Value> = rows("Precondition")
             .iter()
             .filter_map(|row| {
                 let key = row["Key"].as_str()?;
-                let revision = held(key);
+                let revision = current(key);
                 (Some(revision) != row["Revision"].as_u64())
                     .then(|| json!({"Key": key, "Revision": revision}))
             })
@@ -104,7 +108,7 @@
     })
 }
 
-/// Answers a call.
+/// Answers a call to the store.
 pub(crate) async fn answer(shared: &Arc<Shared>, call: &Call) -> Answer {
     if lock(&shared.keys).refusing {
         return Some((503, Value::Null));
@@ -114,9 +118,9 @@
         "/kv-range" => {
             let keys = lock(&shared.keys);
             let mut items: Vec<Value> =
-                keys.below(prefix, call.get("After").unwrap_or_default()).collect();
-            let more = items.len() > PAGE;
-            items.truncate(PAGE);
+                keys.list(prefix, call.get("After").unwrap_or_default()).collect();
+            let more = items.len() > PAGE_LEN;
+            items.truncate(PAGE_LEN);
             Some((200, json!({"items": items, "HasMore": more, "At": keys.revision})))
         }
         "/kv-watch" => Some(watch(shared, prefix, call).await),
@@ -125,6 +129,7 @@
     }
 }
 
+/// Waits until there are changes under a prefix or the caller's wait time is over.
 async fn watch(shared: &Arc<Shared>, prefix: &str, call: &Call) -> (u16, Value) {
     let after = call.number("After");
     let end = Instant::now() + Duration::from_millis(call.number("WaitMs"));
@@ -139,6 +144,6 @@
                 return (200, json!({"events": events, "At": keys.revision}));
             }
         }
-        sleep(Duration::from_millis(LOOK_MS)).await;
+        sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
 }
--- a/endivestile_testkit/src/soak/connection.rs
+++ b/endivestile_testkit/src/soak/connection.rs
@@ -1,29 +1,29 @@
-//! Callers that send job after job on connections which they keep open.
+//! Persistent caller connections to an entry host.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// What a caller saw of one sending of a job.
+/// One attempt of a caller to submit a job, and its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Attempt {
-    /// The job's id.
+    /// Id of the job.
     pub(crate) id: String,
-    /// Tasks of the job.
+    /// Number of tasks of the job.
     pub(crate) tasks: usize,
-    /// Status of the answer; none when the connection ended without one.
+    /// HTTP status of the answer; `None` when there was no answer.
     pub(crate) status: Option<u16>,
-    /// State that the answer told.
+    /// Whether the answer reported the job as completed.
     pub(crate) completed: bool,
-    /// When it was sent.
+    /// Time at which the attempt began.
     pub(crate) begun: Instant,
-    /// When it ended.
+    /// Time at which the attempt ended.
     pub(crate) ended: Instant,
-    /// Host that was called.
+    /// Index of the called host.
     pub(crate) host: usize,
 }
 
-/// A connection that a caller keeps using.
+/// A connection that is reused for several jobs.
 #[derive(Debug)]
 pub(crate) struct Connection {
     reader: BufReader<TcpStream>,
@@ -34,30 +34,30 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// Those of the socket.
-    pub(crate) fn open(address: SocketAddr, patience: Duration) -> io::Result<Self> {
-        let stream = TcpStream::connect_timeout(&address, patience)?;
+    /// Returns the socket's errors and timeouts.
+    pub(crate) fn open(address: SocketAddr, timeout: Duration) -> io::Result<Self> {
+        let stream = TcpStream::connect_timeout(&address, timeout)?;
         stream.set_nodelay(true)?;
         Ok(Self { reader: BufReader::new(stream), address })
     }
 
-    /// Returns whether it goes to an address.
+    /// Returns whether the connection was opened to an address.
     pub(crate) fn is_to(&self, address: SocketAddr) -> bool {
         self.address == address
     }
 
-    /// Sends a job and waits for its answer's status and body.
+    /// Sends a job, waits for the answer and returns its status and body.
     ///
     /// # Errors
-    /// Those of the socket, also when the answer does not come in time.
+    /// Returns the socket's errors, a timeout, and `InvalidData` for a malformed answer.
     pub(crate) fn send(
         &mut self,
         id: &str,
         body: &str,
         deadline: Duration,
-        patience: Duration,
+        timeout: Duration,
     ) -> io::Result<(u16, String)> {
-        let end = Instant::now() + patience;
+        let end = Instant::now() + timeout;
         let head = format!(
             "POST /jobs/{id} HTTP/1.1\r\nHost: jobs.example\r\nX-Deadline-Ms: {}\r\n\
              Request-Id: {id}\r\nContent-Length: {}\r\n\r\n",
@@ -65,12 +65,12 @@
             body.len()
         );
         self.reader.get_mut().write_all((head + body).as_bytes())?;
-        let status = self.line(end)?;
-        let status = status.split(' ').nth(1).and_then(|word| word.parse().ok());
+        let status = self.read_head_line(end)?;
+        let status = status.split(' ').nth(1).and_then(|code| code.parse().ok());
         let status = status.ok_or(io::ErrorKind::InvalidData)?;
         let mut length = 0;
         loop {
-            let line = self.line(end)?;
+            let line = self.read_head_line(end)?;
             if line.is_empty() {
                 break;
             }
@@ -79,13 +79,14 @@
             }
         }
         let mut body = vec![0; length];
-        self.limit(end)?;
+        self.set_read_deadline(end)?;
         self.reader.read_exact(&mut body)?;
         Ok((status, String::from_utf8_lossy(&body).into_owned()))
     }
 
-    fn line(&mut self, end: Instant) -> io::Result<String> {
-        self.limit(end)?;
+    /// Reads a line of the answer's head.
+    fn read_head_line(&mut self, end: Instant) -> io::Result<String> {
+        self.set_read_deadline(end)?;
         let mut line = String::new();
         match self.reader.read_line(&mut line)? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -93,8 +94,9 @@
         }
     }
 
-    fn limit(&mut self, end: Instant) -> io::Result<()> {
-        let left = end.saturating_duration_since(Instant::now());
-        self.reader.get_mut().set_read_timeout(Some(left.max(Duration::from_millis(1))))
+    /// Limits the next read to the time left until `end`.
+    fn set_read_deadline(&mut self, end: Instant) -> io::Result<()> {
+        let remaining = end.saturating_duration_since(Instant::now());
+        self.reader.get_mut().set_read_timeout(Some(remaining.max(Duration::from_millis(1))))
     }
 }
--- a/endivestile_testkit/src/soak/fault.rs
+++ b/endivestile_testkit/src/soak/fault.rs
@@ -1,51 +1,51 @@
-//! Which fault comes when, drawn from a seed.
+//! Random schedule of faults, reproducible by its seed.
 
 use rand::Rng;
 use rand::rngs::SmallRng;
 
 use super::relay::Impairment;
 
-/// Something that goes wrong for a while.
+/// A temporary fault. Hosts, workers and zones are given by index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// A host's process is paused.
+    /// Pauses a host's process.
     Pause(usize),
-    /// A host's process is killed, and started again at the end.
+    /// Kills a host's process and restarts it at the end.
     Kill(usize),
-    /// A host is asked to stop, and started again at the end.
+    /// Stops a host gracefully and restarts it at the end.
     Stop(usize),
-    /// A host is told that its settings have changed.
+    /// Requests that a host reload its settings.
     Reload(usize),
-    /// The way of all others to a host's links is harmed.
+    /// Impairs the connections of all other hosts to a host.
     Links(usize, Impairment),
-    /// The way from a host to the store is harmed.
+    /// Impairs the connections of a host to the store.
     Store(usize, Impairment),
-    /// The way from all hosts to a worker is harmed.
+    /// Impairs the connections of all hosts to a worker.
     Worker(usize, Impairment),
-    /// A worker fails all that it starts.
+    /// Makes every run of a worker fail.
     Errors(usize),
-    /// What a worker starts makes no progress.
+    /// Makes the runs of a worker hang.
     Hangs(usize),
-    /// The store turns every call away.
+    /// Makes the store refuse every call.
     Refuse,
-    /// Operators have a zone evacuated, and take it back at the end.
+    /// Evacuates a zone until the end.
     Evacuate(usize),
 }
 
-/// A fault and its time, in milliseconds from the start.
+/// A scheduled fault. Times are in milliseconds from the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PlannedFault {
     /// The fault.
     pub(crate) fault: Fault,
-    /// When it begins.
+    /// Time at which it begins.
     pub(crate) from: u64,
-    /// When it ends.
+    /// Time at which it ends.
     pub(crate) until: u64,
 }
 
-/// Longest fault, in milliseconds: several times longer than any lease.
-const MAX_MS: u64 = 3_000;
-/// Pauses between the starts of two faults, in milliseconds; shorter than most
+/// Longest fault, in milliseconds; several times longer than any lease.
+const MAX_FAULT_MS: u64 = 3_000;
+/// Time between the starts of two faults, in milliseconds; shorter than most
 /// faults, so that they overlap.
 const GAP_MS: std::ops::Range<u64> = 150..1_200;
 
@@ -59,9 +59,13 @@
     let mut plan = Vec::new();
     let mut at = rng.random_range(GAP_MS);
     while at < ms {
-        let lasts = rng.random_range(100..MAX_MS);
-        plan.push(PlannedFault { fault: draw(rng, hosts, workers), from: at, until: at + lasts });
-        // Some come at the same moment.
+        let duration = rng.random_range(100..MAX_FAULT_MS);
+        plan.push(PlannedFault {
+            fault: draw_fault(rng, hosts, workers),
+            from: at,
+            until: at + duration,
+        });
+        // One in five faults begins at the same time as the one before.
         if rng.random_range(0..5) > 0 {
             at += rng.random_range(GAP_MS);
         }
@@ -74,7 +78,7 @@
     let mut plan = Vec::new();
     let mut at = rng.random_range(GAP_MS);
     while at < ms {
-        let until = at + rng.random_range(100..MAX_MS);
+        let until = at + rng.random_range(100..MAX_FAULT_MS);
         let fault = Fault::Evacuate(rng.random_range(0..zones));
         plan.push(PlannedFault { fault, from: at, until });
         at = until + rng.random_range(GAP_MS);
@@ -82,7 +86,7 @@
     plan
 }
 
-fn draw(rng: &mut SmallRng, hosts: usize, workers: usize) -> Fault {
+fn draw_fault(rng: &mut SmallRng, hosts: usize, workers: usize) -> Fault {
     let host = rng.random_range(0..hosts);
     let worker = rng.random_range(0..workers);
     match rng.random_range(0..13) {
@@ -90,16 +94,16 @@
         2 | 3 => Fault::Kill(host),
         4 => Fault::Stop(host),
         5 => Fault::Reload(host),
-        6 | 7 => Fault::Links(host, harm(rng)),
-        8 => Fault::Store(host, harm(rng)),
-        9 | 10 => Fault::Worker(worker, harm(rng)),
+        6 | 7 => Fault::Links(host, draw_impairment(rng)),
+        8 => Fault::Store(host, draw_impairment(rng)),
+        9 | 10 => Fault::Worker(worker, draw_impairment(rng)),
         11 if rng.random() => Fault::Errors(worker),
         11 => Fault::Hangs(worker),
         _ => Fault::Refuse,
     }
 }
 
-fn harm(rng: &mut SmallRng) -> Impairment {
+fn draw_impairment(rng: &mut SmallRng) -> Impairment {
     match rng.random_range(0..5) {
         0 => Impairment::Delay(rng.random_range(5..400)),
         1 => Impairment::Silence,
--- a/endivestile_testkit/src/soak/load.rs
+++ b/endivestile_testkit/src/soak/load.rs
@@ -1,4 +1,4 @@
-//! What callers send, and how they send it again.
+//! Callers that submit jobs and retry them without an answer.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -12,25 +12,26 @@
 use crate::lock::lock;
 use crate::platform::PlatformHost;
 
-/// How long callers wait for an answer.
+/// Deadline of each job.
 pub(crate) const DEADLINE: Duration = Duration::from_millis(2_500);
-/// How much later than its deadline an answer may come before a caller gives up.
+/// Time after the deadline for which a caller still waits for the answer.
 pub(crate) const ANSWER_GRACE: Duration = Duration::from_millis(800);
-/// Time after which a caller without an answer sends its job again.
+/// Delay before a job without an answer is sent again.
 const RETRY_DELAY: Duration = Duration::from_millis(1_300);
 
-fn body(tasks: usize, ms: u64) -> String {
+/// Returns the body of a job with `tasks` tasks of `ms` milliseconds each.
+fn job_body(tasks: usize, ms: u64) -> String {
     let step = serde_json::json!({
         "Count": tasks, "Cpu": 14_000, "MemoryRequestMb": 64, "EstimatedMs": ms,
     });
     serde_json::json!({"Spec": ms.to_string(), "Steps": [step], "BestEffort": true}).to_string()
 }
 
-fn told_completed(body: &str) -> bool {
+fn reports_completed(body: &str) -> bool {
     body.contains("completed")
 }
 
-/// Sends a job on a connection of its own.
+/// Sends a job on a new connection. Returns `None` when the host does not accept it.
 pub(crate) fn send_once(
     host: &Arc<Mutex<PlatformHost>>,
     at: usize,
@@ -39,39 +40,39 @@
     ms: u64,
 ) -> Option<Attempt> {
     let address = lock(host).http_address()?;
-    let mut line = Connection::open(address, DEADLINE).ok()?;
+    let mut connection = Connection::open(address, DEADLINE).ok()?;
     let begun = Instant::now();
-    let answer = line.send(id, &body(tasks, ms), DEADLINE, DEADLINE + ANSWER_GRACE).ok();
+    let answer = connection.send(id, &job_body(tasks, ms), DEADLINE, DEADLINE + ANSWER_GRACE).ok();
     Some(Attempt {
         id: id.to_owned(),
         tasks,
         status: answer.as_ref().map(|(status, _)| *status),
-        completed: answer.is_some_and(|(status, body)| status == 200 && told_completed(&body)),
+        completed: answer.is_some_and(|(status, body)| status == 200 && reports_completed(&body)),
         begun,
         ended: Instant::now(),
         host: at,
     })
 }
 
-/// Sends one job after the other until the faults are over, and each again, to
-/// another host, when no answer came.
+/// Submits one job after the other until `stop` is set. A job without an answer, or
+/// answered 502 or 504, is sent once more to a random host.
 pub(crate) fn run_caller(
     hosts: &[Arc<Mutex<PlatformHost>>],
     seed: u64,
-    over: &AtomicBool,
-    serial: &AtomicU64,
+    stop: &AtomicBool,
+    next_id: &AtomicU64,
 ) -> Vec<Attempt> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut line: Option<Connection> = None;
-    let mut sendings = Vec::new();
-    while !over.load(Ordering::Relaxed) {
-        let id = format!("{:016x}", serial.fetch_add(1, Ordering::Relaxed));
+    let mut connection: Option<Connection> = None;
+    let mut attempts = Vec::new();
+    while !stop.load(Ordering::Relaxed) {
+        let id = format!("{:016x}", next_id.fetch_add(1, Ordering::Relaxed));
         let (tasks, ms) = (rng.random_range(1..6), rng.random_range(5..300));
         for _ in 0..2 {
             let at = rng.random_range(0..hosts.len());
-            let sending = send_kept(hosts, at, &mut line, &id, tasks, ms);
-            let answered = sending.status.is_some_and(|status| status != 502 && status != 504);
-            sendings.push(sending);
+            let attempt = send_reusing(hosts, at, &mut connection, &id, tasks, ms);
+            let answered = attempt.status.is_some_and(|status| status != 502 && status != 504);
+            attempts.push(attempt);
             if answered {
                 break;
             }
@@ -79,11 +80,11 @@
         }
         thread::sleep(Duration::from_millis(rng.random_range(5..60)));
     }
-    sendings
+    attempts
 }
 
-/// Sends a job on the kept connection if that is still open.
-fn send_kept(
+/// Sends a job on the kept connection if that leads to the host, otherwise on a new one.
+fn send_reusing(
     hosts: &[Arc<Mutex<PlatformHost>>],
     at: usize,
     kept: &mut Option<Connection>,
@@ -92,7 +93,7 @@
     ms: u64,
 ) -> Attempt {
     let begun = Instant::now();
-    let none = Attempt {
+    let unanswered = Attempt {
         id: id.to_owned(),
         tasks,
         status: None,
@@ -101,16 +102,16 @@
         ended: begun,
         host: at,
     };
-    let Some(address) = lock(&hosts[at]).http_address() else { return none };
-    let line = kept.take().filter(|line| line.is_to(address));
-    let line = line.or_else(|| Connection::open(address, DEADLINE).ok());
-    let Some(mut line) = line else { return none };
-    match line.send(id, &body(tasks, ms), DEADLINE, DEADLINE + ANSWER_GRACE) {
+    let Some(address) = lock(&hosts[at]).http_address() else { return unanswered };
+    let connection = kept.take().filter(|connection| connection.is_to(address));
+    let connection = connection.or_else(|| Connection::open(address, DEADLINE).ok());
+    let Some(mut connection) = connection else { return unanswered };
+    match connection.send(id, &job_body(tasks, ms), DEADLINE, DEADLINE + ANSWER_GRACE) {
         Ok((status, body)) => {
-            *kept = Some(line);
-            let completed = status == 200 && told_completed(&body);
-            Attempt { status: Some(status), completed, ended: Instant::now(), ..none }
+            *kept = Some(connection);
+            let completed = status == 200 && reports_completed(&body);
+            Attempt { status: Some(status), completed, ended: Instant::now(), ..unanswered }
         }
-        Err(_) => Attempt { ended: Instant::now(), ..none },
+        Err(_) => Attempt { ended: Instant::now(), ..unanswered },
     }
 }
--- a/endivestile_testkit/src/soak/mod.rs
+++ b/endivestile_testkit/src/soak/mod.rs
@@ -1,8 +1,8 @@
-//! A soak: entry hosts as processes on the stand-in for the users' platform,
-//! callers that never rest, and faults from outside drawn from a seed.
+//! Soak test: runs entry hosts as processes against the stand-in for the users'
+//! platform under constant load, with external faults drawn from a seed.
 //!
-//! The promises are checked by what callers and workers see, never by what the
-//! hosts say of themselves.
+//! The service's promises are checked only by what callers and workers observe,
+//! not by what the hosts report.
 
 mod connection;
 mod fault;
--- a/endivestile_testkit/src/soak/relay.rs
+++ b/endivestile_testkit/src/soak/relay.rs
@@ -1,4 +1,4 @@
-//! A relay on loopback that harms the connections it carries.
+//! TCP relay that impairs the connections passing through it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,125 +14,131 @@
 use crate::lock::lock;
 use crate::platform::spawn;
 
-/// Bytes read at once.
-const CHUNK: usize = 16 << 10;
+/// Size of the read buffer, in bytes.
+const BUFFER_LEN: usize = 16 << 10;
 
-/// What a relay does to what passes.
+/// Impairment of the connections through a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Impairment {
-    /// Nothing.
+    /// No impairment.
     None,
-    /// Holds each piece up for so many milliseconds.
+    /// Delays each chunk of data by this many milliseconds.
     Delay(u64),
-    /// Nothing passes, and connections stay open.
+    /// Blocks all data and keeps connections open.
     Silence,
-    /// Nothing passes towards the target.
+    /// Blocks data towards the target.
     SilenceThere,
-    /// Nothing passes from the target back.
+    /// Blocks data from the target.
     SilenceBack,
-    /// Breaks all connections, and new ones.
+    /// Resets all connections, including new ones.
     Reset,
 }
 
 impl Impairment {
-    fn silences(self, there: bool) -> bool {
+    /// Returns whether data is blocked towards the target or, without `to_target`, from it.
+    fn blocks(self, to_target: bool) -> bool {
         match self {
             Self::Silence => true,
-            Self::SilenceThere => there,
-            Self::SilenceBack => !there,
+            Self::SilenceThere => to_target,
+            Self::SilenceBack => !to_target,
             Self::None | Self::Delay(_) | Self::Reset => false,
         }
     }
 }
 
-/// Carries connections to one address.
+/// Relays connections to a target.
 #[derive(Debug, Clone)]
 pub(crate) struct FaultRelay {
-    /// Address to dial instead of the target's.
+    /// Address to connect to instead of the target's.
     pub(crate) address: SocketAddr,
-    harm: watch::Sender<Impairment>,
+    impairment: watch::Sender<Impairment>,
     target: Arc<Mutex<Option<SocketAddr>>>,
 }
 
 impl FaultRelay {
-    /// Starts a relay; without a target it breaks connections off.
+    /// Starts a relay. Without a target it resets connections.
     ///
     /// # Errors
-    /// Those of the socket.
+    /// Returns the errors of the listener's socket.
     pub(crate) fn start(target: Option<SocketAddr>) -> io::Result<Self> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let (harm, harms) = watch::channel(Impairment::None);
+        let (impairment, impairments) = watch::channel(Impairment::None);
         let target = Arc::new(Mutex::new(target));
-        let shared = Arc::clone(&target);
+        let shared_target = Arc::clone(&target);
         spawn(async move {
-            let listener = TcpListener::from_std(listener).expect("a listener that does not block");
-            while let Ok((near, _)) = listener.accept().await {
-                let target = *lock(&shared);
-                tokio::spawn(carry(near, target, harms.clone()));
+            let listener =
+                TcpListener::from_std(listener).expect("register the listener with the runtime");
+            while let Ok((client, _)) = listener.accept().await {
+                let target = *lock(&shared_target);
+                tokio::spawn(relay_connection(client, target, impairments.clone()));
             }
         });
-        Ok(Self { address, harm, target })
+        Ok(Self { address, impairment, target })
     }
 
-    /// Sets what happens to what passes from now on.
-    pub(crate) fn set_impairment(&self, harm: Impairment) {
-        self.harm.send_replace(harm);
+    /// Sets the impairment of existing and later connections.
+    pub(crate) fn set_impairment(&self, impairment: Impairment) {
+        self.impairment.send_replace(impairment);
     }
 
-    /// Sets where later connections go.
+    /// Sets the target of later connections.
     pub(crate) fn set_target(&self, target: Option<SocketAddr>) {
         *lock(&self.target) = target;
     }
 }
 
-/// Carries one connection. One that is dialled in silence waits for its end.
-async fn carry(
-    near: TcpStream,
+/// Relays one connection. While data to the target is blocked, connecting to it waits.
+async fn relay_connection(
+    client: TcpStream,
     target: Option<SocketAddr>,
-    mut harms: watch::Receiver<Impairment>,
+    mut impairments: watch::Receiver<Impairment>,
 ) {
-    let open = harms.wait_for(|harm| !harm.silences(true)).await.map(|harm| *harm);
-    let Some(target) = target.filter(|_| open.is_ok_and(|harm| harm != Impairment::Reset)) else {
-        return reset(&near);
+    let current = impairments.wait_for(|value| !value.blocks(true)).await.map(|value| *value);
+    let Some(target) = target.filter(|_| current.is_ok_and(|value| value != Impairment::Reset))
+    else {
+        return reset_on_close(&client);
     };
-    let Ok(far) = TcpStream::connect(target).await else { return reset(&near) };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let there = pump(near_in, far_out, harms.clone(), true);
-    let back = pump(far_in, near_out, harms.clone(), false);
+    let Ok(upstream) = TcpStream::connect(target).await else { return reset_on_close(&client) };
+    let _ = client.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
+    let (client_in, client_out) = client.into_split();
+    let (target_in, target_out) = upstream.into_split();
+    let outbound = forward(client_in, target_out, impairments.clone(), true);
+    let inbound = forward(target_in, client_out, impairments.clone(), false);
     tokio::select! {
-        () = async { tokio::join!(there, back); } => {}
-        _ = harms.wait_for(|harm| *harm == Impairment::Reset) => {}
+        () = async { tokio::join!(outbound, inbound); } => {}
+        _ = impairments.wait_for(|value| *value == Impairment::Reset) => {}
     }
 }
 
-/// Makes the close of a connection a reset.
-fn reset(stream: &TcpStream) {
+/// Makes closing the connection send a reset.
+fn reset_on_close(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
 
-async fn pump(
+/// Forwards one direction of a connection.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut harms: watch::Receiver<Impairment>,
-    there: bool,
+    mut impairments: watch::Receiver<Impairment>,
+    to_target: bool,
 ) {
-    let mut chunk = vec![0; CHUNK];
-    while let Ok(count @ 1..) = from.read(&mut chunk).await {
-        let Ok(harm) = harms.wait_for(|harm| !harm.silences(there)).await.map(|harm| *harm) else {
+    let mut buffer = vec![0; BUFFER_LEN];
+    while let Ok(count @ 1..) = from.read(&mut buffer).await {
+        let Ok(impairment) =
+            impairments.wait_for(|value| !value.blocks(to_target)).await.map(|value| *value)
+        else {
             break;
         };
-        if let Impairment::Delay(ms) = harm {
+        if let Impairment::Delay(ms) = impairment {
             sleep(Duration::from_millis(ms)).await;
         }
-        if to.write_all(&chunk[..count]).await.is_err() {
+        if to.write_all(&buffer[..count]).await.is_err() {
             break;
         }
     }
-    // The end of one direction has to reach the other side as well.
+    // The receiver must see the end of the stream.
     let _ = to.shutdown().await;
 }
--- a/endivestile_testkit/src/soak/run.rs
+++ b/endivestile_testkit/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run of the soak.
+//! Runs a soak test and checks what callers and workers observed.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -19,76 +19,81 @@
 
 /// Availability zones.
 const ZONES: [&str; 2] = ["a", "b"];
-/// Longest wait for all hosts to serve once nothing is wrong any more, in seconds.
-const RECOVERY_S: u64 = 20;
-/// Jobs that are sent to each host at the end, all of which have to be served.
-const LAST_JOBS: usize = 10;
-/// Longest wait for a host that was asked to stop, in seconds: the time that the
-/// settings grant, and a few for a busy machine.
-const STOP_S: u64 = 12;
+/// Time limit for a host to serve jobs without faults, in seconds.
+const RECOVERY_TIMEOUT_S: u64 = 20;
+/// Number of jobs sent to each host at the end, all of which must complete.
+const FINAL_JOBS: usize = 10;
+/// Time limit for a graceful stop, in seconds: the limit in the settings and a few
+/// seconds for a busy machine.
+const STOP_TIMEOUT_S: u64 = 12;
 
-/// How a run is made up.
+/// Parameters of a soak test.
 #[derive(Debug, Clone)]
 pub struct Soak {
-    /// How hosts are started.
+    /// Command that starts a host.
     pub daemon: DaemonCommand,
-    /// Decides the faults and the load.
+    /// Seed of the faults and the load.
     pub seed: u64,
-    /// For how long faults come, in milliseconds.
+    /// Time during which faults begin, in milliseconds.
     pub faults_ms: u64,
-    /// Hosts in each of the two zones.
+    /// Number of hosts in each of the two zones.
     pub hosts: usize,
-    /// Workers in each zone.
+    /// Number of workers in each zone.
     pub workers: usize,
-    /// Callers that send one job after the other.
+    /// Number of callers, each of which sends one job after the other.
     pub callers: usize,
-    /// Whether operators evacuate zones meanwhile.
+    /// Whether zones are evacuated at random as well.
     pub evacuations: bool,
 }
 
-/// What a run has shown.
+/// Result of a soak test.
 #[derive(Debug, Default)]
 pub struct SoakReport {
-    /// Promises that were broken.
+    /// Violations of the service's promises.
     pub breaches: Vec<String>,
-    /// Jobs handed in.
+    /// Number of submitted jobs.
     pub jobs: usize,
-    /// Jobs told to be completed.
+    /// Number of jobs reported as completed.
     pub completed: usize,
-    /// Sendings refused as not run.
+    /// Number of attempts refused as not run.
     pub refused: usize,
-    /// Sendings without an answer.
+    /// Number of attempts without an answer.
     pub unanswered: usize,
-    /// What was done to the hosts, and what they logged; for a run that failed.
+    /// Injected faults and, after a violation, the hosts' logs.
     pub trace: Vec<String>,
 }
 
-/// A run under way.
+/// State of a running soak test.
 struct Run {
     soak: Soak,
     platform: Arc<PlatformStandIn>,
     hosts: Vec<Arc<Mutex<PlatformHost>>>,
-    links: Vec<FaultRelay>,
-    stores: Vec<FaultRelay>,
+    /// Relays in front of the hosts' peer ports, by host.
+    peer_relays: Vec<FaultRelay>,
+    /// Relays from the hosts to the store, by host.
+    store_relays: Vec<FaultRelay>,
+    /// Names of the workers and the relays in front of them.
     workers: Vec<(String, FaultRelay)>,
+    /// Hosts whose process is not running.
     down: Vec<bool>,
-    /// Hosts that were paused, from when until when.
+    /// Paused hosts with the start and end of each pause.
     pauses: Vec<(usize, Instant, Option<Instant>)>,
     report: SoakReport,
 }
 
 impl Soak {
-    /// Makes the run.
+    /// Runs the soak test.
     ///
     /// # Errors
-    /// Those of the processes and sockets; a broken promise is no error.
+    /// Returns the errors of processes and sockets. Broken promises are not errors
+    /// but part of the report.
     pub fn run(self) -> io::Result<SoakReport> {
         let mut run = Run::start(self)?;
         run.wait_serving("at the start");
-        let sendings = run.under_load();
+        let attempts = run.run_under_load();
         run.wait_serving("after the faults");
-        run.last_jobs();
-        run.judge(&sendings);
+        run.run_final_jobs();
+        run.check_attempts(&attempts);
         run.stop_all();
         Ok(run.finish())
     }
@@ -104,17 +109,18 @@
             platform.set_address(&name, relay.address);
             workers.push((name, relay));
         }
-        let (mut hosts, mut links, mut stores) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut hosts, mut peer_relays, mut store_relays) = (Vec::new(), Vec::new(), Vec::new());
         for zone in ZONES {
             for index in 1..=soak.hosts {
-                let (link, store) =
+                let (peers, store) =
                     (FaultRelay::start(None)?, FaultRelay::start(Some(platform.store_address()))?);
-                let more = [format!("host.advertise={}", link.address)];
+                let settings = [format!("host.advertise={}", peers.address)];
                 let name = format!("{zone}{index}");
-                let host = PlatformHost::start(&soak.daemon, store.address, &name, zone, &more)?;
+                let host =
+                    PlatformHost::start(&soak.daemon, store.address, &name, zone, &settings)?;
                 hosts.push(Arc::new(Mutex::new(host)));
-                links.push(link);
-                stores.push(store);
+                peer_relays.push(peers);
+                store_relays.push(store);
             }
         }
         let down = vec![false; hosts.len()];
@@ -123,67 +129,67 @@
             soak,
             platform,
             hosts,
-            links,
-            stores,
+            peer_relays,
+            store_relays,
             workers,
             down,
             pauses: Vec::new(),
             report,
         };
-        run.aim_links()?;
+        run.connect_peer_relays()?;
         Ok(run)
     }
 
-    /// Leads each relay of links to where its host listens now.
-    fn aim_links(&self) -> io::Result<()> {
-        for (host, link) in self.hosts.iter().zip(&self.links) {
-            if !wait_for(RECOVERY_S, || lock(host).link_address().is_some()) {
-                return Err(io::Error::other("a host did not start"));
+    /// Points each peer relay at the current peer port of its host.
+    fn connect_peer_relays(&self) -> io::Result<()> {
+        for (host, peer_relay) in self.hosts.iter().zip(&self.peer_relays) {
+            if !wait_for(RECOVERY_TIMEOUT_S, || lock(host).link_address().is_some()) {
+                return Err(io::Error::other("a host did not log its peer address"));
             }
-            link.set_target(lock(host).link_address());
+            peer_relay.set_target(lock(host).link_address());
         }
         Ok(())
     }
 
-    fn broken(&mut self, what: String) {
-        self.report.breaches.push(what);
+    fn add_breach(&mut self, description: String) {
+        self.report.breaches.push(description);
     }
 
-    /// Waits until every host serves a job; that it does not is a breach.
+    /// Waits until every host completes a job, and reports a breach for each that does not.
     fn wait_serving(&mut self, when: &str) {
         for at in 0..self.hosts.len() {
             let host = Arc::clone(&self.hosts[at]);
-            let mut tries = 0;
-            let serves = wait_for(RECOVERY_S, || {
-                tries += 1;
-                let id = format!("{:016x}", (0xaaaa_u64 << 48) | (at as u64) << 32 | tries);
-                send_once(&host, at, &id, 1, 1).is_some_and(|sending| sending.status == Some(200))
+            let mut probes = 0;
+            let serves = wait_for(RECOVERY_TIMEOUT_S, || {
+                probes += 1;
+                let id = format!("{:016x}", (0xaaaa_u64 << 48) | (at as u64) << 32 | probes);
+                send_once(&host, at, &id, 1, 1).is_some_and(|attempt| attempt.status == Some(200))
             });
             if !serves {
-                self.broken(format!("host {at} serves nothing {when}"));
+                self.add_breach(format!("host {at} does not serve jobs {when}"));
             }
         }
     }
 
-    /// Lets the faults come while callers call; returns what these saw.
-    fn under_load(&mut self) -> Vec<Attempt> {
-        let over = Arc::new(AtomicBool::new(false));
-        let serial = Arc::new(AtomicU64::new(1));
+    /// Injects the faults while callers submit jobs. Returns the callers' attempts.
+    fn run_under_load(&mut self) -> Vec<Attempt> {
+        let stop = Arc::new(AtomicBool::new(false));
+        let next_id = Arc::new(AtomicU64::new(1));
         let callers: Vec<_> = (0..self.soak.callers)
             .map(|number| {
                 let seed = self.soak.seed.wrapping_mul(1_009).wrapping_add(number as u64);
                 let hosts = self.hosts.clone();
-                let (over, serial) = (Arc::clone(&over), Arc::clone(&serial));
-                thread::spawn(move || run_caller(&hosts, seed, &over, &serial))
+                let (stop, next_id) = (Arc::clone(&stop), Arc::clone(&next_id));
+                thread::spawn(move || run_caller(&hosts, seed, &stop, &next_id))
             })
             .collect();
-        self.play();
-        over.store(true, Ordering::Relaxed);
+        self.inject_faults();
+        stop.store(true, Ordering::Relaxed);
         callers.into_iter().flat_map(|caller| caller.join().unwrap_or_default()).collect()
     }
 
-    /// Begins and ends the planned faults at their times.
-    fn play(&mut self) {
+    /// Begins and ends the scheduled faults at their times, then ends all faults.
+    fn inject_faults(&mut self) {
         let mut rng = SmallRng::seed_from_u64(self.soak.seed);
         let mut faults =
             plan_faults(&mut rng, self.soak.faults_ms, self.hosts.len(), self.workers.len());
@@ -201,7 +207,7 @@
             thread::sleep(
                 (start + Duration::from_millis(at)).saturating_duration_since(Instant::now()),
             );
-            self.report.trace.push(format!("{at} ms: {} {:?}", word(begins), planned.fault));
+            self.report.trace.push(format!("{at} ms: {} {:?}", phase(begins), planned.fault));
             if begins { self.begin(planned.fault) } else { self.end(planned.fault) }
         }
         self.heal();
@@ -222,9 +228,9 @@
                 self.down[at] = true;
             }
             Fault::Reload(at) => self.signal(at, PlatformSignal::Reload),
-            Fault::Links(at, harm) => self.links[at].set_impairment(harm),
-            Fault::Store(at, harm) => self.stores[at].set_impairment(harm),
-            Fault::Worker(at, harm) => self.workers[at].1.set_impairment(harm),
+            Fault::Links(at, impairment) => self.peer_relays[at].set_impairment(impairment),
+            Fault::Store(at, impairment) => self.store_relays[at].set_impairment(impairment),
+            Fault::Worker(at, impairment) => self.workers[at].1.set_impairment(impairment),
             Fault::Errors(at) => self.platform.set_fault(&self.workers[at].0, WorkerFault::Errors),
             Fault::Hangs(at) => self.platform.set_fault(&self.workers[at].0, WorkerFault::Hangs),
             Fault::Refuse => self.platform.set_refusing(true),
@@ -241,8 +247,8 @@
             }
             Fault::Kill(at) | Fault::Stop(at) => self.restart(at),
             Fault::Reload(_) => {}
-            Fault::Links(at, _) => self.links[at].set_impairment(Impairment::None),
-            Fault::Store(at, _) => self.stores[at].set_impairment(Impairment::None),
+            Fault::Links(at, _) => self.peer_relays[at].set_impairment(Impairment::None),
+            Fault::Store(at, _) => self.store_relays[at].set_impairment(Impairment::None),
             Fault::Worker(at, _) => self.workers[at].1.set_impairment(Impairment::None),
             Fault::Errors(at) | Fault::Hangs(at) => {
                 self.platform.set_fault(&self.workers[at].0, WorkerFault::None);
@@ -252,38 +258,38 @@
         }
     }
 
-    /// Signals a host, unless its process has been ended by an earlier fault.
+    /// Signals a host. A process that exited without a fault is reported as a breach.
     fn signal(&mut self, at: usize, signal: PlatformSignal) {
         let mut host = lock(&self.hosts[at]);
         if host.is_running() {
             host.signal(signal);
         } else if !self.down[at] {
             drop(host);
-            self.broken(format!("the process of host {at} ended by itself"));
+            self.add_breach(format!("the process of host {at} exited unexpectedly"));
             self.down[at] = true;
         }
     }
 
     fn restart(&mut self, at: usize) {
         let mut host = lock(&self.hosts[at]);
-        let before = host.count_lines("event=started");
+        let starts_before = host.count_lines("event=started");
         if let Err(e) = host.restart() {
             drop(host);
-            return self.broken(format!("host {at} was not started again: {e}"));
+            return self.add_breach(format!("host {at} could not be restarted: {e}"));
         }
         drop(host);
         self.down[at] = false;
         let host = Arc::clone(&self.hosts[at]);
-        wait_for(RECOVERY_S, || lock(&host).count_lines("event=started") > before);
-        self.links[at].set_target(lock(&host).link_address());
+        wait_for(RECOVERY_TIMEOUT_S, || lock(&host).count_lines("event=started") > starts_before);
+        self.peer_relays[at].set_target(lock(&host).link_address());
     }
 
-    /// Ends everything that is still wrong.
+    /// Ends all faults.
     fn heal(&mut self) {
-        let relays = self.links.iter().chain(&self.stores);
+        let relays = self.peer_relays.iter().chain(&self.store_relays);
         relays
             .chain(self.workers.iter().map(|(_, relay)| relay))
-            .for_each(|it| it.set_impairment(Impairment::None));
+            .for_each(|any_relay| any_relay.set_impairment(Impairment::None));
         self.platform.set_refusing(false);
         ZONES.iter().for_each(|zone| self.platform.set_evacuated(zone, false));
         for (name, _) in &self.workers {
@@ -297,77 +303,86 @@
         }
     }
 
-    /// Sends jobs while nothing is wrong: all have to be served.
-    fn last_jobs(&mut self) {
-        for number in 0..LAST_JOBS * self.hosts.len() {
+    /// Sends jobs without faults, all of which must complete.
+    fn run_final_jobs(&mut self) {
+        for number in 0..FINAL_JOBS * self.hosts.len() {
             let at = number % self.hosts.len();
             let id = format!("{:016x}", (0xbbbb_u64 << 48) | number as u64);
-            let sending = send_once(&self.hosts[at], at, &id, 3, 20);
-            if sending.as_ref().is_none_or(|sending| !sending.completed) {
-                // The first says as much as all.
-                return self.broken(format!("a job after the faults was not served: {sending:?}"));
+            let attempt = send_once(&self.hosts[at], at, &id, 3, 20);
+            if attempt.as_ref().is_none_or(|attempt| !attempt.completed) {
+                // Report only the first failure.
+                return self
+                    .add_breach(format!("a job after the faults did not complete: {attempt:?}"));
             }
         }
     }
 
-    /// Holds what callers saw against what workers saw.
-    fn judge(&mut self, sendings: &[Attempt]) {
-        let mut ids: Vec<&str> = sendings.iter().map(|sending| &*sending.id).collect();
+    /// Compares what callers observed with what workers observed.
+    fn check_attempts(&mut self, attempts: &[Attempt]) {
+        let mut ids: Vec<&str> = attempts.iter().map(|attempt| &*attempt.id).collect();
         ids.dedup();
         self.report.jobs = ids.len();
-        let told = self.platform.breaches();
-        self.report.breaches.extend(told);
+        let worker_breaches = self.platform.breaches();
+        self.report.breaches.extend(worker_breaches);
         for id in ids {
-            let of: Vec<&Attempt> = sendings.iter().filter(|sending| sending.id == id).collect();
-            self.judge_job(id, &of);
+            let of_job: Vec<&Attempt> =
+                attempts.iter().filter(|attempt| attempt.id == id).collect();
+            self.check_job(id, &of_job);
         }
     }
 
-    fn judge_job(&mut self, id: &str, sendings: &[&Attempt]) {
-        let completed = sendings.iter().any(|sending| sending.completed);
-        let refused = |sending: &&&Attempt| matches!(sending.status, Some(429 | 503));
+    /// Checks one job: a completed job has run all its tasks, a job refused as not
+    /// run has started none, and no answer is later than its deadline.
+    fn check_job(&mut self, id: &str, attempts: &[&Attempt]) {
+        let completed = attempts.iter().any(|attempt| attempt.completed);
+        let refused = |attempt: &&&Attempt| matches!(attempt.status, Some(429 | 503));
         self.report.completed += usize::from(completed);
-        self.report.refused += sendings.iter().filter(refused).count();
-        self.report.unanswered += sendings.iter().filter(|s| s.status.is_none()).count();
-        let (tasks, done) = (sendings[0].tasks, self.platform.tasks_done(id));
+        self.report.refused += attempts.iter().filter(refused).count();
+        self.report.unanswered += attempts.iter().filter(|a| a.status.is_none()).count();
+        let (tasks, done) = (attempts[0].tasks, self.platform.tasks_done(id));
         if completed && done < tasks {
-            self.broken(format!("{id} was told completed with {done} of {tasks} tasks done"));
+            self.add_breach(format!(
+                "{id} was reported completed with {done} of {tasks} tasks done"
+            ));
         }
-        if sendings.iter().all(|sending| refused(&sending)) && self.platform.starts_of(id) > 0 {
-            self.broken(format!("{id} was refused as not run, and had run: {sendings:?}"));
+        if attempts.iter().all(|attempt| refused(&attempt)) && self.platform.starts_of(id) > 0 {
+            self.add_breach(format!(
+                "{id} was refused as not run but had started runs: {attempts:?}"
+            ));
         }
-        for sending in sendings {
-            if sending.status.is_some()
-                && sending.ended > sending.begun + DEADLINE + ANSWER_GRACE
-                && !self.paused(sending)
+        for attempt in attempts {
+            if attempt.status.is_some()
+                && attempt.ended > attempt.begun + DEADLINE + ANSWER_GRACE
+                && !self.overlaps_pause(attempt)
             {
-                self.broken(format!("{id} was answered after its deadline: {sending:?}"));
+                self.add_breach(format!("{id} was answered after its deadline: {attempt:?}"));
             }
         }
     }
 
-    /// Returns whether the host that took a job was paused meanwhile: it could
-    /// not answer then.
-    fn paused(&self, sending: &Attempt) -> bool {
-        let end = sending.ended;
+    /// Returns whether the called host was paused during an attempt, when it could
+    /// not answer.
+    fn overlaps_pause(&self, attempt: &Attempt) -> bool {
+        let end = attempt.ended;
         self.pauses.iter().any(|(at, from, until)| {
-            *at == sending.host && *from < end && until.is_none_or(|until| until > sending.begun)
+            *at == attempt.host && *from < end && until.is_none_or(|until| until > attempt.begun)
         })
     }
 
-    /// Stops every host gracefully.
+    /// Stops every host gracefully and checks its exit status.
     fn stop_all(&mut self) {
         for at in 0..self.hosts.len() {
             self.signal(at, PlatformSignal::Stop);
         }
         for at in 0..self.hosts.len() {
-            let status = lock(&self.hosts[at]).wait_exit(STOP_S);
+            let status = lock(&self.hosts[at]).wait_exit(STOP_TIMEOUT_S);
             if !status.is_some_and(|status| status.success()) {
-                self.broken(format!("host {at} did not stop: {status:?}"));
+                self.add_breach(format!("host {at} did not stop cleanly: {status:?}"));
             }
         }
     }
 
+    /// Returns the report, with the hosts' logs if there was a breach.
     fn finish(mut self) -> SoakReport {
         if !self.report.breaches.is_empty() {
             for host in &self.hosts {
@@ -378,6 +393,6 @@
     }
 }
 
-fn word(begins: bool) -> &'static str {
+fn phase(begins: bool) -> &'static str {
     if begins { "begin" } else { "end" }
 }
--- a/endivestile_testkit/src/store/fault.rs
+++ b/endivestile_testkit/src/store/fault.rs
@@ -1,33 +1,33 @@
-//! Faults of the store and counts of its calls.
+//! Injected faults of the store and counts of its calls.
 
-/// Faults in force.
+/// Faults currently injected.
 #[derive(Debug, Default)]
 pub(crate) struct Faults {
     /// Whether every call is refused.
     pub(crate) down: bool,
-    /// Whether calls hang until the store is up again.
+    /// Whether calls block until the store is up again.
     pub(crate) hang: bool,
     /// Delay of every call, in milliseconds.
     pub(crate) delay_ms: u64,
-    /// Writes that still lose their answers after they took effect.
+    /// Number of further writes that take effect but get no answer.
     pub(crate) answers_to_lose: u32,
-    /// Calls that are still refused without effect.
+    /// Number of further calls that are refused without effect.
     pub(crate) calls_to_refuse: u32,
 }
 
-/// What becomes of one call.
+/// How the store treats a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallAction {
-    /// It is served.
+    /// Serve the call.
     Serve,
-    /// It waits until the store is up again.
+    /// Block the call until the store is up again.
     Hang,
-    /// It is refused without effect.
+    /// Refuse the call without effect.
     Refuse,
 }
 
 impl Faults {
-    /// Decides on one call that arrives now.
+    /// Returns the action for a call that has just arrived and updates the fault counts.
     pub(crate) fn next_action(&mut self) -> CallAction {
         if self.hang {
             return CallAction::Hang;
@@ -35,36 +35,36 @@
         if self.down {
             return CallAction::Refuse;
         }
-        if take(&mut self.calls_to_refuse) { CallAction::Refuse } else { CallAction::Serve }
+        if decrement(&mut self.calls_to_refuse) { CallAction::Refuse } else { CallAction::Serve }
     }
 
-    /// Tells whether the answer to a write that took effect is lost.
+    /// Returns whether the answer to a completed write is lost and updates the fault count.
     pub(crate) fn loses_answer(&mut self) -> bool {
-        take(&mut self.answers_to_lose)
+        decrement(&mut self.answers_to_lose)
     }
 }
 
-/// Takes one from a count, unless it is used up.
-fn take(count: &mut u32) -> bool {
-    let some = *count > 0;
+/// Decrements a count and returns whether it was above zero.
+fn decrement(count: &mut u32) -> bool {
+    let positive = *count > 0;
     *count = count.saturating_sub(1);
-    some
+    positive
 }
 
-/// Calls that reached the store, by kind.
+/// Number of calls that reached the store, by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CallCounts {
     /// Reads of a key or range.
     pub range: u64,
-    /// Plain writes.
+    /// Writes outside a transaction.
     pub put: u64,
-    /// Deletes.
+    /// Deletes outside a transaction.
     pub delete: u64,
     /// Transactions.
     pub txn: u64,
     /// Watches created.
     pub watch: u64,
-    /// Watches that wait now.
+    /// Watches open now.
     pub waiting: u64,
     /// Leases granted or revoked.
     pub lease: u64,
@@ -75,12 +75,12 @@
 }
 
 impl CallCounts {
-    /// Returns the calls of all kinds; a waiting watch counts as one.
+    /// Returns the number of calls of all kinds. A watch counts once, when it is created.
     pub fn total(&self) -> u64 {
         self.range + self.put + self.delete + self.txn + self.watch + self.lease + self.keepalive
     }
 
-    /// Returns the calls that write.
+    /// Returns the number of calls that write.
     pub fn writes(&self) -> u64 {
         self.put + self.delete + self.txn + self.lease + self.keepalive
     }
--- a/endivestile_testkit/src/store/keyspace.rs
+++ b/endivestile_testkit/src/store/keyspace.rs
@@ -1,4 +1,4 @@
-//! Keys, revisions, leases and watchers in memory.
+//! In-memory keys with revisions, leases and watches.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -8,28 +8,29 @@
 
 use super::watcher::{Watcher, covers};
 
-/// One lease.
+/// A lease to which keys can be attached.
 #[derive(Debug)]
 struct Lease {
-    /// Seconds for which a keep-alive holds.
+    /// Time to live, in seconds.
     ttl_s: i64,
-    /// When the lease lapses.
-    lapses: Instant,
+    /// Time at which the lease expires.
+    expires_at: Instant,
 }
 
 impl Lease {
     fn new(ttl_s: i64) -> Self {
-        let mut lease = Self { ttl_s, lapses: Instant::now() };
+        let mut lease = Self { ttl_s, expires_at: Instant::now() };
         lease.renew();
         lease
     }
 
     fn renew(&mut self) {
-        self.lapses = Instant::now() + Duration::from_secs(self.ttl_s.max(1) as u64);
+        self.expires_at = Instant::now() + Duration::from_secs(self.ttl_s.max(1) as u64);
     }
 }
 
-/// Keys, revisions, leases and watchers.
+/// Keys with revisions, leases and watches. Writes and deletes collect in an
+/// open revision until [`Self::commit`].
 #[derive(Debug, Default)]
 pub(crate) struct Keyspace {
     revision: i64,
@@ -42,23 +43,23 @@
 }
 
 impl Keyspace {
-    /// Returns the revision of the last change, an open one included.
+    /// Returns the revision of the last change, including an open revision.
     pub(crate) fn revision(&self) -> i64 {
         self.revision + i64::from(!self.pending.is_empty())
     }
 
-    /// Returns a key.
+    /// Returns the entry of a key.
     pub(crate) fn get(&self, key: &[u8]) -> Option<&KeyValue> {
         self.keys.get(key)
     }
 
-    /// Returns the keys of a range in their order.
+    /// Returns the entries of a range in key order.
     pub(crate) fn range(&self, key: &[u8], end: &[u8]) -> Vec<KeyValue> {
         let found = self.keys.range(key.to_vec()..);
         found.take_while(|(probe, _)| covers(key, end, probe)).map(|(_, kv)| kv.clone()).collect()
     }
 
-    /// Closes the open revision and tells the watchers; returns the events sent.
+    /// Commits the open revision and notifies the watches. Returns the number of events sent.
     pub(crate) fn commit(&mut self) -> u64 {
         self.revision = self.revision();
         let events = std::mem::take(&mut self.pending);
@@ -73,7 +74,7 @@
         sent
     }
 
-    /// Writes a key within the open revision; false when its lease is not known.
+    /// Writes a key in the open revision. Returns false when the lease does not exist.
     pub(crate) fn put(&mut self, key: Vec<u8>, value: Vec<u8>, lease: i64) -> bool {
         if lease != 0 && !self.leases.contains_key(&lease) {
             return false;
@@ -93,19 +94,19 @@
         true
     }
 
-    /// Deletes a range within the open revision; returns how many keys.
+    /// Deletes a range in the open revision and returns the number of deleted keys.
     pub(crate) fn delete(&mut self, key: &[u8], end: &[u8]) -> usize {
         let found = self.range(key, end);
         for kv in &found {
             self.keys.remove(&kv.key);
             let mod_revision = self.revision + 1;
-            let gone = KeyValue { key: kv.key.clone(), mod_revision, ..Default::default() };
-            self.pending.push(event(EventType::Delete, gone));
+            let deleted = KeyValue { key: kv.key.clone(), mod_revision, ..Default::default() };
+            self.pending.push(event(EventType::Delete, deleted));
         }
         found.len()
     }
 
-    /// Grants a lease; 0 lets the store choose its number.
+    /// Grants a lease and returns its id. For id 0 the store chooses the id.
     pub(crate) fn grant(&mut self, ttl_s: i64, id: i64) -> i64 {
         self.last_lease += 1;
         let id = if id == 0 { self.last_lease } else { id };
@@ -113,63 +114,65 @@
         id
     }
 
-    /// Renews a lease; returns its seconds, 0 when it is not known.
+    /// Renews a lease and returns its time to live in seconds, or 0 when it does not exist.
     pub(crate) fn keep_alive(&mut self, id: i64) -> i64 {
         let Some(lease) = self.leases.get_mut(&id) else { return 0 };
         lease.renew();
         lease.ttl_s
     }
 
-    /// Renews all leases, as etcd does after a change of leader: no lease
-    /// lapses because the store was down.
+    /// Renews all leases, as etcd does after a change of leader, so that none
+    /// expires because the store was down.
     pub(crate) fn renew_all(&mut self) {
         self.leases.values_mut().for_each(Lease::renew);
     }
 
-    /// Ends a lease and deletes its keys; returns the events sent.
+    /// Removes a lease and deletes its keys. Returns the number of events sent.
     pub(crate) fn revoke(&mut self, id: i64) -> u64 {
         if self.leases.remove(&id).is_none() {
             return 0;
         }
-        let held = self.keys.values().filter(|kv| kv.lease == id);
-        let keys: Vec<Vec<u8>> = held.map(|kv| kv.key.clone()).collect();
+        let attached = self.keys.values().filter(|kv| kv.lease == id);
+        let keys: Vec<Vec<u8>> = attached.map(|kv| kv.key.clone()).collect();
         for key in keys {
             self.delete(&key, &[]);
         }
         self.commit()
     }
 
-    /// Ends the leases that lapsed; returns the events sent.
-    pub(crate) fn expire(&mut self, now: Instant) -> u64 {
-        let lapsed = self.leases.iter().filter(|(_, lease)| lease.lapses <= now);
-        let ids: Vec<i64> = lapsed.map(|(id, _)| *id).collect();
+    /// Removes the expired leases. Returns the number of events sent.
+    pub(crate) fn expire_leases(&mut self, now: Instant) -> u64 {
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
+        let ids: Vec<i64> = expired.map(|(id, _)| *id).collect();
         ids.into_iter().map(|id| self.revoke(id)).sum()
     }
 
-    /// Adds a watch and sends it the events since `start`, unless 0.
+    /// Adds a watch and sends it past events from revision `start` on. With 0 it
+    /// receives only later events.
     pub(crate) fn watch(&mut self, watcher: Watcher, start: i64) {
-        let past = self.history.iter();
-        let missed: Vec<Event> = past.filter(|event| is_since(event, start)).cloned().collect();
+        let past_events = self.history.iter();
+        let missed: Vec<Event> =
+            past_events.filter(|event| is_since(event, start)).cloned().collect();
         if start > 0 && !missed.is_empty() {
             watcher.notify(self.revision, &missed);
         }
         self.watchers.push(watcher);
     }
 
-    /// Removes one watch of a stream, or all of them.
+    /// Removes one watch of a stream, or all without an id.
     pub(crate) fn unwatch(&mut self, stream: u64, id: Option<i64>) {
         self.watchers.retain(|w| w.stream != stream || id.is_some_and(|id| w.id != id));
     }
 
-    /// Returns the number of watches that wait.
+    /// Returns the number of open watches.
     pub(crate) fn open_watches(&self) -> usize {
         self.watchers.iter().filter(|watcher| !watcher.sender.is_closed()).count()
     }
 
-    /// Cuts all watch streams with an error.
+    /// Closes all watch streams with an error.
     pub(crate) fn close_watches(&mut self) {
         for watcher in self.watchers.drain(..) {
-            // A stream that its caller already closed needs no error.
+            // Sending fails when the caller has already closed the stream.
             let _ = watcher.sender.send(Err(tonic::Status::unavailable("store is down")));
         }
     }
--- a/endivestile_testkit/src/store/mod.rs
+++ b/endivestile_testkit/src/store/mod.rs
@@ -17,17 +17,17 @@
 use fault::Faults;
 use keyspace::Keyspace;
 
-/// What the stand-in's owner and its service share.
+/// State shared by the test's handle and the service.
 #[derive(Debug, Default)]
 pub(crate) struct Shared {
-    /// Keys, leases and watchers.
+    /// Keys, leases and watches.
     keyspace: Mutex<Keyspace>,
-    /// Faults in force.
+    /// Faults currently injected.
     faults: Mutex<Faults>,
-    /// Calls counted so far.
+    /// Number of calls so far.
     counts: Mutex<CallCounts>,
-    /// Told when the store comes up again.
+    /// Notified when the store comes up again.
     up: Notify,
-    /// Told when the stand-in ends.
-    end: Notify,
+    /// Notified when the stand-in is dropped.
+    stop: Notify,
 }
--- a/endivestile_testkit/src/store/service.rs
+++ b/endivestile_testkit/src/store/service.rs
@@ -1,4 +1,4 @@
-//! The store's calls as a tonic service.
+//! gRPC service of the store.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -26,16 +26,16 @@
 use super::{Shared, txn};
 use crate::lock::lock;
 
-/// A boxed stream of answers.
-type Answers<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+/// A boxed stream of responses.
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
-/// Numbers the watch streams of this process.
-static STREAMS: AtomicU64 = AtomicU64::new(1);
+/// Number of the next watch stream in this process.
+static NEXT_STREAM: AtomicU64 = AtomicU64::new(1);
 
-/// Serves the store's calls.
+/// Implements the store's services.
 #[derive(Debug, Clone)]
 pub(crate) struct StoreService {
-    /// State shared with the stand-in's owner.
+    /// State shared with the test's handle.
     pub(crate) shared: Arc<Shared>,
 }
 
@@ -44,15 +44,15 @@
         add(&mut lock(&self.shared.counts));
     }
 
-    /// Waits, or refuses, as the faults in force say.
+    /// Delays, blocks or refuses a call according to the injected faults.
     async fn admit(&self) -> Result<(), Status> {
         loop {
             let up = self.shared.up.notified();
-            let (fate, delay_ms) = {
+            let (action, delay_ms) = {
                 let mut faults = lock(&self.shared.faults);
                 (faults.next_action(), faults.delay_ms)
             };
-            match fate {
+            match action {
                 CallAction::Hang => up.await,
                 CallAction::Refuse => return Err(Status::unavailable("store refuses")),
                 CallAction::Serve => {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Runs a write in a revision of its own, then loses its answer if the faults say so.
+    /// Runs a write in its own revision, and drops its answer if that fault is injected.
     async fn write<T>(
         &self,
         run: impl FnOnce(&mut Keyspace) -> Result<T, Status>,
@@ -83,21 +83,27 @@
         result.map(Response::new)
     }
 
-    fn create(&self, stream: u64, id: i64, request: WatchCreateRequest, sender: &WatchSender) {
+    fn create_watch(
+        &self,
+        stream: u64,
+        id: i64,
+        request: WatchCreateRequest,
+        sender: &WatchSender,
+    ) {
         self.count(|counts| counts.watch += 1);
         let mut keyspace = lock(&self.shared.keyspace);
         let header = txn::header(&keyspace);
         let created = WatchResponse { header, watch_id: id, created: true, ..Default::default() };
-        // The caller may already be gone; then the watch is dropped at the next event.
+        // Sending fails when the caller is gone. The watch is then removed at the next event.
         let _ = sender.send(Ok(created));
         let WatchCreateRequest { key, range_end: end, start_revision, .. } = request;
         keyspace.watch(Watcher { stream, id, key, end, sender: sender.clone() }, start_revision);
     }
 
-    /// Serves one watch stream until its caller closes it.
-    async fn watches(self, mut requests: Streaming<WatchRequest>, sender: WatchSender) {
-        let stream = STREAMS.fetch_add(1, Ordering::Relaxed);
-        let mut next = 0;
+    /// Serves a watch stream until its caller closes it.
+    async fn serve_watches(self, mut requests: Streaming<WatchRequest>, sender: WatchSender) {
+        let stream = NEXT_STREAM.fetch_add(1, Ordering::Relaxed);
+        let mut next_id = 0;
         while let Some(Ok(request)) = requests.next().await {
             match request.request_union {
                 Some(RequestUnion::CreateRequest(request)) => {
@@ -105,8 +111,8 @@
                         let _ = sender.send(Err(status));
                         break;
                     }
-                    self.create(stream, next, request, &sender);
-                    next += 1;
+                    self.create_watch(stream, next_id, request, &sender);
+                    next_id += 1;
                 }
                 Some(RequestUnion::CancelRequest(request)) => {
                     lock(&self.shared.keyspace).unwatch(stream, Some(request.watch_id));
@@ -117,7 +123,7 @@
         lock(&self.shared.keyspace).unwatch(stream, None);
     }
 
-    async fn keep(&self, id: i64) -> Result<LeaseKeepAliveResponse, Status> {
+    async fn renew_lease(&self, id: i64) -> Result<LeaseKeepAliveResponse, Status> {
         self.count(|counts| counts.keepalive += 1);
         self.admit().await?;
         let mut keyspace = lock(&self.shared.keyspace);
@@ -155,21 +161,21 @@
 
 #[tonic::async_trait]
 impl Watch for StoreService {
-    type WatchStream = Answers<WatchResponse>;
+    type WatchStream = ResponseStream<WatchResponse>;
 
     async fn watch(
         &self,
         req: Request<Streaming<WatchRequest>>,
     ) -> Result<Response<Self::WatchStream>, Status> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        tokio::spawn(self.clone().watches(req.into_inner(), sender));
+        tokio::spawn(self.clone().serve_watches(req.into_inner(), sender));
         Ok(Response::new(Box::pin(UnboundedReceiverStream::new(receiver))))
     }
 }
 
 #[tonic::async_trait]
 impl Lease for StoreService {
-    type LeaseKeepAliveStream = Answers<LeaseKeepAliveResponse>;
+    type LeaseKeepAliveStream = ResponseStream<LeaseKeepAliveResponse>;
 
     async fn lease_grant(
         &self,
@@ -206,7 +212,7 @@
         let (sender, receiver) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Some(Ok(request)) = requests.next().await {
-                let answer = service.keep(request.id).await;
+                let answer = service.renew_lease(request.id).await;
                 let failed = answer.is_err();
                 if sender.send(answer).is_err() || failed {
                     break;
--- a/endivestile_testkit/src/store/stand_in.rs
+++ b/endivestile_testkit/src/store/stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-in as tests hold it.
+//! Test handle of the store stand-in.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -19,21 +19,21 @@
 use super::service::StoreService;
 use crate::lock::lock;
 
-/// How often lapsed leases are looked for, in milliseconds.
-const TICK_MS: u64 = 50;
-/// Longest message, above the platform's limit of a megabyte a value.
-const MAX_MESSAGE: usize = 8 << 20;
+/// Interval at which expired leases are removed, in milliseconds.
+const EXPIRY_INTERVAL_MS: u64 = 50;
+/// Largest message, in bytes; above the platform's limit of one megabyte per value.
+const MAX_MESSAGE_LEN: usize = 8 << 20;
 
-/// A key-value store in memory that speaks an etcd v3 subset on 127.0.0.1.
+/// An in-memory key-value store that serves an etcd v3 subset on 127.0.0.1.
 ///
 /// Dropping it closes its port and all connections.
 #[derive(Debug)]
 pub struct StoreStandIn {
-    /// Address that it listens on.
+    /// Listen address.
     address: SocketAddr,
     /// State shared with the service.
     shared: Arc<Shared>,
-    /// Thread of the service, taken when it ends.
+    /// Thread of the service, taken on drop.
     thread: Option<JoinHandle<()>>,
 }
 
@@ -41,7 +41,7 @@
     /// Starts an empty store on an ephemeral port.
     ///
     /// # Errors
-    /// Those of the listener and the thread.
+    /// Returns an error when the listener or the thread cannot be started.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         listener.set_nonblocking(true)?;
@@ -49,7 +49,7 @@
         let shared = Arc::new(Shared::default());
         let service = StoreService { shared: Arc::clone(&shared) };
         let thread = thread::Builder::new().name("store".into()).spawn(move || {
-            // A stand-in that can't serve shows at its callers as a store that is down.
+            // Callers see a stand-in that fails to serve as a store that is down.
             if let Err(err) = serve(listener, service) {
                 eprintln!("event=store_stand_in_failed error={err:?}");
             }
@@ -57,23 +57,23 @@
         Ok(Self { address, shared, thread: Some(thread) })
     }
 
-    /// Returns the address that it listens on.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Refuses every call and cuts the watches, until [`Self::bring_up`].
+    /// Closes all watches and refuses every call until [`Self::bring_up`].
     pub fn take_down(&self) {
         lock(&self.shared.faults).down = true;
         lock(&self.shared.keyspace).close_watches();
     }
 
-    /// Lets every call hang without an answer, watches stay silent, until [`Self::bring_up`].
+    /// Blocks every call without an answer until [`Self::bring_up`].
     pub fn hang_calls(&self) {
         lock(&self.shared.faults).hang = true;
     }
 
-    /// Ends [`Self::take_down`] and [`Self::hang_calls`]; every lease starts anew.
+    /// Ends [`Self::take_down`] and [`Self::hang_calls`], and renews every lease.
     pub fn bring_up(&self) {
         lock(&self.shared.keyspace).renew_all();
         let mut faults = lock(&self.shared.faults);
@@ -82,12 +82,12 @@
         self.shared.up.notify_waiters();
     }
 
-    /// Delays every call by `ms` milliseconds, 0 to end that.
+    /// Delays every call by `ms` milliseconds; 0 ends the delay.
     pub fn delay_calls(&self, ms: u64) {
         lock(&self.shared.faults).delay_ms = ms;
     }
 
-    /// Lets the next `count` writes take effect and lose their answers.
+    /// Makes the next `count` writes take effect without returning an answer.
     pub fn lose_answers(&self, count: u32) {
         lock(&self.shared.faults).answers_to_lose = count;
     }
@@ -97,13 +97,13 @@
         lock(&self.shared.faults).calls_to_refuse = count;
     }
 
-    /// Returns the calls counted so far and the watches that wait now.
+    /// Returns the number of calls so far and of watches open now.
     pub fn counts(&self) -> CallCounts {
         let waiting = lock(&self.shared.keyspace).open_watches() as u64;
         CallCounts { waiting, ..*lock(&self.shared.counts) }
     }
 
-    /// Writes a key past the faults; returns its revision.
+    /// Writes a key regardless of the faults and returns its revision.
     pub fn put(&self, key: &str, value: impl Into<Vec<u8>>) -> i64 {
         let mut keyspace = lock(&self.shared.keyspace);
         keyspace.put(key.as_bytes().to_vec(), value.into(), 0);
@@ -111,19 +111,19 @@
         keyspace.revision()
     }
 
-    /// Deletes a key past the faults.
+    /// Deletes a key regardless of the faults.
     pub fn delete(&self, key: &str) {
         let mut keyspace = lock(&self.shared.keyspace);
         keyspace.delete(key.as_bytes(), &[]);
         keyspace.commit();
     }
 
-    /// Reads a key past the faults.
+    /// Reads a key regardless of the faults.
     pub fn get(&self, key: &str) -> Option<Vec<u8>> {
         lock(&self.shared.keyspace).get(key.as_bytes()).map(|kv| kv.value.clone())
     }
 
-    /// Returns the keys and values under `prefix`, past the faults.
+    /// Returns the keys and values with a prefix, regardless of the faults.
     pub fn list(&self, prefix: &str) -> Vec<(String, Vec<u8>)> {
         let found = lock(&self.shared.keyspace).range(prefix.as_bytes(), &key::range_end(prefix));
         found
@@ -132,7 +132,7 @@
             .collect()
     }
 
-    /// Sets `live`, `leaving` or `gone` in the platform's list of hosts.
+    /// Sets a host's state in the platform's list of hosts: `live`, `leaving` or `gone`.
     pub fn set_host_state(&self, name: &str, state: &str) {
         self.put(&format!("{}{name}", key::PLATFORM_HOSTS), state);
     }
@@ -140,9 +140,9 @@
 
 impl Drop for StoreStandIn {
     fn drop(&mut self) {
-        self.shared.end.notify_one();
+        self.shared.stop.notify_one();
         if let Some(thread) = self.thread.take() {
-            // A panic of the service has already been printed.
+            // The panic hook has already printed a panic of the service.
             let _ = thread.join();
         }
     }
@@ -157,32 +157,34 @@
             .tcp_nodelay(true)
             .add_service(
                 KvServer::new(service.clone())
-                    .max_decoding_message_size(MAX_MESSAGE)
-                    .max_encoding_message_size(MAX_MESSAGE),
+                    .max_decoding_message_size(MAX_MESSAGE_LEN)
+                    .max_encoding_message_size(MAX_MESSAGE_LEN),
+            )
+            .add_service(
+                WatchServer::new(service.clone()).max_encoding_message_size(MAX_MESSAGE_LEN),
             )
-            .add_service(WatchServer::new(service.clone()).max_encoding_message_size(MAX_MESSAGE))
             .add_service(LeaseServer::new(service))
             .serve_with_incoming(incoming);
-        // The end cuts open calls and watches, as the end of a real store would.
+        // Dropping the server closes open calls and watches, as when a real store stops.
         tokio::select! {
             result = serving => result?,
-            () = expire(&shared) => {}
-            () = shared.end.notified() => {}
+            () = expire_leases(&shared) => {}
+            () = shared.stop.notified() => {}
         }
         Ok(())
     })
 }
 
-/// Ends lapsed leases; none lapses while the store is down.
-async fn expire(shared: &Shared) {
+/// Removes expired leases periodically. No lease expires while the store is down or hangs.
+async fn expire_leases(shared: &Shared) {
     loop {
-        tokio::time::sleep(Duration::from_millis(TICK_MS)).await;
-        let stopped = {
+        tokio::time::sleep(Duration::from_millis(EXPIRY_INTERVAL_MS)).await;
+        let paused = {
             let faults = lock(&shared.faults);
             faults.down || faults.hang
         };
-        if !stopped {
-            let sent = lock(&shared.keyspace).expire(Instant::now());
+        if !paused {
+            let sent = lock(&shared.keyspace).expire_leases(Instant::now());
             lock(&shared.counts).events += sent;
         }
     }
--- a/endivestile_testkit/src/store/txn.rs
+++ b/endivestile_testkit/src/store/txn.rs
@@ -1,4 +1,4 @@
-//! Compares and operations of a transaction.
+//! Single operations and transactions on the keyspace.
 
 use std::cmp::Ordering;
 
@@ -13,7 +13,7 @@
 
 use super::keyspace::Keyspace;
 
-/// Returns the header of an answer of now.
+/// Returns a response header with the current revision.
 pub(crate) fn header(keyspace: &Keyspace) -> Option<ResponseHeader> {
     Some(ResponseHeader { revision: keyspace.revision(), ..Default::default() })
 }
@@ -28,10 +28,10 @@
     RangeResponse { header: header(keyspace), more: kvs.len() < count, count: count as i64, kvs }
 }
 
-/// Writes a key within the open revision.
+/// Writes a key in the open revision.
 ///
 /// # Errors
-/// `NOT_FOUND` when the lease is not known.
+/// `NOT_FOUND` when the lease does not exist.
 pub(crate) fn put(keyspace: &mut Keyspace, request: PutRequest) -> Result<PutResponse, Status> {
     if !keyspace.put(request.key, request.value, request.lease) {
         return Err(Status::not_found("etcdserver: requested lease not found"));
@@ -39,16 +39,17 @@
     Ok(PutResponse { header: header(keyspace) })
 }
 
-/// Deletes a range within the open revision.
+/// Deletes a range in the open revision.
 pub(crate) fn delete(keyspace: &mut Keyspace, request: &DeleteRangeRequest) -> DeleteRangeResponse {
     let deleted = keyspace.delete(&request.key, &request.range_end) as i64;
     DeleteRangeResponse { header: header(keyspace), deleted }
 }
 
-/// Runs a transaction within the open revision.
+/// Runs a transaction in the open revision.
 ///
 /// # Errors
-/// Those of its operations; unlike etcd, operations before the failing one stay.
+/// Returns the error of the first operation that fails. Unlike in etcd, the
+/// operations before it keep their effect.
 pub(crate) fn txn(keyspace: &mut Keyspace, request: TxnRequest) -> Result<TxnResponse, Status> {
     let succeeded = request.compare.iter().all(|compare| holds(keyspace, compare));
     let ops = if succeeded { request.success } else { request.failure };
@@ -73,14 +74,14 @@
 fn holds(keyspace: &Keyspace, compare: &Compare) -> bool {
     let absent = KeyValue::default();
     let kv = keyspace.get(&compare.key);
-    let known = kv.unwrap_or(&absent);
+    let current = kv.unwrap_or(&absent);
     let order = match &compare.target_union {
-        Some(TargetUnion::Version(version)) => known.version.cmp(version),
-        Some(TargetUnion::CreateRevision(revision)) => known.create_revision.cmp(revision),
-        Some(TargetUnion::ModRevision(revision)) => known.mod_revision.cmp(revision),
-        Some(TargetUnion::Lease(lease)) => known.lease.cmp(lease),
-        // As in etcd, no compare of a value holds for an absent key.
-        Some(TargetUnion::Value(value)) if kv.is_some() => known.value.cmp(value),
+        Some(TargetUnion::Version(version)) => current.version.cmp(version),
+        Some(TargetUnion::CreateRevision(revision)) => current.create_revision.cmp(revision),
+        Some(TargetUnion::ModRevision(revision)) => current.mod_revision.cmp(revision),
+        Some(TargetUnion::Lease(lease)) => current.lease.cmp(lease),
+        // As in etcd, a value comparison with an absent key is always false.
+        Some(TargetUnion::Value(value)) if kv.is_some() => current.value.cmp(value),
         _ => return false,
     };
     match compare.result() {
--- a/endivestile_testkit/src/timer.rs
+++ b/endivestile_testkit/src/timer.rs
@@ -1,4 +1,4 @@
-//! Wake-ups more precise than the runtime's, which rounds up to milliseconds.
+//! Timer with a finer resolution than Tokio's, which rounds up to milliseconds.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,7 +9,7 @@
 
 use tokio::sync::oneshot;
 
-/// Who is woken when.
+/// A pending wake-up of one task.
 struct Alarm {
     at: Instant,
     number: u64,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Waits until `at`.
+/// Sleeps until `at`.
 pub(crate) async fn sleep_until(at: Instant) {
     static TIMER: OnceLock<Sender<(Instant, oneshot::Sender<()>)>> = OnceLock::new();
     if at <= Instant::now() {
@@ -44,23 +44,23 @@
     }
     let timer = TIMER.get_or_init(|| {
         let (sender, receiver) = channel();
-        thread::spawn(move || run(&receiver));
+        thread::spawn(move || run_timer(&receiver));
         sender
     });
     let (waker, woken) = oneshot::channel();
-    // The timer's thread lasts as long as the process.
+    // Neither call fails, as the timer thread runs until the process ends.
     let _ = timer.send((at, waker));
     let _ = woken.await;
 }
 
-fn run(receiver: &Receiver<(Instant, oneshot::Sender<()>)>) {
+fn run_timer(receiver: &Receiver<(Instant, oneshot::Sender<()>)>) {
     let mut alarms: BinaryHeap<Reverse<Alarm>> = BinaryHeap::new();
     let mut number = 0;
     loop {
         let now = Instant::now();
         while alarms.peek().is_some_and(|Reverse(alarm)| alarm.at <= now) {
             if let Some(Reverse(alarm)) = alarms.pop() {
-                // One that nobody waits for any more needs no waking.
+                // Sending fails when the sleeping task was dropped.
                 let _ = alarm.waker.send(());
             }
         }
