--- a/endivestile_testkit/src/caller.rs
+++ b/endivestile_testkit/src/caller.rs
@@ -79,7 +79,7 @@
     /// Sends a single request. A request without an id is marked as idempotent.
     ///
     /// # Errors
-    /// Returns an error when the connection fails or closes early.
+    /// Returns an error when the connection fails, closes early or times out.
     pub fn request(
         &self,
         service: &str,
--- a/endivestile_testkit/src/deploy/deployment.rs
+++ b/endivestile_testkit/src/deploy/deployment.rs
@@ -214,7 +214,7 @@
     Ok(config)
 }
 
-/// Waits until a host is ready and restarts it when its process exits before.
+/// Waits until a host is ready and restarts it when its process exits first.
 fn wait_until_ready(host: &mut HostProcess) -> io::Result<()> {
     for _ in 0..START_ATTEMPTS {
         if host.wait_ready(READY_TIMEOUT_S) {
--- a/endivestile_testkit/src/deploy/plan.rs
+++ b/endivestile_testkit/src/deploy/plan.rs
@@ -11,7 +11,7 @@
 /// Limit of that team, in tasks admitted at the same time.
 const TEAM_LIMIT: u32 = 100_000;
 
-/// Topology, hosts, machines and rules of a deployment to start.
+/// Zones, hosts, machines, services, teams, rules and settings of a deployment.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
     pub(crate) zones: Vec<Name>,
--- a/endivestile_testkit/src/net/relay.rs
+++ b/endivestile_testkit/src/net/relay.rs
@@ -84,7 +84,7 @@
 }
 
 /// Connects to the target once the client's zone can reach it. A client that is
-/// no known host counts as in the target's zone.
+/// not a known host is treated as being in the target's zone.
 fn connect(route: &Route, client: TcpStream) -> io::Result<()> {
     let process = client_pid(client.peer_addr()?, client.local_addr()?, &route.topology.pids());
     let zone = process
--- a/endivestile_testkit/src/soak/connection.rs
+++ b/endivestile_testkit/src/soak/connection.rs
@@ -16,7 +16,7 @@
     /// Whether the answer reported the job as completed.
     pub(crate) completed: bool,
     /// Time at which the attempt began.
-    pub(crate) begun: Instant,
+    pub(crate) started: Instant,
     /// Time at which the attempt ended.
     pub(crate) ended: Instant,
     /// Index of the called host.
--- a/endivestile_testkit/src/soak/fault.rs
+++ b/endivestile_testkit/src/soak/fault.rs
@@ -10,9 +10,9 @@
 pub(crate) enum Fault {
     /// Pauses a host's process.
     Pause(usize),
-    /// Kills a host's process and restarts it at the end.
+    /// Kills a host's process and restarts it when the fault ends.
     Kill(usize),
-    /// Stops a host gracefully and restarts it at the end.
+    /// Stops a host gracefully and restarts it when the fault ends.
     Stop(usize),
     /// Requests that a host reload its settings.
     Reload(usize),
@@ -28,7 +28,7 @@
     Hangs(usize),
     /// Makes the store refuse every call.
     Refuse,
-    /// Evacuates a zone until the end.
+    /// Evacuates a zone until the fault ends.
     Evacuate(usize),
 }
 
--- a/endivestile_testkit/src/soak/load.rs
+++ b/endivestile_testkit/src/soak/load.rs
@@ -1,4 +1,4 @@
-//! Callers that submit jobs and retry them without an answer.
+//! Callers that submit jobs and retry those without an answer.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -31,7 +31,7 @@
     body.contains("completed")
 }
 
-/// Sends a job on a new connection. Returns `None` when the host does not accept it.
+/// Sends a job on a new connection. Returns `None` when the host accepts no connection.
 pub(crate) fn send_once(
     host: &Arc<Mutex<PlatformHost>>,
     at: usize,
@@ -41,14 +41,14 @@
 ) -> Option<Attempt> {
     let address = lock(host).http_address()?;
     let mut connection = Connection::open(address, DEADLINE).ok()?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = connection.send(id, &job_body(tasks, ms), DEADLINE, DEADLINE + ANSWER_GRACE).ok();
     Some(Attempt {
         id: id.to_owned(),
         tasks,
         status: answer.as_ref().map(|(status, _)| *status),
         completed: answer.is_some_and(|(status, body)| status == 200 && reports_completed(&body)),
-        begun,
+        started,
         ended: Instant::now(),
         host: at,
     })
@@ -83,7 +83,7 @@
     attempts
 }
 
-/// Sends a job on the kept connection if that leads to the host, otherwise on a new one.
+/// Sends a job on the kept connection if it leads to the host, otherwise on a new one.
 fn send_reusing(
     hosts: &[Arc<Mutex<PlatformHost>>],
     at: usize,
@@ -92,14 +92,14 @@
     tasks: usize,
     ms: u64,
 ) -> Attempt {
-    let begun = Instant::now();
+    let started = Instant::now();
     let unanswered = Attempt {
         id: id.to_owned(),
         tasks,
         status: None,
         completed: false,
-        begun,
-        ended: begun,
+        started,
+        ended: started,
         host: at,
     };
     let Some(address) = lock(&hosts[at]).http_address() else { return unanswered };
--- a/endivestile_testkit/src/soak/run.rs
+++ b/endivestile_testkit/src/soak/run.rs
@@ -242,8 +242,8 @@
         match fault {
             Fault::Pause(at) => {
                 self.signal(at, PlatformSignal::Resume);
-                let open = self.pauses.iter_mut().filter(|pause| pause.0 == at);
-                open.for_each(|pause| pause.2 = Some(Instant::now()));
+                let of_host = self.pauses.iter_mut().filter(|pause| pause.0 == at);
+                of_host.for_each(|pause| pause.2 = Some(Instant::now()));
             }
             Fault::Kill(at) | Fault::Stop(at) => self.restart(at),
             Fault::Reload(_) => {}
@@ -352,7 +352,7 @@
         }
         for attempt in attempts {
             if attempt.status.is_some()
-                && attempt.ended > attempt.begun + DEADLINE + ANSWER_GRACE
+                && attempt.ended > attempt.started + DEADLINE + ANSWER_GRACE
                 && !self.overlaps_pause(attempt)
             {
                 self.add_breach(format!("{id} was answered after its deadline: {attempt:?}"));
@@ -365,7 +365,7 @@
     fn overlaps_pause(&self, attempt: &Attempt) -> bool {
         let end = attempt.ended;
         self.pauses.iter().any(|(at, from, until)| {
-            *at == attempt.host && *from < end && until.is_none_or(|until| until > attempt.begun)
+            *at == attempt.host && *from < end && until.is_none_or(|until| until > attempt.started)
         })
     }
 
--- a/endivestile_testkit/src/store/txn.rs
+++ b/endivestile_testkit/src/store/txn.rs
@@ -51,7 +51,7 @@
 /// Returns the error of the first operation that fails. Unlike in etcd, the
 /// operations before it keep their effect.
 pub(crate) fn txn(keyspace: &mut Keyspace, request: TxnRequest) -> Result<TxnResponse, Status> {
-    let succeeded = request.compare.iter().all(|compare| holds(keyspace, compare));
+    let succeeded = request.compare.iter().all(|compare| is_satisfied(keyspace, compare));
     let ops = if succeeded { request.success } else { request.failure };
     let mut responses = Vec::new();
     for op in ops {
@@ -71,7 +71,7 @@
     })
 }
 
-fn holds(keyspace: &Keyspace, compare: &Compare) -> bool {
+fn is_satisfied(keyspace: &Keyspace, compare: &Compare) -> bool {
     let absent = KeyValue::default();
     let kv = keyspace.get(&compare.key);
     let current = kv.unwrap_or(&absent);
