--- a/endivestile/tests/back_ends.rs
+++ b/endivestile/tests/back_ends.rs
@@ -71,7 +71,7 @@
 fn order_unanswered() {
     let rig = Rig::start(&[]);
     assert_eq!(rig.daemon.submit_order("first", "first").status, 200);
-    rig.backends.set_fault("s1", MachineFault::Silent);
+    rig.backends.set_fault("s1", MachineFault::Unresponsive);
     let headers = [("Team", "m1"), ("Idempotency-Key", &*dated_id("k")), ("Deadline-Ms", "3000")];
     let got = rig.daemon.post("/v1/requests/orders", &headers, r#"{"key":"k"}"#);
     assert_eq!((got.status, got.field("status")), (504, "failed".into()), "{}", got.body);
--- a/endivestile/tests/platform_path.rs
+++ b/endivestile/tests/platform_path.rs
@@ -103,7 +103,7 @@
     let platform = start_platform();
     let host = Host::start(&platform, "a1", "a");
     wait_until_serving(&host);
-    platform.set_fault("a-w1", WorkerFault::Silent);
+    platform.set_fault("a-w1", WorkerFault::Unresponsive);
     for id in 0..4 {
         let (status, _) = host.call("POST", &format!("/jobs/00000000000001a{id}"), &job(2, 20));
         assert_eq!(status, 200);
--- a/endivestile/tests/shutdown.rs
+++ b/endivestile/tests/shutdown.rs
@@ -76,7 +76,7 @@
 #[test]
 fn stop_twice() {
     let mut rig = Rig::start(&[]);
-    rig.backends.set_fault("s1", MachineFault::Silent);
+    rig.backends.set_fault("s1", MachineFault::Unresponsive);
     thread::scope(|scope| {
         let daemon = &rig.daemon;
         scope.spawn(|| daemon.submit_order("k", r#"{"key":"k"}"#));
--- a/endivestile_kernel/src/fleet/hosts/membership.rs
+++ b/endivestile_kernel/src/fleet/hosts/membership.rs
@@ -160,7 +160,7 @@
         }
         if let Some(member) = self.by_name.get_mut(name) {
             if !member.is_alive(now, PATH_LOST_MS) {
-                // The path is back, but a link opened during the silence may never come up: allow
+                // The path is back, but a link opened during the outage may never come up: allow
                 // a reconnect at once.
                 member.reconnects = 0;
                 member.reconnect_due = now;
--- a/endivestile_kernel/src/kernel/frames.rs
+++ b/endivestile_kernel/src/kernel/frames.rs
@@ -94,8 +94,8 @@
     /// everything until the store is back. A greeting to an address from the settings identifies
     /// both to each other.
     ///
-    /// A registered host that is suspect for its silence is greeted too: once no shard is shared
-    /// with it, no other frame would show that it is back.
+    /// A registered host that is suspect because it is unresponsive is greeted too: once no shard
+    /// is shared with it, no other frame would show that it is back.
     pub(super) fn send_greetings(&mut self, now: Time) {
         let unconfigured = self.config.is_none();
         let targets = self.membership.view().hosts.values().filter(|host| {
--- a/endivestile_kernel/src/membership.rs
+++ b/endivestile_kernel/src/membership.rs
@@ -8,7 +8,7 @@
 
 /// Interval between heartbeats to monitored peers, in milliseconds.
 pub(crate) const HEARTBEAT_MS: u64 = 500;
-/// Silence after which a monitored host is suspect, in milliseconds.
+/// Time without a frame after which a monitored host is suspect, in milliseconds.
 pub(crate) const SUSPECT_MS: u64 = 1_500;
 /// Time for which a broken link makes an unmonitored host suspect, in milliseconds.
 const LINK_DOWN_MS: u64 = 5_000;
--- a/endivestile_testkit/src/machine/connection.rs
+++ b/endivestile_testkit/src/machine/connection.rs
@@ -30,7 +30,7 @@
     /// Close the connection.
     Disconnect,
     /// Send nothing and keep the connection open.
-    Silence,
+    NoReply,
 }
 
 /// Serves a machine's port, and closes and reopens it according to the fault.
@@ -98,7 +98,7 @@
                 return stream.get_mut().write_all(&bytes[..half]).await;
             }
             Delivery::Disconnect => return Ok(()),
-            Delivery::Silence => std::future::pending().await,
+            Delivery::NoReply => std::future::pending().await,
         }
     }
     Ok(())
@@ -146,7 +146,7 @@
     let task = tokio::spawn(run_task(Arc::clone(machine), number, text));
     match fault {
         MachineFault::Close => return Delivery::Disconnect,
-        MachineFault::Silent => return Delivery::Silence,
+        MachineFault::Unresponsive => return Delivery::NoReply,
         _ => {}
     }
     let Ok(reply) = task.await else { return Delivery::Disconnect };
--- a/endivestile_testkit/src/machine/fault.rs
+++ b/endivestile_testkit/src/machine/fault.rs
@@ -23,7 +23,7 @@
     /// Runs this percentage of the tasks ten times slower.
     Straggle(u8),
     /// Runs tasks, never answers and keeps the connection open.
-    Silent,
+    Unresponsive,
 }
 
 /// Factor by which the run time of a straggler increases.
--- a/endivestile_testkit/src/platform/workers.rs
+++ b/endivestile_testkit/src/platform/workers.rs
@@ -30,7 +30,7 @@
     /// No fault.
     None,
     /// The worker does not answer calls.
-    Silent,
+    Unresponsive,
     /// Every run fails.
     Errors,
     /// Runs make no progress.
@@ -87,11 +87,11 @@
         let now = self.now();
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.advance(now);
-        worker.unresponsive = fault == WorkerFault::Silent;
+        worker.unresponsive = fault == WorkerFault::Unresponsive;
         worker.behaviour = match fault {
             WorkerFault::Errors => Behaviour::Errors,
             WorkerFault::Hangs => Behaviour::Hangs,
-            WorkerFault::None | WorkerFault::Silent => Behaviour::Good,
+            WorkerFault::None | WorkerFault::Unresponsive => Behaviour::Good,
         };
     }
 
